--- a/capture/decided.hpp
+++ b/capture/decided.hpp
@@ -2,7 +2,7 @@
 // bytes that were not recorded.
 #pragma once
 
-#include "orders.hpp"
+#include "interface.hpp"
 
 #include <map>
 #include <string>
--- a/capture/replay.cpp
+++ b/capture/replay.cpp
@@ -1,7 +1,7 @@
 #include "replay.hpp"
 
 #include "capture.pb.h"
-#include "keeper.hpp"
+#include "serializer.hpp"
 
 #include <algorithm>
 #include <cstdio>
--- a/capture/rules.hpp
+++ b/capture/rules.hpp
@@ -4,8 +4,8 @@
 // pages have it.
 #pragma once
 
-#include "choice.hpp"
-#include "orders.hpp"
+#include "decision_module.hpp"
+#include "interface.hpp"
 
 #include <cstdint>
 #include <map>
--- a/capture/tape.cpp
+++ b/capture/tape.cpp
@@ -3,7 +3,7 @@
 #include "capture.pb.h"
 #include "format.hpp"
 #include "hex.hpp"
-#include "keeper.hpp"
+#include "serializer.hpp"
 
 #include <algorithm>
 #include <cstdio>
--- a/core/core.cpp
+++ b/core/core.cpp
@@ -1,6 +1,6 @@
 #include "core.hpp"
 
-#include "keeper.hpp"
+#include "serializer.hpp"
 
 #include <algorithm>
 #include <bit>
--- a/core/core.hpp
+++ b/core/core.hpp
@@ -1,7 +1,7 @@
 // The state machine of a server: the ops that are open, the kept keys and results, repeats that wait,
-// wake-ups, starts that may not have been read. It stands between the decisions (src/choice.hpp), whose
-// orders it carries on, and whoever drives it. No I/O, no clock, no chance but the module's: the same events
-// with the same times give the same orders, in the same order, on every machine and at every level of
+// wake-ups, starts that may not have been read. It stands between the decisions (src/decision_module.hpp),
+// whose orders it carries on, and whoever drives it. No I/O, no clock, no chance but the module's: the same
+// events with the same times give the same orders, in the same order, on every machine and at every level of
 // optimisation. What that rests on: every walk is over an ordered container whose order is that of ids, names
 // or times (never of addresses), nothing is hashed here, and fractions are added in one order.
 //
@@ -9,7 +9,7 @@
 // that is missing or senseless.
 #pragma once
 
-#include "orders.hpp"
+#include "interface.hpp"
 #include "pools.hpp"
 
 #include <map>
--- a/core/orders.hpp
+++ b/core/interface.hpp
@@ -7,7 +7,7 @@
 // event has returned: nothing that follows from it may call back within it.
 #pragma once
 
-#include "choice.hpp"
+#include "decision_module.hpp"
 #include "ids.hpp"
 
 #include <compare>
--- a/emulator/plain.hpp
+++ b/emulator/plain.hpp
@@ -3,7 +3,7 @@
 // for their first.
 #pragma once
 
-#include "orders.hpp"
+#include "interface.hpp"
 
 #include <deque>
 #include <map>
--- a/explore/leases_world.cpp
+++ b/explore/leases_world.cpp
@@ -1,6 +1,6 @@
 #include "leases_world.hpp"
 
-#include "keeper.hpp"
+#include "serializer.hpp"
 
 #include <algorithm>
 #include <cstdio>
--- a/leases/leases.hpp
+++ b/leases/leases.hpp
@@ -119,7 +119,7 @@
   bool silent(Nanos now) const { return voters_.grants(self_) && now < silent_until_; }
   std::uint64_t senseless() const { return senseless_; }
 
-  // All that it remembers, to bytes and back (keeper.hpp), into one that was made with the same settings.
+  // All that it remembers, to bytes and back (serializer.hpp), into one that was made with the same settings.
   template <class Keeper>
   void remember(Keeper& keeper);
   // When something changes by itself: ends of grants by the voter's clock, all else by that of who asks.
--- a/node/announce.hpp
+++ b/node/announce.hpp
@@ -1,7 +1,7 @@
 // Reports to the announce service, by which balancers learn of this server. Owns its one connection.
 #pragma once
 
-#include "http.hpp"
+#include "http_reply.hpp"
 #include "ids.hpp"
 
 #include <asio/ip/tcp.hpp>
--- a/node/configuration.cpp
+++ b/node/configuration.cpp
@@ -1,7 +1,7 @@
 #include "configuration.hpp"
 
 #include "address.hpp"
-#include "given.hpp"
+#include "settings.hpp"
 
 #include <charconv>
 #include <set>
--- a/node/configuration.hpp
+++ b/node/configuration.hpp
@@ -5,7 +5,7 @@
 
 namespace cometshift {
 
-// What the module is given (src/given.hpp) and beside it: name, listen, vm, announce, records (texts),
+// What the module is given (src/settings.hpp) and beside it: name, listen, vm, announce, records (texts),
 // seed_high, seed_low (32 bits each), stop_ns, sockets, memory_mb. Throws std::invalid_argument naming the
 // faulty key.
 Given read_configuration(const std::string& path);
--- a/node/front.hpp
+++ b/node/front.hpp
@@ -2,7 +2,7 @@
 // streams are open; it is a seam: another protocol would stand here and hand over the same ops.
 #pragma once
 
-#include "orders.hpp"
+#include "interface.hpp"
 
 #include <asio/ip/tcp.hpp>
 #include <asio/steady_timer.hpp>
--- a/node/calls.cpp
+++ b/node/http_client.cpp
@@ -1,4 +1,4 @@
-#include "calls.hpp"
+#include "http_client.hpp"
 
 #include <asio/post.hpp>
 #include <asio/write.hpp>
--- a/node/calls.hpp
+++ b/node/http_client.hpp
@@ -3,7 +3,7 @@
 // and against connections forgotten on the other side, whose end proves nothing.
 #pragma once
 
-#include "http.hpp"
+#include "http_reply.hpp"
 #include "ids.hpp"
 
 #include <asio/io_context.hpp>
--- a/node/http.cpp
+++ b/node/http_reply.cpp
@@ -1,4 +1,4 @@
-#include "http.hpp"
+#include "http_reply.hpp"
 
 #include <algorithm>
 #include <cctype>
--- a/node/member.hpp
+++ b/node/member.hpp
@@ -4,9 +4,9 @@
 // (leases/clocks.hpp).
 #pragma once
 
-#include "calls.hpp"
 #include "clocks.hpp"
 #include "frames.hpp"
+#include "http_client.hpp"
 #include "links.hpp"
 #include "peers.hpp"
 #include "tasks.hpp"
--- a/node/records.hpp
+++ b/node/records.hpp
@@ -1,7 +1,7 @@
 // Calls to the records service, on HttpCalls: what a call says, and what its end proves.
 #pragma once
 
-#include "calls.hpp"
+#include "http_client.hpp"
 #include "state.hpp"
 
 #include <functional>
--- a/peers/control_words.cpp
+++ b/peers/control_codec.cpp
@@ -1,4 +1,4 @@
-#include "control_words.hpp"
+#include "control_codec.hpp"
 
 #include "control.pb.h"
 
--- a/peers/control_words.hpp
+++ b/peers/control_codec.hpp
@@ -1,5 +1,5 @@
 // What control members say to each other and to the servers that follow them, as bytes and back, no I/O
-// (control.proto). Each is one `control` word of a letter (words.hpp), so which fleet, who, in which
+// (control.proto). Each is one `control` word of a letter (peer_codec.hpp), so which fleet, who, in which
 // incarnation and that no byte was spoilt is known before.
 //
 // Bounds: words::most_control bytes each. What holds entries or records keeps to it by control.most_part,
@@ -8,8 +8,8 @@
 #pragma once
 
 #include "directory.hpp"
+#include "peer_codec.hpp"
 #include "replica.hpp"
-#include "words.hpp"
 
 #include <span>
 
--- a/peers/control_follower.hpp
+++ b/peers/control_follower.hpp
@@ -7,7 +7,7 @@
 // Errors: the constructor throws std::invalid_argument with what is senseless.
 #pragma once
 
-#include "control_words.hpp"
+#include "control_codec.hpp"
 #include "follower.hpp"
 #include "peers.hpp"
 
--- a/peers/links.hpp
+++ b/peers/links.hpp
@@ -7,7 +7,7 @@
 // std::invalid_argument where the address can't be listened on.
 #pragma once
 
-#include "words.hpp"
+#include "peer_codec.hpp"
 
 #include <asio/io_context.hpp>
 #include <asio/ip/tcp.hpp>
--- a/peers/words.cpp
+++ b/peers/peer_codec.cpp
@@ -1,7 +1,7 @@
-#include "words.hpp"
+#include "peer_codec.hpp"
 
 #include "frames.hpp"
-#include "words.pb.h"
+#include "peer_messages.pb.h"
 
 #include <algorithm>
 #include <limits>
--- a/peers/words.hpp
+++ b/peers/peer_codec.hpp
@@ -1,8 +1,8 @@
-// The words that servers of a fleet say to each other, as bytes and back, no I/O (words.proto). A frame is as
-// on the balancers' side (node/frames.hpp), in a range of types of its own; its payload begins with eight
-// bytes, XXH3 of the rest keyed by who says it to whom in which incarnation: a byte that was spoilt on the
-// way, or a frame of another connection, is not taken for a word. That is no protection against forgers: it
-// is for closed networks.
+// The words that servers of a fleet say to each other, as bytes and back, no I/O (peer_messages.proto). A
+// frame is as on the balancers' side (node/frames.hpp), in a range of types of its own; its payload begins
+// with eight bytes, XXH3 of the rest keyed by who says it to whom in which incarnation: a byte that was
+// spoilt on the way, or a frame of another connection, is not taken for a word. That is no protection against
+// forgers: it is for closed networks.
 #pragma once
 
 #include "leases.hpp"
--- a/peers/peers.hpp
+++ b/peers/peers.hpp
@@ -1,6 +1,6 @@
 // What one member of a fleet keeps of each other: what is still to be said to it, when a connection to it is
 // worth another try, and what its silence means. Decides only: no I/O, no clock, one time with each call.
-// Sockets (peers/links.hpp) carry out, words.hpp has the bytes.
+// Sockets (peers/links.hpp) carry out, peer_codec.hpp has the bytes.
 //
 // A connection goes one way: each member dials those to whom it speaks, and listens on those that others
 // dial. So each way between two members fails by itself, and is known to: what a member says has the number
@@ -17,7 +17,7 @@
 #pragma once
 
 #include "pcg.hpp"
-#include "words.hpp"
+#include "peer_codec.hpp"
 
 #include <deque>
 #include <map>
--- a/pools/pools.cpp
+++ b/pools/pools.cpp
@@ -1,6 +1,6 @@
 #include "pools.hpp"
 
-#include "keeper.hpp"
+#include "serializer.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/pools/pools.hpp
+++ b/pools/pools.hpp
@@ -1,5 +1,6 @@
-// Pools by class with a reserve: before the admission of the module (src/choice.hpp), which goes on deciding
-// what is let in, in which order, and what is turned away. A pool says which ops stand under what protection:
+// Pools by class with a reserve: before the admission of the module (src/decision_module.hpp), which goes on
+// deciding what is let in, in which order, and what is turned away. A pool says which ops stand under what
+// protection:
 //
 //   - under its floor, a part of the capacity as observed, its ops are protected: the module turns others
 //   away first;
@@ -19,7 +20,7 @@
 #pragma once
 
 #include "capacity.hpp"
-#include "orders.hpp"
+#include "interface.hpp"
 
 #include <deque>
 #include <map>
--- a/scale/core.cpp
+++ b/scale/core.cpp
@@ -6,9 +6,9 @@
 #include "core_world.hpp"
 #include "frames.hpp"
 #include "front.hpp"
-#include "keeper.hpp"
 #include "replay.hpp"
 #include "rows.hpp"
+#include "serializer.hpp"
 #include "tape.hpp"
 
 #include <algorithm>
--- a/scale/network.hpp
+++ b/scale/network.hpp
@@ -20,7 +20,7 @@
 #pragma once
 
 #include "pcg.hpp"
-#include "words.hpp"
+#include "peer_codec.hpp"
 
 #include <functional>
 #include <memory>
--- a/simhost/main.cpp
+++ b/simhost/main.cpp
@@ -1,9 +1,9 @@
 // cometshift_simhost: hosts one Choice for each instance of the simulator and speaks its wire on standard
 // input and output. It only carries: every decoded field goes straight into a call, every action into a line.
 // Names of the wire end here. A defect in the input ends the process with one line on standard error.
-#include "choice.hpp"
-#include "given.hpp"
+#include "decision_module.hpp"
 #include "hex.hpp"
+#include "settings.hpp"
 
 #include <simdjson.h>
 
--- a/src/choice.cpp
+++ b/src/decision_module.cpp
@@ -1,6 +1,6 @@
 // cometshift's decisions, all of them. One `Choice` serves one server: call `op_read` and the others below as
 // things happen; it acts at once through the `Server` that it was built with. Both are declared in
-// choice.hpp, what is remembered of an op in state.hpp.
+// decision_module.hpp, what is remembered of an op in state.hpp.
 //
 // The design (docs/design.md) decides the ordinary path: health is stored and turns bad at the drain notice,
 // ops are served through the shutdown delay, and a cap bounds the running ops. Beside it stand six
@@ -11,7 +11,7 @@
 //   4. calls: a budget, time-outs, a breaker, answers without the call
 //   5. callers: the value they are told, advice to stay away and not to retry elsewhere, idle connections
 //   6. stall watch: progress is asked for before the gauge of the cores is believed
-#include "choice.hpp"
+#include "decision_module.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/choice.hpp
+++ b/src/decision_module.hpp
@@ -106,10 +106,10 @@
   void drain(Nanos now, Nanos until_kill);
   void machine_up(Nanos now, Nanos since); // it started that long ago; unsaid: with this object
 
-  // What is believed at this moment of an op that stands here, for those who ask why (figures.cpp); false if
+  // What is believed at this moment of an op that stands here, for those who ask why (explain.cpp); false if
   // there is no such op. Changes nothing.
   bool explain(Nanos now, OpId id, Figures& into) const;
-  // Hands all that is remembered to `keeper` (keeper.hpp), which writes it or fills it in: an object so
+  // Hands all that is remembered to `keeper` (serializer.hpp), which writes it or fills it in: an object so
   // filled, made with the same settings, decides like the one that was written.
   template <class Keeper>
   void remember(Keeper& keeper);
--- a/src/remember.cpp
+++ b/src/decision_module_serialize.cpp
@@ -1,7 +1,7 @@
 // All that a Choice remembers, member by member. A member that is added to it is added here, and the layout
 // number of snapshots (capture/format.hpp) goes up.
-#include "choice.hpp"
-#include "keeper.hpp"
+#include "decision_module.hpp"
+#include "serializer.hpp"
 
 namespace cometshift {
 
--- a/src/figures.cpp
+++ b/src/explain.cpp
@@ -1,4 +1,4 @@
-#include "choice.hpp"
+#include "decision_module.hpp"
 
 namespace cometshift {
 
--- a/src/reason.hpp
+++ b/src/reason.hpp
@@ -1,5 +1,5 @@
-// Why an op was nacked or failed. What the decisions in choice.cpp found stands first, then what the core
-// found by itself. docs/on-call.md lists them all; recordings carry the numbers, so none is ever given
+// Why an op was nacked or failed. What the decisions in decision_module.cpp found stands first, then what the
+// core found by itself. docs/on-call.md lists them all; recordings carry the numbers, so none is ever given
 // another.
 #pragma once
 
--- a/src/given.cpp
+++ b/src/settings.cpp
@@ -1,4 +1,4 @@
-#include "given.hpp"
+#include "settings.hpp"
 
 #include <initializer_list>
 #include <limits>
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -1,6 +1,6 @@
 // Two things in one instant, over sockets: each time-out against its twin, signals and what is half read, the
 // link's end and what it brought. Each op has one answer, and nothing runs twice.
-#include "world.hpp"
+#include "server_fixture.hpp"
 
 #include <thread>
 
--- a/tests/driver.hpp
+++ b/tests/driver.hpp
@@ -2,7 +2,7 @@
 // and what a Peer, an end of a connection that the test plays itself, hears from the code for sockets.
 #pragma once
 
-#include "choice.hpp"
+#include "decision_module.hpp"
 #include "frames.hpp"
 
 #include <arpa/inet.h>
--- a/tests/host.cpp
+++ b/tests/host.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "server_fixture.hpp"
 
 void say(const char* what) { std::printf("# %s\n", what); }
 
--- a/tests/http.cpp
+++ b/tests/http.cpp
@@ -1,5 +1,5 @@
-#include "http.hpp"
 #include "driver.hpp"
+#include "http_reply.hpp"
 
 void read(const char* what, const std::string& bytes, std::size_t step = 1000) {
   HttpReply reply("Op-Not-Begun", 64);
--- a/tests/lasting.cpp
+++ b/tests/lasting.cpp
@@ -1,7 +1,7 @@
 // Forty-five minutes of one server with every table churned: callers that restart, repeats, connections lost,
 // calls that are slow or never come back, a link that breaks. What the core holds is counted, byte by byte:
 // an allocation made while the core works is its own until it is given back, whoever does that.
-#include "place.hpp"
+#include "simulated_server.hpp"
 
 #include <cstdlib>
 #include <new>
--- a/tests/share.cpp
+++ b/tests/share.cpp
@@ -2,7 +2,7 @@
 // up, a service that stands still or is slow, replies that never come, servers killed and begun anew, other
 // addresses in the middle. A call is in hand from its order until it is answered; one given up stays until
 // its end, for the told time at the most.
-#include "place.hpp"
+#include "simulated_server.hpp"
 
 namespace {
 
--- a/tests/trials.cpp
+++ b/tests/trials.cpp
@@ -17,7 +17,7 @@
 constexpr Nanos second = 1000 * ms;
 constexpr const char* lease = "below";
 
-// The breaker's own figures, as src/choice.cpp has them.
+// The breaker's own figures, as src/decision_module.cpp has them.
 constexpr Nanos first_rest = 250 * ms, most_rest = 1000 * ms;
 constexpr int failures_to_open = 5;
 
