--- a/capture/decided.cpp
+++ b/capture/decided.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-std::string_view word_of(Kind kind) {
+std::string_view to_text(Kind kind) {
   const auto at = static_cast<std::size_t>(kind);
   return at < kind_words.size() ? kind_words[at] : "unknown";
 }
@@ -42,10 +42,10 @@
 }
 
 std::string words_of(const Decided& one, const std::vector<std::string>& op_types) {
-  std::string said(word_of(one.kind));
-  if (one.op != no_op) said += " " + hex_of(one.op);
+  std::string said(to_text(one.kind));
+  if (one.op != no_op_id) said += " " + hex_of(one.op);
   const auto add = [&](const std::string& more) { said += ", " + more; };
-  if (one.why != Reason::none) add("why " + std::string(word_of(one.why)));
+  if (one.why != Reason::none) add("why " + std::string(to_text(one.why)));
   char text[48];
   switch (one.kind) {
   case Kind::served:
@@ -66,11 +66,11 @@
   case Kind::health:
     add(one.flag ? "good" : "bad");
     break;
-  case Kind::tell_callers:
+  case Kind::notify_callers:
     std::snprintf(text, sizeof text, "%.4f", one.value);
     add(text);
     break;
-  case Kind::idle_close:
+  case Kind::set_idle_timeout:
     add("after " + ms_of(one.span));
     break;
   case Kind::penalize:
@@ -80,8 +80,8 @@
     add(std::to_string(one.number) + ", " + ms_of(one.span));
     break;
   case Kind::failed:
-  case Kind::give_up_call:
-  case Kind::when_full:
+  case Kind::cancel_call:
+  case Kind::set_eviction_order:
   case Kind::stop_accepting:
     break;
   }
@@ -105,16 +105,16 @@
 
 // ---- orders
 
-void Listener::served(Line line, OpId op, Content result) {
+void Listener::served(StreamRef line, OpId op, Content result) {
   take({.kind = Kind::served, .op = op, .line = line, .content = digest(result), .size = result.size});
 }
-void Listener::refused(Line line, OpId op, Reason why, Nanos stay_away, bool no_retry) {
-  take({.kind = Kind::refused, .op = op, .line = line, .why = why, .span = stay_away, .flag = no_retry});
+void Listener::refused(StreamRef line, OpId op, Reason why, Nanos retry_after, bool no_retry) {
+  take({.kind = Kind::refused, .op = op, .line = line, .why = why, .span = retry_after, .flag = no_retry});
 }
-void Listener::failed(Line line, OpId op, Reason why) {
+void Listener::failed(StreamRef line, OpId op, Reason why) {
   take({.kind = Kind::failed, .op = op, .line = line, .why = why});
 }
-void Listener::penalize(Line line) { take({.kind = Kind::penalize, .line = line}); }
+void Listener::penalize(StreamRef line) { take({.kind = Kind::penalize, .line = line}); }
 void Listener::start(OpId op, OpTypeId type, const Content& body, StartNo number) {
   take({.kind = Kind::start,
         .op = op,
@@ -129,15 +129,15 @@
 void Listener::call(OpId op, Nanos time_out, const Content& body) {
   take({.kind = Kind::call, .op = op, .span = time_out, .content = digest(body), .size = body.size});
 }
-void Listener::give_up_call(OpId op) { take({.kind = Kind::give_up_call, .op = op}); }
+void Listener::cancel_call(OpId op) { take({.kind = Kind::cancel_call, .op = op}); }
 void Listener::health(bool good) { take({.kind = Kind::health, .flag = good}); }
-void Listener::tell_callers(double value) { take({.kind = Kind::tell_callers, .value = value}); }
-void Listener::idle_close(Nanos after) { take({.kind = Kind::idle_close, .span = after}); }
-void Listener::timing(Timing what, Nanos time) {
+void Listener::notify_callers(double value) { take({.kind = Kind::notify_callers, .value = value}); }
+void Listener::set_idle_timeout(Nanos after) { take({.kind = Kind::set_idle_timeout, .span = after}); }
+void Listener::set_timing(Timing what, Nanos time) {
   take({.kind = Kind::timing, .span = time, .number = static_cast<std::uint32_t>(what)});
 }
-void Listener::when_full(std::span<const Eviction>, int penalties) {
-  take({.kind = Kind::when_full, .number = static_cast<std::uint32_t>(penalties)});
+void Listener::set_eviction_order(std::span<const Eviction>, int max_invalid_ops) {
+  take({.kind = Kind::set_eviction_order, .number = static_cast<std::uint32_t>(max_invalid_ops)});
 }
 void Listener::stop_accepting() { take({.kind = Kind::stop_accepting}); }
 void Listener::note(const char*, std::string_view) {}
--- a/capture/decided.hpp
+++ b/capture/decided.hpp
@@ -19,24 +19,24 @@
   start = 5,
   resume = 6,
   call = 7,
-  give_up_call = 8,
+  cancel_call = 8,
   health = 9,
-  tell_callers = 10,
-  idle_close = 11,
+  notify_callers = 10,
+  set_idle_timeout = 11,
   timing = 12,
-  when_full = 13,
+  set_eviction_order = 13,
   stop_accepting = 14,
 };
 constexpr Kind last_kind = Kind::stop_accepting;
-std::string_view word_of(Kind kind);
+std::string_view to_text(Kind kind);
 constexpr bool is_final(Kind kind) {
   return kind == Kind::served || kind == Kind::refused || kind == Kind::failed;
 }
 
 struct Decided {
   Kind kind{};
-  OpId op = no_op;
-  Line line{};
+  OpId op = no_op_id;
+  StreamRef line{};
   Reason why = Reason::none;
   Nanos span = 0; // to stay away, a time-out, a pace
   double value = 0;
@@ -58,21 +58,21 @@
 Digest digest_in(std::string_view token); // of a token
 
 // Hands on what the core orders, as `Decided`, to `take`; notes go nowhere. `digest` tells a content's.
-class Listener : public Orders {
+class Listener : public Actions {
  public:
-  void served(Line line, OpId op, Content result) override;
-  void refused(Line line, OpId op, Reason why, Nanos stay_away, bool no_retry) override;
-  void failed(Line line, OpId op, Reason why) override;
-  void penalize(Line line) override;
+  void served(StreamRef line, OpId op, Content result) override;
+  void refused(StreamRef line, OpId op, Reason why, Nanos retry_after, bool no_retry) override;
+  void failed(StreamRef line, OpId op, Reason why) override;
+  void penalize(StreamRef line) override;
   void start(OpId op, OpTypeId type, const Content& body, StartNo number) override;
   void resume(OpId op, const Content& reply) override;
   void call(OpId op, Nanos time_out, const Content& body) override;
-  void give_up_call(OpId op) override;
+  void cancel_call(OpId op) override;
   void health(bool good) override;
-  void tell_callers(double value) override;
-  void idle_close(Nanos after) override;
-  void timing(Timing what, Nanos time) override;
-  void when_full(std::span<const Eviction> order, int penalties) override;
+  void notify_callers(double value) override;
+  void set_idle_timeout(Nanos after) override;
+  void set_timing(Timing what, Nanos time) override;
+  void set_eviction_order(std::span<const Eviction> order, int max_invalid_ops) override;
   void stop_accepting() override;
   void note(const char* kind, std::string_view words) override;
 
--- a/capture/format.cpp
+++ b/capture/format.cpp
@@ -46,33 +46,33 @@
   return out;
 }
 
-void put_setting(wire::Setting& into, const std::string& name, const Given::mapped_type& value) {
+void put_setting(wire::Setting& into, const std::string& name, const Settings::mapped_type& value) {
   into.set_name(name);
   if (const double* number = std::get_if<double>(&value))
     into.set_number(*number);
   else
     into.set_text(std::get<std::string>(value));
 }
-void take_setting(Given& into, const wire::Setting& one) {
+void take_setting(Settings& into, const wire::Setting& one) {
   if (one.value_case() == wire::Setting::kNumber)
     into[one.name()] = one.number();
   else
     into[one.name()] = one.text();
 }
 
-void put_settings(wire::Head& head, const Given& given) {
+void put_settings(wire::Head& head, const Settings& given) {
   for (const auto& [name, value] : given)
     if (!is_address(name)) put_setting(*head.add_setting(), name, value);
   head.set_settings_digest(settings_digest(given));
 }
 
-Given settings_in(const wire::Head& head) {
-  Given given;
+Settings settings_in(const wire::Head& head) {
+  Settings given;
   for (const wire::Setting& one : head.setting()) take_setting(given, one);
   return given;
 }
 
-std::uint64_t settings_digest(const Given& given) {
+std::uint64_t settings_digest(const Settings& given) {
   std::string all;
   for (const auto& [name, value] : given) {
     if (is_address(name)) continue;
--- a/capture/format.hpp
+++ b/capture/format.hpp
@@ -46,11 +46,11 @@
 // A payload with what stands before it.
 std::string block_of(std::string_view payload);
 // Of the settings' names and values, addresses left out.
-std::uint64_t settings_digest(const Given& given);
-void put_settings(wire::Head& head, const Given& given);
-Given settings_in(const wire::Head& head);
-void put_setting(wire::Setting& into, const std::string& name, const Given::mapped_type& value);
-void take_setting(Given& into, const wire::Setting& one);
+std::uint64_t settings_digest(const Settings& given);
+void put_settings(wire::Head& head, const Settings& given);
+Settings settings_in(const wire::Head& head);
+void put_setting(wire::Setting& into, const std::string& name, const Settings::mapped_type& value);
+void take_setting(Settings& into, const wire::Setting& one);
 void put_entry(std::string& payload, const wire::Entry& entry);
 
 // Reads one segment, a block at a time: its memory does not grow with the file. Throws Unreadable.
--- a/capture/replay.cpp
+++ b/capture/replay.cpp
@@ -20,7 +20,7 @@
   std::snprintf(text, sizeof text, "%.3f", static_cast<double>(span) / ns_a_ms);
   return text;
 }
-Line line_in(const wire::Place& place) {
+StreamRef line_in(const wire::Place& place) {
   return {ConnectionId{place.connection()}, StreamId{place.stream()}};
 }
 Content content_in(const wire::Content& content) {
@@ -49,7 +49,7 @@
   return sorted;
 }
 
-std::vector<std::string> names_in(const Given& given, const char* list) {
+std::vector<std::string> names_in(const Settings& given, const char* list) {
   std::vector<std::string> names;
   for (int i = 0;; ++i) {
     const std::string at = list + std::to_string(i) + ".name";
@@ -155,7 +155,7 @@
 void Player::take(const Decided& one) {
   if (deaf_) return;
   if (when_answered && is_final(one.kind)) {
-    Figures figures;
+    DecisionInputs figures;
     const bool known = core_->explain(now_, one.op, figures);
     when_answered(now_, one, known ? &figures : nullptr);
   }
@@ -184,7 +184,7 @@
     core_.reset(new Core(now_, given_, *this));
     deaf_ = false;
     Reader reader(entry.snapshot());
-    core_->remember(reader);
+    core_->serialize(reader);
     if (!reader.at_end()) throw std::invalid_argument("snapshot: more than this build remembers");
   } catch (const std::invalid_argument& e) {
     deaf_ = false;
@@ -195,7 +195,7 @@
 std::string Player::snapshot(const std::function<std::string(std::string_view)>& conceal) {
   std::string bytes;
   Writer writer(bytes, conceal);
-  core_->remember(writer);
+  core_->serialize(writer);
   return bytes;
 }
 
@@ -210,14 +210,14 @@
     const wire::Came& came = entry.came();
     if (came.type() >= op_types_.size())
       throw Unreadable(where() + ": an op type that the settings don't name");
-    core_->op_came(now_, line_in(came.line()), OpId{came.op()}, OpTypeId{came.type()},
-                   TenantId{came.tenant()}, CallerId{came.caller()}, now_ - came.waited(), came.limit(),
-                   came.held_kb(), came.rank(), came.mark(), came.subject(), content_in(came.body()),
-                   {came.digest_high(), came.digest_low()});
+    core_->op_received(now_, line_in(came.line()), OpId{came.op()}, OpTypeId{came.type()},
+                       TenantId{came.tenant()}, CallerId{came.caller()}, now_ - came.waited(), came.limit(),
+                       came.held_kb(), came.rank(), came.mark(), came.subject(), content_in(came.body()),
+                       {came.digest_high(), came.digest_low()});
     return;
   }
   case wire::Entry::kLineLost:
-    return core_->line_lost(now_, line_in(entry.line_lost()));
+    return core_->stream_lost(now_, line_in(entry.line_lost()));
   case wire::Entry::kMachineUp:
     return core_->machine_up(now_, entry.machine_up());
   case wire::Entry::kLinkUp:
@@ -225,8 +225,8 @@
   case wire::Entry::kLinkDown:
     return core_->link_down(now_);
   case wire::Entry::kRunOver:
-    return core_->run_over(now_, OpId{entry.run_over().op()}, outcome_of(entry.run_over().outcome()),
-                           entry.run_over().lag(), content_in(entry.run_over().content()));
+    return core_->run_finished(now_, OpId{entry.run_over().op()}, outcome_of(entry.run_over().outcome()),
+                               entry.run_over().lag(), content_in(entry.run_over().content()));
   case wire::Entry::kCallWanted:
     return core_->call_wanted(now_, OpId{entry.call_wanted().op()}, content_in(entry.call_wanted().body()));
   case wire::Entry::kStartRefused:
@@ -236,16 +236,16 @@
     return core_->gauges(now_, values);
   }
   case wire::Entry::kCallOver:
-    return core_->call_over(now_, OpId{entry.call_over().op()}, outcome_of(entry.call_over().outcome()),
-                            content_in(entry.call_over().content()));
+    return core_->call_finished(now_, OpId{entry.call_over().op()}, outcome_of(entry.call_over().outcome()),
+                                content_in(entry.call_over().content()));
   case wire::Entry::kDue:
     return core_->due(now_);
   case wire::Entry::kSettle:
-    return core_->settle(now_);
+    return core_->answer_repeats(now_);
   case wire::Entry::kLeave:
-    return core_->leave(now_);
+    return core_->drain(now_);
   case wire::Entry::kPools: {
-    Given pools;
+    Settings pools;
     for (const wire::Setting& one : entry.pools().setting()) take_setting(pools, one);
     return core_->set_pools(now_, pools);
   }
@@ -297,7 +297,7 @@
     wire::Entry entry;
     entry.mutable_run_over()->set_op(op.raw);
     entry.mutable_run_over()->set_lag(lag);
-    core_->run_over(now_, op, Outcome::done, lag, {});
+    core_->run_finished(now_, op, Outcome::done, lag, {});
     ++result.lent;
     if (each) each({now_, &entry, &recorded_, &decided_, false});
   }
--- a/capture/replay.hpp
+++ b/capture/replay.hpp
@@ -25,7 +25,7 @@
 std::string words_of(const wire::Entry& entry, const std::vector<std::string>& op_types,
                      const std::vector<std::string>& tenants);
 std::vector<Decided> orders_in(const wire::Entry& entry);
-std::vector<std::string> names_in(const Given& given, const char* list); // "op_type.", "tenant."
+std::vector<std::string> names_in(const Settings& given, const char* list); // "op_type.", "tenant."
 
 // Plays segments, one entry at a time.
 class Player : Listener {
@@ -62,7 +62,7 @@
   // Before an entry is given to the core.
   std::function<void(Nanos now, const wire::Entry& entry)> before_each;
   // Asked while a step's orders come: what is believed of an op that is being answered.
-  std::function<void(Nanos now, const Decided& one, const Figures* figures)> when_answered;
+  std::function<void(Nanos now, const Decided& one, const DecisionInputs* figures)> when_answered;
 
   // For cuts: at this time of the recording, what is remembered, with what was told before; used within
   // `each`.
@@ -83,7 +83,7 @@
 
   std::vector<std::string> paths_;
   std::unique_ptr<SegmentReader> reader_;
-  Given given_;
+  Settings given_;
   std::unique_ptr<Core> core_;
   std::vector<Decided> decided_, recorded_;
   std::vector<std::string> op_types_, tenants_;
--- a/capture/report.cpp
+++ b/capture/report.cpp
@@ -30,7 +30,7 @@
   if (!read_hex(text, raw) || raw == 0) throw std::invalid_argument("op " + text + ": not 16 hex digits");
   return OpId{raw};
 }
-// The op that an entry is about; no_op: none.
+// The op that an entry is about; no_op_id: none.
 OpId op_of(const wire::Entry& entry) {
   switch (entry.what_case()) {
   case wire::Entry::kCame:
@@ -44,12 +44,12 @@
   case wire::Entry::kCallOver:
     return OpId{entry.call_over().op()};
   default:
-    return no_op;
+    return no_op_id;
   }
 }
 
 // The one sentence that says which figure decided, for those who know the server and not its text.
-std::string sentence(const Decided& one, const Figures* f) {
+std::string sentence(const Decided& one, const DecisionInputs* f) {
   char text[400] = "";
   const auto say = [&](const char* format, auto... figures) {
     std::snprintf(text, sizeof text, format, figures...);
@@ -66,7 +66,7 @@
     case Reason::other_mark:
       return "its mark is that of another op, with another body, whose run was heard of";
     default:
-      return one.kind == Kind::served ? "" : "the core ended it: " + std::string(word_of(one.why));
+      return one.kind == Kind::served ? "" : "the core ended it: " + std::string(to_text(one.why));
     }
   }
   switch (one.why) {
@@ -78,29 +78,29 @@
     return say("no room to remember its key: %.0f of %.0f KB were held", f->memory_kb, f->memory_limit_kb);
   case Reason::too_big:
     return say("a run of %.0f ms would likely end after the %.0f ms it had; a faster server may do it",
-               in_ms(f->run_time), in_ms(f->win_by));
+               in_ms(f->run_time), in_ms(f->target_deadline));
   case Reason::hopeless:
     return say("no run is short enough: %.0f ms believed, %.0f ms left to be of worth", in_ms(f->run_time),
-               in_ms(f->win_by));
+               in_ms(f->target_deadline));
   case Reason::line:
     return say(
         "the line was too long: %zu held, %.0f ms of work over a cap of %.1f, %d on %.0f cores; it was worth "
         "least for its work (%.3g), a run is believed to take %.0f ms, and %.0f ms were left",
-        f->held, in_ms(f->line), f->cap, f->on_core, f->cores, f->density * 1e9, in_ms(f->run_time),
-        in_ms(f->win_by));
+        f->queued, in_ms(f->backlog), f->cap, f->on_core, f->cores, f->value_density * 1e9,
+        in_ms(f->run_time), in_ms(f->target_deadline));
   case Reason::stalled:
   case Reason::hung:
     return say("the cores stood still: %d on %.0f cores, nothing ended", f->on_core, f->cores);
   case Reason::due:
     return say("its due time came (%.0f ms from now); %zu held, %d on %.0f cores, %zu at calls, breaker %s",
-               in_ms(f->due), f->held, f->on_core, f->cores, f->at_call, f->breaker_open ? "open" : "shut");
+               in_ms(f->due), f->queued, f->on_core, f->cores, f->at_call, f->breaker_open ? "open" : "shut");
   case Reason::replaced:
     return say("a repeat of it came while it was held, and takes its place");
   case Reason::late_at_call:
     return say("at its call with %.0f ms left, and half a run of %.0f ms to come; %.0f calls in hand of "
                "%.1f, %zu wait, "
                "breaker %s",
-               in_ms(f->win_by), in_ms(f->core_time), f->calls, f->call_limit, f->at_call,
+               in_ms(f->target_deadline), in_ms(f->core_time), f->calls, f->call_limit, f->at_call,
                f->breaker_open ? "open" : "shut");
   case Reason::call_lost:
     return say("its call gave no reply and may have had its effect; breaker %s",
@@ -169,10 +169,10 @@
   Nanos first = -1;
   std::uint64_t seen = 0;
   std::vector<std::string> why;
-  player.when_answered = [&](Nanos, const Decided& one, const Figures* figures) {
+  player.when_answered = [&](Nanos, const Decided& one, const DecisionInputs* figures) {
     if (one.op == op) why.push_back(sentence(one, figures));
   };
-  Line line{};
+  StreamRef line{};
   std::string mark;
   const Player::Result result = player.play(false, [&](const Player::Step& step) {
     if (first < 0) first = step.now;
@@ -239,8 +239,8 @@
         ++events["ops of " + (entry.came().type() < op_types.size() ? op_types[entry.came().type()] : "?")];
       for (const Decided& one : orders_in(entry))
         if (is_final(one.kind))
-          ++finals[std::string(word_of(one.kind)) +
-                   (one.why == Reason::none ? "" : ", " + std::string(word_of(one.why)))];
+          ++finals[std::string(to_text(one.kind)) +
+                   (one.why == Reason::none ? "" : ", " + std::string(to_text(one.why)))];
     }
     std::fprintf(out,
                  "%s: server %s, recording %016llx, segment %u, format %u, layout %u, build %s, settings "
@@ -282,7 +282,7 @@
 
 // What became of each op on one side.
 struct Side {
-  explicit Side(const Given& given) : rules(rule_figures(given)) {}
+  explicit Side(const Settings& given) : rules(rule_figures(given)) {}
   Rules rules;
   std::map<OpId, std::string> ends;
   std::map<std::string, std::uint64_t> counts;
@@ -295,8 +295,8 @@
                      one.kind == Kind::served    ? Rules::Final::served
                      : one.kind == Kind::refused ? Rules::Final::nacked
                                                  : Rules::Final::failed);
-      std::string end(word_of(one.kind));
-      if (one.why != Reason::none) end += ", " + std::string(word_of(one.why));
+      std::string end(to_text(one.kind));
+      if (one.why != Reason::none) end += ", " + std::string(to_text(one.why));
       ends[one.op] = end;
     }
   }
@@ -311,7 +311,7 @@
   const Player::Result result = player.play_on([&](const Player::Step& step) {
     const wire::Entry& entry = *step.entry;
     if (!was) {
-      const Given given = settings_in(player.head());
+      const Settings given = settings_in(player.head());
       was = std::make_unique<Side>(given);
       is = std::make_unique<Side>(given);
     }
@@ -321,21 +321,22 @@
       switch (entry.what_case()) {
       case wire::Entry::kCame: {
         const wire::Came& came = entry.came();
-        const Nanos door = step.now - came.waited();
+        const Nanos received_at = step.now - came.waited();
         const Nanos time = came.limit() > 0
                                ? came.limit()
                                : rule_figures(settings_in(player.head())).op_timeouts.at(came.type());
         const std::string mark = came.mark().empty()
                                      ? std::string()
                                      : came.mark() + token_of({came.digest_high(), came.digest_low()});
-        rules.came(step.now, OpId{came.op()}, OpTypeId{came.type()}, door, door + time, mark);
+        rules.came(step.now, OpId{came.op()}, OpTypeId{came.type()}, received_at, received_at + time, mark);
         rules.at_line(OpId{came.op()},
                       {ConnectionId{came.line().connection()}, StreamId{came.line().stream()}});
         types[OpId{came.op()}] = came.type();
         break;
       }
       case wire::Entry::kLineLost:
-        rules.line_lost({ConnectionId{entry.line_lost().connection()}, StreamId{entry.line_lost().stream()}});
+        rules.stream_lost(
+            {ConnectionId{entry.line_lost().connection()}, StreamId{entry.line_lost().stream()}});
         break;
       case wire::Entry::kLeave:
         rules.told_to_leave(step.now);
@@ -411,8 +412,8 @@
     }
   }
   Player player(paths);
-  std::unique_ptr<Concealer> concealer;
-  if (part.scrub) concealer = std::make_unique<Concealer>();
+  std::unique_ptr<Pseudonymizer> concealer;
+  if (part.scrub) concealer = std::make_unique<Pseudonymizer>();
   const auto conceal = [&](std::string_view word) {
     return concealer && !word.empty() ? (*concealer)(word) : std::string(word);
   };
--- a/capture/rules.cpp
+++ b/capture/rules.cpp
@@ -31,23 +31,23 @@
   ops_.erase(at);
 }
 
-void Rules::came(Nanos now, OpId id, OpTypeId type, Nanos door, Nanos due, const std::string& mark) {
+void Rules::came(Nanos now, OpId id, OpTypeId type, Nanos received_at, Nanos due, const std::string& mark) {
   passed_to(now);
   ++came_;
   if (ops_.contains(id)) return; // a number that is open: the second is refused, the first goes on
   const std::string effect = mark.empty() ? mark : std::to_string(type.raw).append(1, ' ').append(mark);
-  ops_.emplace(id, Op{.type = type, .door = door, .due = due, .mark = effect});
+  ops_.emplace(id, Op{.type = type, .received_at = received_at, .due = due, .mark = effect});
   dues_.emplace(due + slack, id);
 }
 
-void Rules::at_line(OpId id, Line line) {
+void Rules::at_line(OpId id, StreamRef line) {
   const auto at = ops_.find(id);
   if (at == ops_.end()) return;
   at->second.line = line;
   lines_[line] = id;
 }
 
-void Rules::line_lost(Line line) {
+void Rules::stream_lost(StreamRef line) {
   const auto at = lines_.find(line);
   if (at == lines_.end()) return;
   const OpId id = at->second;
@@ -63,14 +63,14 @@
   const bool again = op.started;
   op.started = true;
   op.over = false;
-  if (!again && left_at_ >= 0 && op.door > left_at_ + figures_.grace + slack)
+  if (!again && left_at_ >= 0 && op.received_at > left_at_ + figures_.grace + slack)
     break_rule(broken_.started_late, "started after the grace:", id);
   if (again || op.mark.empty()) return;
   const Nanos window = op.type.raw < figures_.key_windows.size() ? figures_.key_windows[op.type.raw] : 0;
   Effect& effect = effects_[op.mark];
-  if (effect.may_have_run && effect.ran != id && op.door <= effect.door + window)
+  if (effect.may_have_run && effect.ran != id && op.received_at <= effect.received_at + window)
     break_rule(broken_.twice_run, "a second run under one mark:", id);
-  effect = {id, op.door, true};
+  effect = {id, op.received_at, true};
   effect_ends_.emplace(now + window + slack, op.mark);
 }
 
@@ -134,15 +134,15 @@
   return text;
 }
 
-Rules::Figures rule_figures(const Given& given) {
+Rules::Figures rule_figures(const Settings& given) {
   Rules::Figures figures;
   figures.grace = span(given, "drain_grace_ns", 0);
   for (int t = 0; given.contains("op_type." + std::to_string(t) + ".name"); ++t) {
     const std::string at = "op_type." + std::to_string(t) + ".";
     const std::string repeats = text(given, at + "repeats", "retryable");
-    figures.repeats.push_back(repeats == "keyed"           ? Repeats::keyed
-                              : repeats == "non_retryable" ? Repeats::non_retryable
-                                                           : Repeats::retryable);
+    figures.repeats.push_back(repeats == "keyed"           ? RetryClass::keyed
+                              : repeats == "non_retryable" ? RetryClass::non_retryable
+                                                           : RetryClass::retryable);
     figures.op_timeouts.push_back(span(given, at + "op_timeout_ns", 0));
     figures.key_windows.push_back(span(given, at + "key_window_ns", 0));
   }
--- a/capture/rules.hpp
+++ b/capture/rules.hpp
@@ -16,8 +16,8 @@
 
 class Rules {
  public:
-  struct Figures {                // of a site
-    std::vector<Repeats> repeats; // by op type
+  struct Figures {                   // of a site
+    std::vector<RetryClass> repeats; // by op type
     std::vector<Nanos> op_timeouts;
     std::vector<Nanos> key_windows;
     Nanos grace = 0;
@@ -25,9 +25,9 @@
   explicit Rules(Figures figures) : figures_(std::move(figures)) {}
 
   // `due`: latest time of its answer. An op without a mark has an empty one.
-  void came(Nanos now, OpId op, OpTypeId type, Nanos door, Nanos due, const std::string& mark);
-  void line_lost(Line line); // nobody waits for the answers on it
-  void at_line(OpId op, Line line);
+  void came(Nanos now, OpId op, OpTypeId type, Nanos received_at, Nanos due, const std::string& mark);
+  void stream_lost(StreamRef line); // nobody waits for the answers on it
+  void at_line(OpId op, StreamRef line);
   void started(Nanos now, OpId op);
   void run_over(OpId op, Outcome outcome);
   enum class Final { served, nacked, failed };
@@ -53,9 +53,9 @@
  private:
   struct Op {
     OpTypeId type;
-    Nanos door = 0;
+    Nanos received_at = 0;
     Nanos due = 0;
-    Line line{};
+    StreamRef line{};
     std::string mark;
     bool answered = false;
     bool unheard = false; // nobody waits any more
@@ -64,8 +64,8 @@
     bool over = false;
   };
   struct Effect { // of a mark
-    OpId ran = no_op;
-    Nanos door = 0; // of the try that ran
+    OpId ran = no_op_id;
+    Nanos received_at = 0; // of the try that ran
     bool may_have_run = false;
   };
   void break_rule(std::uint64_t& count, const char* what, OpId op);
@@ -73,7 +73,7 @@
 
   Figures figures_;
   std::map<OpId, Op> ops_;
-  std::map<Line, OpId> lines_;
+  std::map<StreamRef, OpId> lines_;
   std::multimap<Nanos, OpId> dues_;
   std::map<std::string, Effect> effects_;
   std::multimap<Nanos, std::string> effect_ends_;
@@ -84,6 +84,6 @@
 };
 
 std::string words_of(const Rules::Broken& broken);
-Rules::Figures rule_figures(const Given& given);
+Rules::Figures rule_figures(const Settings& given);
 
 } // namespace cometshift
--- a/capture/tape.cpp
+++ b/capture/tape.cpp
@@ -17,7 +17,7 @@
 constexpr Nanos block_age = 100 * ms;          // what a kill may take with it
 constexpr std::size_t digits_of_segment = 6;
 
-void put_line(wire::Place& into, Line line) {
+void put_line(wire::Place& into, StreamRef line) {
   into.set_connection(line.connection.raw);
   into.set_stream(line.stream.raw);
 }
@@ -30,37 +30,39 @@
 
 } // namespace
 
-Tape::Tape(Orders& orders) : orders_(orders), entry_(std::make_unique<wire::Entry>()) {}
+Tape::Tape(Actions& orders) : actions_(orders), entry_(std::make_unique<wire::Entry>()) {}
 Tape::~Tape() {
   if (recording()) end(last_);
 }
 
 // ---- a recording
 
-void Tape::begin(Nanos now, const Given& wanted, std::unique_ptr<Files> files) {
+void Tape::begin(Nanos now, const Settings& wanted, std::unique_ptr<Files> files) {
   if (recording()) end(now);
   bodies_ = number(wanted, "bodies", 0) != 0;
   hasher_ = std::make_unique<Hasher>();
   conceal_.reset();
-  if (number(wanted, "conceal", 0) != 0) conceal_ = std::make_unique<Concealer>();
+  if (number(wanted, "conceal", 0) != 0) conceal_ = std::make_unique<Pseudonymizer>();
   recording_ = static_cast<std::uint64_t>(now);
   segment_ = 0;
   entries_ = 0;
-  const auto bytes = [&](const char* name) { return static_cast<std::uint64_t>(needed(wanted, name, 1)); };
-  const std::string prefix = text(core_->given(), "name", "server") + "-";
+  const auto bytes = [&](const char* name) {
+    return static_cast<std::uint64_t>(required_number(wanted, name, 1));
+  };
+  const std::string prefix = text(core_->settings(), "name", "server") + "-";
   name_ = prefix;
   put_hex(name_, recording_);
-  taping_ = std::make_unique<Taping>(
-      Taping::Bounds{bytes("segment_bytes"), static_cast<Nanos>(needed(wanted, "segment_age_ns", 1))});
+  taping_ = std::make_unique<Taping>(Taping::Bounds{
+      bytes("segment_bytes"), static_cast<Nanos>(required_number(wanted, "segment_age_ns", 1))});
   spool_ = std::make_unique<Spool>(std::move(files), prefix,
                                    Spool::Bounds{bytes("queue_bytes"), bytes("total_bytes")});
-  orders_.note("recording", "begun: " + name_);
+  actions_.note("recording", "begun: " + name_);
 }
 
 void Tape::end(Nanos now) {
   if (!recording()) return;
   close_segment(now);
-  orders_.note("recording", "ended: " + figures());
+  actions_.note("recording", "ended: " + figures());
   spool_.reset();
   taping_.reset();
   block_.clear();
@@ -92,7 +94,7 @@
 
 void Tape::lose(Nanos now, std::uint64_t entries) {
   const std::string why = spool_->failure();
-  if (!taping_->in_gap()) orders_.note("recording", "a gap begins: " + why);
+  if (!taping_->in_gap()) actions_.note("recording", "a gap begins: " + why);
   taping_->lost(now, entries, why);
   block_.clear();
   block_entries_ = 0;
@@ -131,11 +133,11 @@
   head.set_build(build_name);
   head.set_recording(recording_);
   head.set_segment(segment_ + 1);
-  put_settings(head, core_->given());
+  put_settings(head, core_->settings());
   head.set_concealed(conceal_ != nullptr);
   head.set_bodies(bodies_);
   head.set_at(now);
-  head.set_server(text(core_->given(), "name", ""));
+  head.set_server(text(core_->settings(), "name", ""));
   std::string payload, bytes(segment_mark);
   head.SerializeToString(&payload);
   bytes += block_of(payload);
@@ -144,7 +146,7 @@
   Writer writer(
       *first.mutable_snapshot(), [this](std::string_view word) { return concealed(word); },
       [this](std::string_view held) { return token_of(digest_of(held)); });
-  core_->remember(writer);
+  core_->serialize(writer);
   put_entry(payload, first);
   if (taping_->in_gap()) {
     wire::Entry gap;
@@ -161,8 +163,8 @@
     return false;
   }
   if (taping_->in_gap())
-    orders_.note("recording",
-                 "a gap ends: " + std::to_string(taping_->lost_entries()) + " entries lost or more");
+    actions_.note("recording",
+                  "a gap ends: " + std::to_string(taping_->lost_entries()) + " entries lost or more");
   ++segment_;
   taping_->began(now, size);
   block_.clear();
@@ -213,9 +215,9 @@
 
 // ---- events
 
-void Tape::op_came(Nanos now, Line line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
-                   Nanos limit, double held_kb, double rank, std::string_view mark, std::string_view subject,
-                   Content body, Digest body_digest) {
+void Tape::op_received(Nanos now, StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
+                       Nanos received_at, Nanos limit, double held_kb, double rank, std::string_view mark,
+                       std::string_view subject, Content body, Digest body_digest) {
   event(
       now,
       [&](wire::Entry& entry) {
@@ -225,7 +227,7 @@
         came.set_type(type.raw);
         came.set_tenant(tenant.raw);
         came.set_caller(caller.raw);
-        came.set_waited(now - door);
+        came.set_waited(now - received_at);
         came.set_limit(limit);
         came.set_held_kb(held_kb);
         came.set_rank(rank);
@@ -236,14 +238,14 @@
         came.set_digest_low(body_digest.low);
       },
       [&] {
-        core_->op_came(now, line, id, type, tenant, caller, door, limit, held_kb, rank, mark, subject,
-                       std::move(body), body_digest);
+        core_->op_received(now, line, id, type, tenant, caller, received_at, limit, held_kb, rank, mark,
+                           subject, std::move(body), body_digest);
       });
 }
-void Tape::line_lost(Nanos now, Line line) {
+void Tape::stream_lost(Nanos now, StreamRef line) {
   event(
       now, [&](wire::Entry& entry) { put_line(*entry.mutable_line_lost(), line); },
-      [&] { core_->line_lost(now, line); });
+      [&] { core_->stream_lost(now, line); });
 }
 void Tape::machine_up(Nanos now, Nanos since) {
   event(
@@ -257,7 +259,7 @@
   event(
       now, [](wire::Entry& entry) { entry.set_link_down(true); }, [&] { core_->link_down(now); });
 }
-void Tape::run_over(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) {
+void Tape::run_finished(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) {
   event(
       now,
       [&](wire::Entry& entry) {
@@ -267,7 +269,7 @@
         over.set_lag(lag);
         put_content(*over.mutable_content(), digest(result), result, bodies_);
       },
-      [&] { core_->run_over(now, id, outcome, lag, std::move(result)); });
+      [&] { core_->run_finished(now, id, outcome, lag, std::move(result)); });
 }
 void Tape::call_wanted(Nanos now, OpId id, Content body) {
   event(
@@ -291,7 +293,7 @@
       },
       [&] { core_->gauges(now, values); });
 }
-void Tape::call_over(Nanos now, OpId id, Outcome outcome, Content reply) {
+void Tape::call_finished(Nanos now, OpId id, Outcome outcome, Content reply) {
   event(
       now,
       [&](wire::Entry& entry) {
@@ -300,22 +302,22 @@
         over.set_outcome(static_cast<std::uint32_t>(outcome));
         put_content(*over.mutable_content(), digest(reply), reply, bodies_);
       },
-      [&] { core_->call_over(now, id, outcome, std::move(reply)); });
+      [&] { core_->call_finished(now, id, outcome, std::move(reply)); });
 }
 void Tape::due(Nanos now) {
   event(
       now, [](wire::Entry& entry) { entry.set_due(true); }, [&] { core_->due(now); });
 }
-void Tape::settle(Nanos now) {
+void Tape::answer_repeats(Nanos now) {
   event(
-      now, [](wire::Entry& entry) { entry.set_settle(true); }, [&] { core_->settle(now); });
+      now, [](wire::Entry& entry) { entry.set_settle(true); }, [&] { core_->answer_repeats(now); });
 }
-void Tape::leave(Nanos now) {
+void Tape::drain(Nanos now) {
   event(
-      now, [](wire::Entry& entry) { entry.set_leave(true); }, [&] { core_->leave(now); });
+      now, [](wire::Entry& entry) { entry.set_leave(true); }, [&] { core_->drain(now); });
 }
 
-void Tape::set_pools(Nanos now, const Given& pools) {
+void Tape::set_pools(Nanos now, const Settings& pools) {
   event(
       now,
       [&](wire::Entry& entry) {
@@ -339,7 +341,7 @@
   wire::Order& order = *entry_->add_order();
   order.set_kind(static_cast<std::uint32_t>(one.kind));
   order.set_op(one.op.raw);
-  if (one.line != Line{}) put_line(*order.mutable_line(), one.line);
+  if (one.line != StreamRef{}) put_line(*order.mutable_line(), one.line);
   order.set_why(static_cast<std::uint32_t>(one.why));
   order.set_span(one.span);
   order.set_value(one.value);
@@ -351,63 +353,63 @@
   order.set_start(one.start);
 }
 
-void Tape::served(Line line, OpId op, Content result) {
+void Tape::served(StreamRef line, OpId op, Content result) {
   if (taping_now_)
     take({.kind = Kind::served, .op = op, .line = line, .content = digest(result), .size = result.size});
-  orders_.served(line, op, std::move(result));
+  actions_.served(line, op, std::move(result));
 }
-void Tape::refused(Line line, OpId op, Reason why, Nanos stay_away, bool no_retry) {
-  if (taping_now_) Listener::refused(line, op, why, stay_away, no_retry);
-  orders_.refused(line, op, why, stay_away, no_retry);
+void Tape::refused(StreamRef line, OpId op, Reason why, Nanos retry_after, bool no_retry) {
+  if (taping_now_) Listener::refused(line, op, why, retry_after, no_retry);
+  actions_.refused(line, op, why, retry_after, no_retry);
 }
-void Tape::failed(Line line, OpId op, Reason why) {
+void Tape::failed(StreamRef line, OpId op, Reason why) {
   if (taping_now_) Listener::failed(line, op, why);
-  orders_.failed(line, op, why);
+  actions_.failed(line, op, why);
 }
-void Tape::penalize(Line line) {
+void Tape::penalize(StreamRef line) {
   if (taping_now_) Listener::penalize(line);
-  orders_.penalize(line);
+  actions_.penalize(line);
 }
 void Tape::start(OpId op, OpTypeId type, const Content& body, StartNo number) {
   if (taping_now_) Listener::start(op, type, body, number);
-  orders_.start(op, type, body, number);
+  actions_.start(op, type, body, number);
 }
 void Tape::resume(OpId op, const Content& reply) {
   if (taping_now_) Listener::resume(op, reply);
-  orders_.resume(op, reply);
+  actions_.resume(op, reply);
 }
 void Tape::call(OpId op, Nanos time_out, const Content& body) {
   if (taping_now_) Listener::call(op, time_out, body);
-  orders_.call(op, time_out, body);
+  actions_.call(op, time_out, body);
 }
-void Tape::give_up_call(OpId op) {
-  if (taping_now_) Listener::give_up_call(op);
-  orders_.give_up_call(op);
+void Tape::cancel_call(OpId op) {
+  if (taping_now_) Listener::cancel_call(op);
+  actions_.cancel_call(op);
 }
 void Tape::health(bool good) {
   if (taping_now_) Listener::health(good);
-  orders_.health(good);
+  actions_.health(good);
 }
-void Tape::tell_callers(double value) {
-  if (taping_now_) Listener::tell_callers(value);
-  orders_.tell_callers(value);
+void Tape::notify_callers(double value) {
+  if (taping_now_) Listener::notify_callers(value);
+  actions_.notify_callers(value);
 }
-void Tape::idle_close(Nanos after) {
-  if (taping_now_) Listener::idle_close(after);
-  orders_.idle_close(after);
+void Tape::set_idle_timeout(Nanos after) {
+  if (taping_now_) Listener::set_idle_timeout(after);
+  actions_.set_idle_timeout(after);
 }
-void Tape::timing(Timing what, Nanos time) {
-  if (taping_now_) Listener::timing(what, time);
-  orders_.timing(what, time);
+void Tape::set_timing(Timing what, Nanos time) {
+  if (taping_now_) Listener::set_timing(what, time);
+  actions_.set_timing(what, time);
 }
-void Tape::when_full(std::span<const Eviction> order, int penalties) {
-  if (taping_now_) Listener::when_full(order, penalties);
-  orders_.when_full(order, penalties);
+void Tape::set_eviction_order(std::span<const Eviction> order, int max_invalid_ops) {
+  if (taping_now_) Listener::set_eviction_order(order, max_invalid_ops);
+  actions_.set_eviction_order(order, max_invalid_ops);
 }
 void Tape::stop_accepting() {
   if (taping_now_) Listener::stop_accepting();
-  orders_.stop_accepting();
+  actions_.stop_accepting();
 }
-void Tape::note(const char* kind, std::string_view words) { orders_.note(kind, words); }
+void Tape::note(const char* kind, std::string_view words) { actions_.note(kind, words); }
 
 } // namespace cometshift
--- a/capture/tape.hpp
+++ b/capture/tape.hpp
@@ -20,14 +20,14 @@
 
 class Tape final : public Events, public Listener {
  public:
-  explicit Tape(Orders& orders); // where orders go on to
+  explicit Tape(Actions& orders); // where orders go on to
   ~Tape() override;
   void bind(Core& core) { core_ = &core; }
 
   // What a recording is to hold, by name (operator file, docs/capture.md): "folder", "segment_bytes",
   // "segment_age_ns", "total_bytes", "queue_bytes", "bodies", "conceal".
   // A recording that is under way ends first.
-  void begin(Nanos now, const Given& wanted, std::unique_ptr<Files> files);
+  void begin(Nanos now, const Settings& wanted, std::unique_ptr<Files> files);
   void end(Nanos now); // with its last block handed over, not waited for
   bool recording() const { return spool_ != nullptr; }
   void wait_written() const; // until the disk has taken, or refused, all that was handed over; not for a loop
@@ -35,36 +35,36 @@
   // Of the recording: entries, blocks, bytes written, gaps, entries lost, segments removed.
   std::string figures() const;
 
-  void op_came(Nanos now, Line line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
-               Nanos limit, double held_kb, double rank, std::string_view mark, std::string_view subject,
-               Content body, Digest body_digest) override;
-  void line_lost(Nanos now, Line line) override;
+  void op_received(Nanos now, StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
+                   Nanos received_at, Nanos limit, double held_kb, double rank, std::string_view mark,
+                   std::string_view subject, Content body, Digest body_digest) override;
+  void stream_lost(Nanos now, StreamRef line) override;
   void machine_up(Nanos now, Nanos since) override;
   void link_up(Nanos now, StartNo known) override;
   void link_down(Nanos now) override;
-  void run_over(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) override;
+  void run_finished(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) override;
   void call_wanted(Nanos now, OpId id, Content body) override;
   void start_refused(Nanos now, OpId id) override;
   void gauges(Nanos now, std::span<const double> values) override;
-  void call_over(Nanos now, OpId id, Outcome outcome, Content reply) override;
+  void call_finished(Nanos now, OpId id, Outcome outcome, Content reply) override;
   void due(Nanos now) override;
-  void settle(Nanos now) override;
-  void leave(Nanos now) override;
-  void set_pools(Nanos now, const Given& pools) override;
+  void answer_repeats(Nanos now) override;
+  void drain(Nanos now) override;
+  void set_pools(Nanos now, const Settings& pools) override;
 
-  void served(Line line, OpId op, Content result) override;
-  void refused(Line line, OpId op, Reason why, Nanos stay_away, bool no_retry) override;
-  void failed(Line line, OpId op, Reason why) override;
-  void penalize(Line line) override;
+  void served(StreamRef line, OpId op, Content result) override;
+  void refused(StreamRef line, OpId op, Reason why, Nanos retry_after, bool no_retry) override;
+  void failed(StreamRef line, OpId op, Reason why) override;
+  void penalize(StreamRef line) override;
   void start(OpId op, OpTypeId type, const Content& body, StartNo number) override;
   void resume(OpId op, const Content& reply) override;
   void call(OpId op, Nanos time_out, const Content& body) override;
-  void give_up_call(OpId op) override;
+  void cancel_call(OpId op) override;
   void health(bool good) override;
-  void tell_callers(double value) override;
-  void idle_close(Nanos after) override;
-  void timing(Timing what, Nanos time) override;
-  void when_full(std::span<const Eviction> order, int penalties) override;
+  void notify_callers(double value) override;
+  void set_idle_timeout(Nanos after) override;
+  void set_timing(Timing what, Nanos time) override;
+  void set_eviction_order(std::span<const Eviction> order, int max_invalid_ops) override;
   void stop_accepting() override;
   void note(const char* kind, std::string_view words) override;
 
@@ -83,13 +83,13 @@
   void lose(Nanos now, std::uint64_t entries);
   std::string concealed(std::string_view word) const;
 
-  Orders& orders_;
+  Actions& actions_;
   Core* core_ = nullptr;
   std::unique_ptr<Spool> spool_; // null: nothing is recorded
   std::unique_ptr<Taping> taping_;
   std::unique_ptr<wire::Entry> entry_;
   std::unique_ptr<Hasher> hasher_;
-  std::unique_ptr<Concealer> conceal_; // null: marks and subjects are written as they are
+  std::unique_ptr<Pseudonymizer> conceal_; // null: marks and subjects are written as they are
   std::string name_;
   std::string block_; // entries not handed over yet
   std::uint64_t block_entries_ = 0;
--- a/control/directory.cpp
+++ b/control/directory.cpp
@@ -30,11 +30,11 @@
 
 } // namespace
 
-std::string_view word_of(Presence presence) {
+std::string_view to_text(Presence presence) {
   switch (presence) {
-  case Presence::well:
+  case Presence::alive:
     return "well";
-  case Presence::silent:
+  case Presence::unresponsive:
     return "silent";
   case Presence::left:
     return "left";
@@ -45,18 +45,18 @@
 }
 
 Directory::Directory(Nanos now, MemberId self, Incarnation incarnation, const std::vector<MemberId>& others,
-                     const Given& figures, DirectoryOrders& orders)
-    : orders_(orders), self_(self), incarnation_(incarnation) {
-  beat_ = static_cast<Nanos>(needed(figures, "control.beat", ms));
-  silent_ = static_cast<Nanos>(needed(figures, "control.silent", 2 * static_cast<double>(beat_)));
-  forget_ = static_cast<Nanos>(needed(figures, "control.forget", static_cast<double>(silent_)));
-  answer_ = static_cast<Nanos>(needed(figures, "control.answer", ms));
+                     const Settings& figures, DirectoryActions& orders)
+    : actions_(orders), self_(self), incarnation_(incarnation) {
+  beat_ = static_cast<Nanos>(required_number(figures, "control.beat", ms));
+  silent_ = static_cast<Nanos>(required_number(figures, "control.silent", 2 * static_cast<double>(beat_)));
+  forget_ = static_cast<Nanos>(required_number(figures, "control.forget", static_cast<double>(silent_)));
+  answer_ = static_cast<Nanos>(required_number(figures, "control.answer", ms));
   most_part_ = static_cast<std::size_t>(
-      needed(figures, "control.most_part", 2 * most_text + static_cast<double>(record_overhead)));
-  most_members_ = static_cast<std::size_t>(needed(figures, "control.most_members", 1));
+      required_number(figures, "control.most_part", 2 * most_text + static_cast<double>(record_overhead)));
+  most_members_ = static_cast<std::size_t>(required_number(figures, "control.most_members", 1));
   if (others.size() > most_owners) throw std::invalid_argument("control: too many control members");
   for (const MemberId other : others)
-    if (other != self_) others_[other].next_beat = others_[other].heard_at = now;
+    if (other != self_) others_[other].next_beat = others_[other].last_received_at = now;
 }
 
 std::uint64_t Directory::digest_of(const MemberRecord& record) {
@@ -85,7 +85,7 @@
   if (presence == Presence::gone)
     gone_.insert(record.number);
   else
-    plan(record.member, mine, mine.heard_at + (presence == Presence::well ? silent_ : forget_));
+    plan(record.member, mine, mine.last_received_at + (presence == Presence::alive ? silent_ : forget_));
   for (auto& [id, other] : others_) other.stale = true;
   look(now, record.member);
   while (gone_.size() > std::max<std::size_t>(1, most_members_ / gone_part)) forget_gone();
@@ -106,7 +106,7 @@
 }
 
 bool Directory::attached(Nanos now, const MemberRecord& record) {
-  if (!sensible(record)) return ++counts_.senseless, false;
+  if (!sensible(record)) return ++counts_.invalid, false;
   auto at = mine_.find(record.member);
   if (at == mine_.end()) {
     if (mine_.size() >= most_members_ && !gone_.empty()) forget_gone();
@@ -116,7 +116,7 @@
     Mine& mine = at->second;
     if (mine.record.incarnation == record.incarnation) {
       if (record.attached < mine.record.attached) return true; // late
-    } else if (mine.record.presence == Presence::well) {
+    } else if (mine.record.presence == Presence::alive) {
       mine.before = mine.record.incarnation;
       mine.replaced_at = now;
     }
@@ -124,10 +124,10 @@
   Mine& mine = at->second;
   const MemberRecord old = std::exchange(mine.record, record);
   mine.record.number = old.number;
-  mine.record.presence = Presence::well;
-  mine.heard_at = now;
+  mine.record.presence = Presence::alive;
+  mine.last_received_at = now;
   // A line that is made anew says nothing new to others but its number, which tells lives and lines apart.
-  change(now, mine, Presence::well);
+  change(now, mine, Presence::alive);
   return true;
 }
 
@@ -140,8 +140,8 @@
     if (of == mine.before && now - mine.replaced_at > silent_) tell_doubled(member);
     return;
   }
-  mine.heard_at = now;
-  if (mine.record.presence != Presence::well) change(now, mine, Presence::well);
+  mine.last_received_at = now;
+  if (mine.record.presence != Presence::alive) change(now, mine, Presence::alive);
 }
 
 void Directory::detached(Nanos now, MemberId member, Incarnation of) {
@@ -154,12 +154,12 @@
   const auto at = mine_.find(member);
   if (at == mine_.end() || at->second.record.incarnation != of) return;
   const Presence is = at->second.record.presence;
-  if (is == Presence::well || is == Presence::silent) change(now, at->second, Presence::left);
+  if (is == Presence::alive || is == Presence::unresponsive) change(now, at->second, Presence::left);
 }
 
 void Directory::tell_doubled(MemberId member) {
   if (told_doubled_.size() >= most_members_ || !told_doubled_.insert(member).second) return;
-  orders_.doubled(member);
+  actions_.duplicate_member(member);
 }
 
 // ---- of other control members
@@ -167,26 +167,26 @@
 void Directory::part(Nanos now, MemberId from, Incarnation of, PartNo since, PartNo upto, PartNo last,
                      std::uint64_t digest, const std::vector<MemberRecord>& records) {
   const auto at = others_.find(from);
-  if (at == others_.end()) return void(++counts_.senseless);
+  if (at == others_.end()) return void(++counts_.invalid);
   Other& other = at->second;
   if (of != other.of) {
     // Against a late word of a life before; unless it was the one that was taken for the newer by such a
     // word.
     const bool before = std::find(other.lives.begin(), other.lives.end(), of) != other.lives.end();
-    if (before && now - other.heard_at < silent_) return;
+    if (before && now - other.last_received_at < silent_) return;
     if (other.of != Incarnation{}) other.lives.push_back(other.of);
     if (other.lives.size() > kept_lives) other.lives.pop_front();
     other.of = of;
     begin_anew(other);
   }
   hear(now, other);
-  if (upto < since || last < upto) return void(++counts_.senseless);
+  if (upto < since || last < upto) return void(++counts_.invalid);
   for (const MemberRecord& record : records)
-    if (!sensible(record) || record.number <= since || record.number > upto) return void(++counts_.senseless);
+    if (!sensible(record) || record.number <= since || record.number > upto) return void(++counts_.invalid);
   if (since == PartNo{} && upto != PartNo{}) begin_anew(other); // what was gone may be forgotten there
   PartNo& here = other.comes ? other.coming_upto : other.upto;
-  if (since > here) return orders_.have(from, of, here); // what came between isn't here
-  if (upto < here) return orders_.have(from, of, here);
+  if (since > here) return actions_.have(from, of, here); // what came between isn't here
+  if (upto < here) return actions_.have(from, of, here);
   const bool news = upto > here || !records.empty();
   if (news) {
     counts_.records += records.size();
@@ -198,9 +198,9 @@
   if (!other.comes && other.upto == last && !other.lacks && other.digest != digest) {
     ++counts_.begun_anew;
     begin_anew(other);
-    return orders_.have(from, of, PartNo{});
+    return actions_.have(from, of, PartNo{});
   }
-  if (news || other.comes) orders_.have(from, of, other.comes ? other.coming_upto : other.upto);
+  if (news || other.comes) actions_.have(from, of, other.comes ? other.coming_upto : other.upto);
 }
 
 // What was told before stays until the part is whole again.
@@ -268,11 +268,11 @@
 
 void Directory::have(Nanos now, MemberId from, Incarnation owner, PartNo upto) {
   const auto at = others_.find(from);
-  if (at == others_.end()) return void(++counts_.senseless);
+  if (at == others_.end()) return void(++counts_.invalid);
   Other& other = at->second;
   hear(now, other);
   if (owner != incarnation_) return;
-  if (upto > last_) return void(++counts_.senseless);
+  if (upto > last_) return void(++counts_.invalid);
   other.has = upto;
   if (!other.under_way || upto >= other.sent || upto == PartNo{}) {
     other.under_way = false;
@@ -282,7 +282,7 @@
 }
 
 void Directory::hear(Nanos now, Other& other) {
-  other.heard_at = now;
+  other.last_received_at = now;
   if (!other.silent) return;
   other.silent = false;
   look_at_all_of(now, other);
@@ -314,7 +314,7 @@
     upto = last_;
     std::size_t bytes = 0;
     for (auto at = changes_.upper_bound(from); at != changes_.end(); ++at) {
-      ++counts_.looked_at;
+      ++counts_.visited;
       const MemberRecord& record = mine_.at(at->second).record;
       if (from == PartNo{} && record.presence == Presence::gone) continue;
       bytes += bytes_of(record);
@@ -337,8 +337,8 @@
   }
   other.next_beat = now + beat_;
   ++counts_.parts;
-  counts_.bytes += word_overhead;
-  orders_.part(to, from, upto, last_, digest_, records);
+  counts_.bytes += message_overhead;
+  actions_.part(to, from, upto, last_, digest_, records);
 }
 
 Nanos Directory::next_wake() const {
@@ -346,10 +346,10 @@
   const auto also = [&next](Nanos at) { next = next < 0 ? at : std::min(next, at); };
   for (const auto& [id, other] : others_) {
     also(other.next_beat);
-    if (other.stale && !other.under_way && !other.silent) also(other.heard_at);
+    if (other.stale && !other.under_way && !other.silent) also(other.last_received_at);
     if (other.under_way) also(other.sent_at + (answer_ << std::min(other.repeats, answer_doublings)));
-    if (!other.silent) also(other.heard_at + silent_);
-    if (!other.records.empty()) also(other.heard_at + forget_);
+    if (!other.silent) also(other.last_received_at + silent_);
+    if (!other.records.empty()) also(other.last_received_at + forget_);
   }
   for (const auto& [id, seen] : double_since_) also(seen.since + double_silences * silent_);
   return next;
@@ -361,20 +361,20 @@
     wakes_.erase(wakes_.begin());
     Mine& mine = mine_.at(id);
     mine.wake = -1;
-    ++counts_.looked_at;
-    const bool well = mine.record.presence == Presence::well;
-    const Nanos at = mine.heard_at + (well ? silent_ : forget_);
+    ++counts_.visited;
+    const bool well = mine.record.presence == Presence::alive;
+    const Nanos at = mine.last_received_at + (well ? silent_ : forget_);
     if (at > now)
       plan(id, mine, at); // it was heard since
     else
-      change(now, mine, well ? Presence::silent : Presence::gone);
+      change(now, mine, well ? Presence::unresponsive : Presence::gone);
   }
   for (auto& [id, other] : others_) {
-    if (!other.silent && now - other.heard_at >= silent_) {
+    if (!other.silent && now - other.last_received_at >= silent_) {
       other.silent = true;
       look_at_all_of(now, other);
     }
-    if (!other.records.empty() && now - other.heard_at >= forget_) {
+    if (!other.records.empty() && now - other.last_received_at >= forget_) {
       const std::map<MemberId, MemberRecord> before = std::exchange(other.records, {});
       other.digest = 0;
       begin_anew(other);
@@ -396,15 +396,16 @@
 
 // Of all that is told of a member: well before the others, then the newest attachment.
 void Directory::look(Nanos now, MemberId member) {
-  ++counts_.looked_at;
+  ++counts_.visited;
   const MemberRecord* best = nullptr;
   Presence presence = Presence::gone;
   std::set<Incarnation> well;
   const auto weigh = [&](const MemberRecord& record, bool unheard, bool old) {
-    const Presence told = unheard && record.presence == Presence::well ? Presence::silent : record.presence;
-    if (told == Presence::well && !old) well.insert(record.incarnation);
+    const Presence told =
+        unheard && record.presence == Presence::alive ? Presence::unresponsive : record.presence;
+    if (told == Presence::alive && !old) well.insert(record.incarnation);
     const auto rank = [](Presence p, const MemberRecord& r) {
-      return std::make_pair(p == Presence::well, r.attached);
+      return std::make_pair(p == Presence::alive, r.attached);
     };
     if (best && rank(told, record) <= rank(presence, *best)) return;
     best = &record;
@@ -430,20 +431,20 @@
     MemberRecord last = at->second;
     view_.erase(at);
     last.presence = Presence::gone;
-    return orders_.news(last, before);
+    return actions_.news(last, before);
   }
   MemberRecord& seen = view_[member];
   const Incarnation life = seen.incarnation;
   seen = *best;
   seen.presence = presence;
   count(seen, 1);
-  if (before != presence || life != seen.incarnation) orders_.news(seen, before);
+  if (before != presence || life != seen.incarnation) actions_.news(seen, before);
 }
 
 void Directory::count(const MemberRecord& record, int by) {
   const auto at = zones_.try_emplace(record.zone).first;
   Zone& zone = at->second;
-  std::size_t& one = record.presence == Presence::well   ? zone.well
+  std::size_t& one = record.presence == Presence::alive  ? zone.well
                      : record.presence == Presence::left ? zone.left
                                                          : zone.silent;
   one += static_cast<std::size_t>(by);
--- a/control/directory.hpp
+++ b/control/directory.hpp
@@ -1,6 +1,6 @@
 // Who is there: the members of the fleet, learnt and not listed. One `Directory` is one control member's; it
 // decides only: no I/O, no clock, one time with each call, and what is to be said goes out by
-// `DirectoryOrders`. docs/control.md has the ways weighed.
+// `DirectoryActions`. docs/control.md has the ways weighed.
 //
 // Each control member writes one part, of the servers that follow it, and counts its changes; the parts are
 // told among control members, as deltas by that count, with a digest of the part. A part is taken as its
@@ -26,23 +26,23 @@
 
 using PartNo = Id<struct PartNoTag, std::uint64_t>; // of a change of a part, from 1 in its owner's life
 
-enum class Presence : std::uint8_t { well, silent, left, gone }; // gone: no more in this part
-std::string_view word_of(Presence presence);
+enum class Presence : std::uint8_t { alive, unresponsive, left, gone }; // gone: no more in this part
+std::string_view to_text(Presence presence);
 
 struct MemberRecord {
   MemberId member{};
   Incarnation incarnation{};
-  FollowNo attached{}; // the newest
+  AttachmentNumber attached{}; // the newest
   std::string address, zone;
   std::uint64_t since = 0; // Unix ms
-  Presence presence = Presence::well;
+  Presence presence = Presence::alive;
   PartNo number{}; // of the change that it comes from
   bool operator==(const MemberRecord&) const = default;
 };
 
-class DirectoryOrders {
+class DirectoryActions {
  public:
-  virtual ~DirectoryOrders() = default;
+  virtual ~DirectoryActions() = default;
   // To a control member, of this one's part: with these, who has it up to `from` has it up to `upto`; a
   // `from` of 0 begins it anew. `last`, `digest`: the whole part's newest change, and its digest there.
   virtual void part(MemberId to, PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
@@ -51,7 +51,7 @@
   virtual void have(MemberId to, Incarnation owner, PartNo upto) = 0;
   // What this control member's view of a member is now, and was; `gone`: none.
   virtual void news(const MemberRecord& member, Presence before) = 0;
-  virtual void doubled(MemberId member) = 0; // two members live under one number
+  virtual void duplicate_member(MemberId member) = 0; // two members live under one number
 };
 
 class Directory {
@@ -64,7 +64,7 @@
   // - control.most_part: bytes in one word
   // - control.most_members
   Directory(Nanos now, MemberId self, Incarnation incarnation, const std::vector<MemberId>& others,
-            const Given& figures, DirectoryOrders& orders);
+            const Settings& figures, DirectoryActions& orders);
   Directory(const Directory&) = delete;
   Directory& operator=(const Directory&) = delete;
 
@@ -97,8 +97,8 @@
   // A part's digest is the sum of these, of those that aren't gone.
   static std::uint64_t digest_of(const MemberRecord& record);
   struct Counts {
-    std::uint64_t parts = 0, repeats = 0, records = 0, bytes = 0, begun_anew = 0, refused = 0, senseless = 0,
-                  looked_at = 0;
+    std::uint64_t parts = 0, repeats = 0, records = 0, bytes = 0, begun_anew = 0, refused = 0, invalid = 0,
+                  visited = 0;
   };
   const Counts& counts() const { return counts_; }
 
@@ -106,7 +106,7 @@
   struct Mine {
     MemberRecord record;
     std::uint64_t digest = 0; // 0 where it is gone
-    Nanos heard_at = 0, wake = -1;
+    Nanos last_received_at = 0, wake = -1;
     Incarnation before{}; // that this one replaced while it was well
     Nanos replaced_at = -1;
   };
@@ -122,7 +122,7 @@
     PartNo coming_upto{};
     std::map<MemberId, MemberRecord> coming;
     bool silent = true;
-    Nanos heard_at = 0;
+    Nanos last_received_at = 0;
     // What it has of this one's part.
     PartNo has{}, sent{};
     bool stale = false, under_way = false; // it lacks something
@@ -145,7 +145,7 @@
   void look(Nanos now, MemberId member); // its view anew
   void count(const MemberRecord& record, int by);
 
-  DirectoryOrders& orders_;
+  DirectoryActions& actions_;
   MemberId self_;
   Incarnation incarnation_;
   Nanos beat_, silent_, forget_, answer_;
--- a/control/entries.cpp
+++ b/control/entries.cpp
@@ -21,15 +21,15 @@
   return end == std::string_view::npos ? std::string_view() : key.substr(0, end);
 }
 
-Entries::Entries(const Given& figures) {
-  most_entries_ = static_cast<std::size_t>(needed(figures, "control.most_entries", 1));
-  most_bytes_ = static_cast<std::size_t>(needed(figures, "control.most_bytes", 1));
-  most_key_ = static_cast<std::size_t>(needed(figures, "control.most_key", 1));
-  most_value_ = static_cast<std::size_t>(needed(figures, "control.most_value", 0));
-  most_deleted_ = static_cast<std::size_t>(needed(figures, "control.most_deleted", 0));
+Entries::Entries(const Settings& figures) {
+  most_entries_ = static_cast<std::size_t>(required_number(figures, "control.most_entries", 1));
+  most_bytes_ = static_cast<std::size_t>(required_number(figures, "control.most_bytes", 1));
+  most_key_ = static_cast<std::size_t>(required_number(figures, "control.most_key", 1));
+  most_value_ = static_cast<std::size_t>(required_number(figures, "control.most_value", 0));
+  most_deleted_ = static_cast<std::size_t>(required_number(figures, "control.most_deleted", 0));
 }
 
-std::string_view Entries::why_not(const Entry& entry) const {
+std::string_view Entries::rejection_reason(const Entry& entry) const {
   if (entry.key.empty() || entry.key.back() == '/') return "the key has no name";
   if (entry.key.size() > most_key_) return "the key is too long";
   if (entry.value.size() > most_value_) return "the value is too long";
@@ -56,7 +56,7 @@
 
 bool Entries::take(Entry entry) {
   // Against two entries under one version, too: a table would point at what is gone.
-  if (entry.version == Version{} || by_version_.contains(entry.version) || !why_not(entry).empty())
+  if (entry.version == Version{} || by_version_.contains(entry.version) || !rejection_reason(entry).empty())
     return false;
   const auto held = by_key_.find(entry.key);
   if (held != by_key_.end()) {
@@ -133,7 +133,7 @@
   }
 }
 
-void Entries::in(std::string_view scope, const std::function<bool(const Entry&)>& each) const {
+void Entries::for_each_in(std::string_view scope, const std::function<bool(const Entry&)>& each) const {
   const auto known = by_scope_.find(scope);
   if (known == by_scope_.end()) return;
   std::vector<const Entry*> live;
--- a/control/entries.hpp
+++ b/control/entries.hpp
@@ -10,7 +10,7 @@
 //
 // Bounds: figures control.most_entries, .most_bytes (keys and values in all), .most_key, .most_value (bytes),
 // .most_deleted. Errors: the constructor throws std::invalid_argument with the name of a figure that is
-// missing or senseless; what can't be taken is told by `why_not`, and changes nothing.
+// missing or senseless; what can't be taken is told by `rejection_reason`, and changes nothing.
 #pragma once
 
 #include "leases.hpp"
@@ -42,10 +42,10 @@
 
 class Entries {
  public:
-  explicit Entries(const Given& figures);
+  explicit Entries(const Settings& figures);
 
   // Why such an entry has no room or makes no sense; empty: it can be taken.
-  std::string_view why_not(const Entry& entry) const;
+  std::string_view rejection_reason(const Entry& entry) const;
   // The newest of its key wins; false: what is held is as new, or there is no room. `last` goes up to it.
   bool take(Entry entry);
   // All up to `version` is held now, though the last of it is of scopes that are not: `last` goes up to it.
@@ -63,7 +63,7 @@
   void since(Version after, Version to, const std::vector<std::string>& scopes,
              const std::function<bool(const Entry&)>& each) const;
   // Of one scope, by key; deletions are left out.
-  void in(std::string_view scope, const std::function<bool(const Entry&)>& each) const;
+  void for_each_in(std::string_view scope, const std::function<bool(const Entry&)>& each) const;
   std::vector<std::string> scopes() const;
   // XXH3 over keys and versions of what a scope holds, deletions left out: equal where two hold the same;
   // kept up with each entry, so that asking costs nothing. 0: it holds nothing.
--- a/control/feed.cpp
+++ b/control/feed.cpp
@@ -16,14 +16,14 @@
 constexpr double renewal_share = 0.2;     // of the last renewal in the mean time that those in line are told
 constexpr double least_rate_of_beats = 4; // so many beats fit into the credit of one beat's time
 
-bool sensible(const std::vector<ScopeHeld>& scopes) {
+bool sensible(const std::vector<FollowedScope>& scopes) {
   std::size_t bytes = 0;
   std::set<std::string_view> seen;
-  for (const ScopeHeld& one : scopes) {
+  for (const FollowedScope& one : scopes) {
     bytes += one.scope.size();
     if (one.scope.empty() || !seen.insert(one.scope).second) return false;
   }
-  return !scopes.empty() && scopes.size() <= most_scopes && bytes <= most_scope_bytes;
+  return !scopes.empty() && scopes.size() <= max_scopes && bytes <= most_scope_bytes;
 }
 bool sensible(const Position& at) { return at.staged >= at.taken && at.renewed <= at.renewing; }
 
@@ -56,38 +56,40 @@
   return bucket;
 }
 
-Feed::Feed(Nanos now, const Entries& state, const Given& figures, std::uint64_t seed, FeedOrders& orders)
-    : state_(state), orders_(orders), chance_(seed) {
-  beat_ = static_cast<Nanos>(needed(figures, "control.beat", ms));
-  silent_ = static_cast<Nanos>(needed(figures, "control.silent", 2 * static_cast<double>(beat_)));
-  answer_ = static_cast<Nanos>(needed(figures, "control.answer", ms));
-  const double largest = needed(figures, "control.most_key", 1) + needed(figures, "control.most_value", 0);
-  const double part = needed(figures, "control.most_part", largest + static_cast<double>(entry_overhead));
+Feed::Feed(Nanos now, const Entries& state, const Settings& figures, std::uint64_t seed, FeedActions& orders)
+    : state_(state), actions_(orders), chance_(seed) {
+  beat_ = static_cast<Nanos>(required_number(figures, "control.beat", ms));
+  silent_ = static_cast<Nanos>(required_number(figures, "control.silent", 2 * static_cast<double>(beat_)));
+  answer_ = static_cast<Nanos>(required_number(figures, "control.answer", ms));
+  const double largest =
+      required_number(figures, "control.most_key", 1) + required_number(figures, "control.most_value", 0);
+  const double part =
+      required_number(figures, "control.most_part", largest + static_cast<double>(entry_overhead));
   most_part_ = static_cast<std::size_t>(part);
   const double least_rate =
       least_rate_of_beats * static_cast<double>(beat_bytes) * second / static_cast<double>(beat_);
-  rate_ = needed(figures, "control.rate", least_rate);
-  burst_ = needed(figures, "control.burst", part + static_cast<double>(word_overhead));
+  rate_ = required_number(figures, "control.rate", least_rate);
+  burst_ = required_number(figures, "control.burst", part + static_cast<double>(message_overhead));
   full_after_ = static_cast<Nanos>(burst_ / rate_ * second) + 1;
-  const double total_rate = needed(figures, "control.total_rate", rate_);
-  const double total_burst = needed(figures, "control.total_burst", burst_);
+  const double total_rate = required_number(figures, "control.total_rate", rate_);
+  const double total_burst = required_number(figures, "control.total_burst", burst_);
   total_ = {total_rate, total_burst, total_burst, now};
-  most_followers_ = static_cast<std::size_t>(needed(figures, "control.most_followers", 1));
-  most_whole_ = static_cast<std::size_t>(needed(figures, "control.most_whole", 1));
+  most_followers_ = static_cast<std::size_t>(required_number(figures, "control.most_followers", 1));
+  most_whole_ = static_cast<std::size_t>(required_number(figures, "control.most_whole", 1));
   renewal_time_ = answer_;
 }
 
 // ---- the control member's own
 
-void Feed::ready(Nanos now) {
+void Feed::activate(Nanos now) {
   blank_ = false;
-  current(now);
+  confirm_current(now);
 }
 
-void Feed::blank(Nanos now) {
+void Feed::deactivate(Nanos now) {
   blank_ = true;
   current_at_ = -1;
-  for (const auto& [id, follower] : followers_) orders_.elsewhere(id, follower.of, follower.number);
+  for (const auto& [id, follower] : followers_) actions_.elsewhere(id, follower.of, follower.number);
   while (!followers_.empty()) drop(followers_.begin()->first, followers_.begin()->second, now);
 }
 
@@ -95,7 +97,7 @@
   const auto scope = by_scope_.find(scope_of(entry.key));
   if (scope == by_scope_.end()) return;
   for (const MemberId id : scope->second) {
-    ++counts_.looked_at;
+    ++counts_.visited;
     Follower& follower = followers_.at(id);
     follower.dirty = true;
     // Else it is looked at when its answer or its credit comes.
@@ -103,35 +105,35 @@
   }
 }
 
-void Feed::current(Nanos now) { current_at_ = now; }
+void Feed::confirm_current(Nanos now) { current_at_ = now; }
 
 // ---- what followers say
 
-Feed::Follower* Feed::known(Nanos now, MemberId from, Incarnation of, FollowNo number) {
-  if (blank_) return orders_.elsewhere(from, of, number), nullptr;
+Feed::Follower* Feed::known(Nanos now, MemberId from, Incarnation of, AttachmentNumber number) {
+  if (blank_) return actions_.elsewhere(from, of, number), nullptr;
   const auto at = followers_.find(from);
   if (at != followers_.end() && at->second.of == of) {
     if (number < at->second.number) return nullptr; // late: of an attachment before
     if (number == at->second.number) {
-      at->second.heard_at = now;
+      at->second.last_received_at = now;
       return &at->second;
     }
   }
-  orders_.again(from, of, number);
+  actions_.again(from, of, number);
   return nullptr;
 }
 
-void Feed::follow(Nanos now, MemberId from, Incarnation of, FollowNo number, bool primary, const Position& at,
-                  const std::vector<ScopeHeld>& scopes) {
-  if (number.raw == 0 || !sensible(scopes) || !sensible(at)) return void(++counts_.senseless);
-  if (blank_) return orders_.elsewhere(from, of, number);
+void Feed::follow(Nanos now, MemberId from, Incarnation of, AttachmentNumber number, bool primary,
+                  const Position& at, const std::vector<FollowedScope>& scopes) {
+  if (number.raw == 0 || !sensible(scopes) || !sensible(at)) return void(++counts_.invalid);
+  if (blank_) return actions_.elsewhere(from, of, number);
   if (const auto old = followers_.find(from); old != followers_.end()) {
     if (old->second.of == of && number <= old->second.number) return; // late, or twice
     drop(from, old->second, now);
   }
   if (followers_.size() >= most_followers_) {
     ++counts_.refused;
-    return orders_.elsewhere(from, of, number);
+    return actions_.elsewhere(from, of, number);
   }
   Follower& follower = followers_[from];
   follower.of = of;
@@ -139,10 +141,10 @@
   follower.primary = primary;
   follower.scopes = scopes;
   follower.digests_at = at.taken;
-  for (const ScopeHeld& one : scopes) follower.names.push_back(one.scope);
+  for (const FollowedScope& one : scopes) follower.names.push_back(one.scope);
   follower.at = at;
   follower.bucket = bucket_of(now, from);
-  follower.heard_at = now;
+  follower.last_received_at = now;
   follower.next_beat = now;
   follower.dirty = primary;
   if (primary)
@@ -151,8 +153,8 @@
   plan(from, follower, now);
 }
 
-void Feed::have(Nanos now, MemberId from, Incarnation of, FollowNo number, const Position& at) {
-  if (!sensible(at)) return void(++counts_.senseless);
+void Feed::have(Nanos now, MemberId from, Incarnation of, AttachmentNumber number, const Position& at) {
+  if (!sensible(at)) return void(++counts_.invalid);
   Follower* const follower = known(now, from, of, number);
   if (!follower || !follower->primary) return;
   // Against what an older word said; and what is staged is still to be taken.
@@ -189,21 +191,21 @@
 void Feed::look_at_digests(Nanos now, MemberId id, Follower& follower, Version at) {
   if (follower.renews || at > state_.last() || at < state_.floor()) return;
   bool newer = false;
-  ++counts_.looked_at;
+  ++counts_.visited;
   state_.since(at, state_.last(), follower.names, [&newer](const Entry&) { return !(newer = true); });
   if (newer) return;
-  for (const ScopeHeld& one : follower.scopes)
+  for (const FollowedScope& one : follower.scopes)
     if (one.held && one.digest != state_.digest(one.scope)) {
       needs_renewal(now, id, follower);
       return;
     }
 }
 
-void Feed::compare(Nanos now, MemberId from, Incarnation of, FollowNo number, Version at,
+void Feed::compare(Nanos now, MemberId from, Incarnation of, AttachmentNumber number, Version at,
                    const std::vector<std::uint64_t>& digests) {
   Follower* const follower = known(now, from, of, number);
   if (!follower) return;
-  if (digests.size() != follower->scopes.size()) return void(++counts_.senseless);
+  if (digests.size() != follower->scopes.size()) return void(++counts_.invalid);
   if (!follower->primary || follower->renews) return;
   for (std::size_t i = 0; i < digests.size(); ++i)
     follower->scopes[i] = {follower->names[i], digests[i], true};
@@ -211,7 +213,7 @@
   look_at_digests(now, from, *follower, at);
 }
 
-void Feed::unfollow(Nanos now, MemberId from, Incarnation of, FollowNo number) {
+void Feed::unfollow(Nanos now, MemberId from, Incarnation of, AttachmentNumber number) {
   const auto at = followers_.find(from);
   // Also of an attachment whose word never came here.
   if (at != followers_.end() && at->second.of == of && at->second.number <= number)
@@ -246,7 +248,7 @@
   if (follower.digests_at != follower.at.taken) {
     // What it told of is not what it holds now. An entry that came and was deleted since leaves no trace in a
     // digest, so older ones prove nothing.
-    orders_.again(id, follower.of, follower.number);
+    actions_.again(id, follower.of, follower.number);
     drop(id, follower, now);
     return false;
   }
@@ -282,7 +284,7 @@
   follower.renewal.clear();
   follower.renewal_names.clear();
   for (std::size_t i = 0; i < follower.scopes.size(); ++i) {
-    const ScopeHeld& one = follower.scopes[i];
+    const FollowedScope& one = follower.scopes[i];
     const bool told = one.held && follower.digests_at == follower.at.taken;
     if (told && one.digest == state_.digest(one.scope)) continue;
     follower.renewal.push_back(static_cast<std::uint16_t>(i));
@@ -377,7 +379,7 @@
   std::vector<const Entry*> entries;
   if (!follower.renewal_names.empty())
     state_.since(from, at, follower.renewal_names, [&](const Entry& entry) {
-      ++counts_.looked_at;
+      ++counts_.visited;
       if (entry.deleted) return true;
       const std::size_t more = bytes_of(entry);
       if (bytes + more > most_part_) {
@@ -388,11 +390,12 @@
       entries.push_back(&entry);
       return true;
     });
-  if (!pay(now, id, follower, bytes + word_overhead)) return;
+  if (!pay(now, id, follower, bytes + message_overhead)) return;
   follower.expects = {};
   follower.expects.renewing = at;
   follower.expects.renewed = upto;
-  orders_.renewal(id, follower.of, follower.number, at, follower.renewal, from, upto, state_.last(), entries);
+  actions_.renewal(id, follower.of, follower.number, at, follower.renewal, from, upto, state_.last(),
+                   entries);
 }
 
 void Feed::send_delta(Nanos now, MemberId id, Follower& follower) {
@@ -402,7 +405,7 @@
   std::size_t bytes = 0;
   std::vector<const Entry*> entries;
   state_.since(from, upto, follower.names, [&](const Entry& entry) {
-    ++counts_.looked_at;
+    ++counts_.visited;
     const std::size_t more = bytes_of(entry);
     if (bytes + more > most_part_) {
       upto = entries.back()->version;
@@ -415,25 +418,25 @@
   });
   if (entries.empty() && from == follower.at.taken && !follower.owes_whole)
     return void(follower.dirty = false); // it has all: beats tell it so
-  if (!pay(now, id, follower, bytes + word_overhead)) return;
+  if (!pay(now, id, follower, bytes + message_overhead)) return;
   follower.dirty = !whole;
   follower.expects = {};
   follower.expects.staged = upto;
   if (whole) follower.expects.taken = upto;
-  orders_.delta(id, follower.of, follower.number, from, upto, state_.last(), age(now), entries);
+  actions_.delta(id, follower.of, follower.number, from, upto, state_.last(), age(now), entries);
 }
 
 // It can't go on by a delta: deletions are forgotten, or there is a scope of which it holds nothing.
 bool Feed::lacks(const Follower& follower) const {
   if (follower.at.staged < state_.floor()) return true;
   return !follower.renewed && std::any_of(follower.scopes.begin(), follower.scopes.end(),
-                                          [](const ScopeHeld& one) { return !one.held; });
+                                          [](const FollowedScope& one) { return !one.held; });
 }
 
 // Whatever is due for one follower, and when it is to be looked at again.
 void Feed::turn(Nanos now, MemberId id, Follower& follower) {
-  ++counts_.looked_at;
-  if (now - follower.heard_at >= silent_) {
+  ++counts_.visited;
+  if (now - follower.last_received_at >= silent_) {
     ++counts_.dropped;
     return drop(id, follower, now);
   }
@@ -460,19 +463,19 @@
   // With a place free it is admitted at the end of this turn.
   if (follower.ticket != 0 && now >= follower.rested_until && renewing_ >= most_whole_) {
     const Nanos rest = rest_of(follower);
-    if (pay_beat(now, follower)) orders_.rest(id, follower.of, follower.number, rest);
+    if (pay_beat(now, follower)) actions_.rest(id, follower.of, follower.number, rest);
     follower.rested_until = std::max(now + rest, follower.next_beat);
   }
   if (now >= follower.next_beat && pay_beat(now, follower)) {
     const bool has_all = follower.primary && !behind_it && !follower.renews && !follower.dirty &&
                          !follower.under_way && follower.at.staged == follower.at.taken;
     if (has_all)
-      orders_.delta(id, follower.of, follower.number, follower.at.taken, state_.last(), state_.last(),
-                    age(now), {});
+      actions_.delta(id, follower.of, follower.number, follower.at.taken, state_.last(), state_.last(),
+                     age(now), {});
     else
-      orders_.beat(id, follower.of, follower.number, state_.last(), age(now));
+      actions_.beat(id, follower.of, follower.number, state_.last(), age(now));
   }
-  Nanos next = std::min(follower.heard_at + silent_, follower.next_beat);
+  Nanos next = std::min(follower.last_received_at + silent_, follower.next_beat);
   if (follower.under_way) next = std::min(next, follower.sent_at + answer_time(follower));
   if (follower.credit_at >= 0) next = std::min(next, follower.credit_at);
   if (follower.ticket != 0) next = std::min(next, follower.rested_until);
@@ -509,11 +512,11 @@
   }
 }
 
-std::vector<Feed::Standing> Feed::standing() const {
-  std::vector<Standing> all;
+std::vector<Feed::Status> Feed::status() const {
+  std::vector<Status> all;
   for (const auto& [id, follower] : followers_)
     all.push_back(
-        {id, follower.of, follower.primary, follower.renewing, follower.at.taken, follower.heard_at});
+        {id, follower.of, follower.primary, follower.renewing, follower.at.taken, follower.last_received_at});
   return all;
 }
 
--- a/control/feed.hpp
+++ b/control/feed.hpp
@@ -1,5 +1,5 @@
 // What a control member gives out to the servers that follow it. Decides only: no I/O, no clock, one time
-// with each call; what is to be said goes out by `FeedOrders`. docs/control.md has the ways weighed.
+// with each call; what is to be said goes out by `FeedActions`. docs/control.md has the ways weighed.
 //
 // Each follower has a position in the one order of entries (entries.hpp), and nothing is queued for it but
 // that. A commit marks the followers of its scope; what they lack is read from `state` when their turn comes,
@@ -15,7 +15,7 @@
 // - A follower's first line is its primary; to a secondary only beats go.
 // A blank control member gives nothing, and says that others should be asked.
 //
-// Cost: of a commit and of a wake that of the followers concerned; `looked_at` counts them. Beats cost each
+// Cost: of a commit and of a wake that of the followers concerned; `visited` counts them. Beats cost each
 // follower one word in `control.beat`.
 // Bounds: followers (.most_followers), scopes of each (following.hpp), bytes to each and to all over any
 // span (token buckets), renewals at once. Times: ns of the caller's clock. Nothing that is ordered may call
@@ -34,24 +34,24 @@
 // `of`, `number`: of the follower's life and attachment that is meant; it passes over words of others.
 // `last`: of the state that it was read from. A delta up to there is the end: what is staged may be taken.
 // Entries are held until the call returns.
-class FeedOrders {
+class FeedActions {
  public:
-  virtual ~FeedOrders() = default;
-  virtual void delta(MemberId to, Incarnation of, FollowNo number, Version from, Version upto, Version last,
-                     Nanos age, const std::vector<const Entry*>& entries) = 0;
+  virtual ~FeedActions() = default;
+  virtual void delta(MemberId to, Incarnation of, AttachmentNumber number, Version from, Version upto,
+                     Version last, Nanos age, const std::vector<const Entry*>& entries) = 0;
   // `scopes`: places in the list that the follower gave. Begins with a `from` of none, ends with `upto` at
   // `at`. No deletions are in it.
-  virtual void renewal(MemberId to, Incarnation of, FollowNo number, Version at,
+  virtual void renewal(MemberId to, Incarnation of, AttachmentNumber number, Version at,
                        const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version last,
                        const std::vector<const Entry*>& entries) = 0;
   // All that is committed here is `committed`, which was known to be the newest `age` ago.
-  virtual void beat(MemberId to, Incarnation of, FollowNo number, Version committed, Nanos age) = 0;
+  virtual void beat(MemberId to, Incarnation of, AttachmentNumber number, Version committed, Nanos age) = 0;
   // A renewal has to wait about so long.
-  virtual void rest(MemberId to, Incarnation of, FollowNo number, Nanos rest) = 0;
+  virtual void rest(MemberId to, Incarnation of, AttachmentNumber number, Nanos rest) = 0;
   // Nothing is to be had here: blank, or no room.
-  virtual void elsewhere(MemberId to, Incarnation of, FollowNo number) = 0;
+  virtual void elsewhere(MemberId to, Incarnation of, AttachmentNumber number) = 0;
   // That attachment is not known here (any more): follow again.
-  virtual void again(MemberId to, Incarnation of, FollowNo number) = 0;
+  virtual void again(MemberId to, Incarnation of, AttachmentNumber number) = 0;
 };
 
 class Feed {
@@ -65,47 +65,47 @@
   // - control.total_rate, control.total_burst: the same, to all
   // - control.most_followers; control.most_whole: renewals at once
   // - control.most_key, control.most_value: as entries.hpp
-  Feed(Nanos now, const Entries& state, const Given& figures, std::uint64_t seed, FeedOrders& orders);
+  Feed(Nanos now, const Entries& state, const Settings& figures, std::uint64_t seed, FeedActions& orders);
   Feed(const Feed&) = delete;
   Feed& operator=(const Feed&) = delete;
 
   // ---- the control member's own
-  void ready(Nanos now); // it was brought up: no longer blank, as it is at first
-  void blank(Nanos now); // `state` is about to be replaced or given up: all followers are sent elsewhere
+  void activate(Nanos now);   // it was brought up: no longer blank, as it is at first
+  void deactivate(Nanos now); // `state` is about to be replaced or given up: all followers are sent elsewhere
   void committed(Nanos now, const Entry& entry); // `state` has it now
-  void current(Nanos now);                       // `state` is known to be the newest: the writer was heard
+  void confirm_current(Nanos now);               // `state` is known to be the newest: the writer was heard
 
   // ---- what followers say
-  void follow(Nanos now, MemberId from, Incarnation of, FollowNo number, bool primary, const Position& at,
-              const std::vector<ScopeHeld>& scopes);
+  void follow(Nanos now, MemberId from, Incarnation of, AttachmentNumber number, bool primary,
+              const Position& at, const std::vector<FollowedScope>& scopes);
   // How far it is: the answer to each part, and its beat.
-  void have(Nanos now, MemberId from, Incarnation of, FollowNo number, const Position& at);
+  void have(Nanos now, MemberId from, Incarnation of, AttachmentNumber number, const Position& at);
   // Digests of its scopes, in their order, at version `at`.
-  void compare(Nanos now, MemberId from, Incarnation of, FollowNo number, Version at,
+  void compare(Nanos now, MemberId from, Incarnation of, AttachmentNumber number, Version at,
                const std::vector<std::uint64_t>& digests);
-  void unfollow(Nanos now, MemberId from, Incarnation of, FollowNo number);
+  void unfollow(Nanos now, MemberId from, Incarnation of, AttachmentNumber number);
 
   // ---- time
   Nanos next_wake() const; // -1: none
   void due(Nanos now);     // says what there is to say; also at the end of a turn
 
-  bool is_blank() const { return blank_; }
+  bool is_inactive() const { return blank_; }
   std::size_t followers() const { return followers_.size(); }
   std::size_t renewals() const { return renewing_; }
-  std::size_t in_line() const { return line_.size(); } // for a renewal
+  std::size_t waiting_for_renewal() const { return line_.size(); } // for a renewal
   struct Counts {
-    std::uint64_t parts = 0, repeats = 0, renewals = 0, beats = 0, bytes = 0, looked_at = 0, senseless = 0,
+    std::uint64_t parts = 0, repeats = 0, renewals = 0, beats = 0, bytes = 0, visited = 0, invalid = 0,
                   dropped = 0, refused = 0; // dropped: silent; refused: no room
   };
   const Counts& counts() const { return counts_; }
-  struct Standing {
+  struct Status {
     MemberId member{};
     Incarnation incarnation{};
     bool primary = false, renewing = false;
     Version taken{};
-    Nanos heard_at = 0;
+    Nanos last_received_at = 0;
   };
-  std::vector<Standing> standing() const;
+  std::vector<Status> status() const;
 
  private:
   struct Bucket {
@@ -116,14 +116,14 @@
   };
   struct Follower {
     Incarnation of{};
-    FollowNo number{};
+    AttachmentNumber number{};
     bool primary = false;
-    std::vector<ScopeHeld> scopes;  // as it last told
-    Version digests_at{};           // of the state that they are of
-    std::vector<std::string> names; // of them
+    std::vector<FollowedScope> scopes; // as it last told
+    Version digests_at{};              // of the state that they are of
+    std::vector<std::string> names;    // of them
     Position at;
     Bucket bucket;
-    Nanos heard_at = 0, next_beat = 0, wake = -1;
+    Nanos last_received_at = 0, next_beat = 0, wake = -1;
     // A part under way: what is to be there when it is answered.
     bool under_way = false;
     Nanos sent_at = 0;
@@ -146,7 +146,7 @@
     std::size_t wants = 0;
   };
 
-  Follower* known(Nanos now, MemberId from, Incarnation of, FollowNo number);
+  Follower* known(Nanos now, MemberId from, Incarnation of, AttachmentNumber number);
   void drop(MemberId id, Follower& follower, Nanos now);
   Bucket bucket_of(Nanos now, MemberId id);
   bool reached(const Follower& follower) const;
@@ -167,7 +167,7 @@
   Nanos age(Nanos now) const { return current_at_ < 0 ? -1 : now - current_at_; }
 
   const Entries& state_;
-  FeedOrders& orders_;
+  FeedActions& actions_;
   Pcg chance_;
   Nanos beat_, silent_, answer_;
   std::size_t most_part_, most_followers_, most_whole_;
--- a/control/follower.cpp
+++ b/control/follower.cpp
@@ -25,44 +25,45 @@
     if (!seen.insert(one).second) return "a scope that is named twice";
   }
   if (scopes.empty()) return "no scope";
-  if (scopes.size() > most_scopes || bytes > most_scope_bytes) return "too many scopes";
+  if (scopes.size() > max_scopes || bytes > most_scope_bytes) return "too many scopes";
   return {};
 }
 
 } // namespace
 
-std::string_view word_of(LeftWhy why) {
+std::string_view to_text(LeaveReason why) {
   switch (why) {
-  case LeftWhy::silent:
+  case LeaveReason::silent:
     return "silent";
-  case LeftWhy::blank:
+  case LeaveReason::blank:
     return "has nothing to give";
-  case LeftWhy::behind:
+  case LeaveReason::behind:
     return "gives nothing while another is ahead";
-  case LeftWhy::lost:
+  case LeaveReason::lost:
     return "not reached";
-  case LeftWhy::nearer:
+  case LeaveReason::nearer:
     return "a nearer one is well";
-  case LeftWhy::senseless:
+  case LeaveReason::invalid:
     return "what it gives makes no sense, or has no room";
   }
   return "?";
 }
 
-Follower::Follower(Nanos now, Incarnation self, const Place& place, const std::vector<Control>& controls,
-                   std::vector<std::string> scopes, const Given& figures, std::uint64_t seed,
-                   FollowerOrders& orders)
-    : orders_(orders), self_(self), chance_(seed), figures_(figures), scopes_(std::move(scopes)),
+Follower::Follower(Nanos now, Incarnation self, const Location& place, const std::vector<Control>& controls,
+                   std::vector<std::string> scopes, const Settings& figures, std::uint64_t seed,
+                   FollowerActions& orders)
+    : actions_(orders), self_(self), chance_(seed), figures_(figures), scopes_(std::move(scopes)),
       state_(std::make_unique<Entries>(figures)), progress_at_(now), now_(now) {
-  beat_ = static_cast<Nanos>(needed(figures, "control.beat", ms));
-  silent_ = static_cast<Nanos>(needed(figures, "control.silent", 2 * static_cast<double>(beat_)));
-  behind_ = static_cast<Nanos>(needed(figures, "control.behind", static_cast<double>(beat_)));
-  settle_ = static_cast<Nanos>(needed(figures, "control.settle", static_cast<double>(beat_)));
-  rest_least_ = static_cast<Nanos>(needed(figures, "control.rest_least", ms));
-  rest_most_ = static_cast<Nanos>(needed(figures, "control.rest_most", static_cast<double>(rest_least_)));
-  compare_ = static_cast<Nanos>(needed(figures, "control.compare", static_cast<double>(beat_)));
-  most_entries_ = static_cast<std::size_t>(needed(figures, "control.most_entries", 1));
-  most_bytes_ = static_cast<std::size_t>(needed(figures, "control.most_bytes", 1));
+  beat_ = static_cast<Nanos>(required_number(figures, "control.beat", ms));
+  silent_ = static_cast<Nanos>(required_number(figures, "control.silent", 2 * static_cast<double>(beat_)));
+  behind_ = static_cast<Nanos>(required_number(figures, "control.behind", static_cast<double>(beat_)));
+  settle_ = static_cast<Nanos>(required_number(figures, "control.settle", static_cast<double>(beat_)));
+  rest_least_ = static_cast<Nanos>(required_number(figures, "control.rest_least", ms));
+  rest_most_ =
+      static_cast<Nanos>(required_number(figures, "control.rest_most", static_cast<double>(rest_least_)));
+  compare_ = static_cast<Nanos>(required_number(figures, "control.compare", static_cast<double>(beat_)));
+  most_entries_ = static_cast<std::size_t>(required_number(figures, "control.most_entries", 1));
+  most_bytes_ = static_cast<std::size_t>(required_number(figures, "control.most_bytes", 1));
   numbers_ = static_cast<std::uint64_t>(number(figures, "control.first_number", 0));
   if (const std::string_view why = senseless_scopes(scopes_); !why.empty())
     throw std::invalid_argument("control: " + std::string(why));
@@ -99,14 +100,14 @@
 void Follower::attach(Nanos now, Member& member, bool as_primary) {
   if (!member.line) {
     member.heard = false;
-    member.since = member.heard_at = now;
+    member.since = member.last_received_at = now;
     member.settle = static_cast<Nanos>(static_cast<double>(settle_) * (1 + chance_.unit()));
     member.ahead_since = -1;
     member.committed = {};
   }
   member.line = true;
   member.primary = as_primary;
-  member.number = FollowNo{++numbers_};
+  member.number = AttachmentNumber{++numbers_};
   member.next_have = now + beat_;
   if (as_primary) {
     drop_stage();
@@ -114,19 +115,19 @@
     next_compare_ =
         now + static_cast<Nanos>(static_cast<double>(beat_) * (1 + first_compare * chance_.unit()));
   }
-  orders_.follow(member.id, member.number, as_primary, at_, held());
+  actions_.follow(member.id, member.number, as_primary, at_, held());
 }
 
 // Rests grow until it was well for a while (`due`): against going back and forth.
-void Follower::leave(Nanos now, Member& member, LeftWhy why) {
-  orders_.unfollow(member.id, member.number);
+void Follower::leave(Nanos now, Member& member, LeaveReason why) {
+  actions_.unfollow(member.id, member.number);
   member.line = member.primary = false;
   const double rest =
       std::min(static_cast<double>(rest_least_) * std::exp2(member.tries), static_cast<double>(rest_most_));
   member.rests_until = now + static_cast<Nanos>(rest * (0.5 + chance_.unit()));
   member.tries = std::min(member.tries + 1, most_doublings);
   ++counts_.moves;
-  orders_.left(member.id, why);
+  actions_.left(member.id, why);
 }
 
 // The best that isn't a line and doesn't rest.
@@ -152,26 +153,26 @@
   // A nearer one may be asked again: it is tried, while the primary gives.
   if (Member* const best = next_best(now);
       best && first->heard && second->heard && best->nearness < second->nearness) {
-    orders_.unfollow(second->id, second->number);
+    actions_.unfollow(second->id, second->number);
     second->line = false;
     second = best;
     attach(now, *second, false);
   }
   if (second->nearness < first->nearness && second->heard && now - second->well_since >= second->settle &&
       second->committed >= at_.taken) {
-    orders_.left(first->id, LeftWhy::nearer);
+    actions_.left(first->id, LeaveReason::nearer);
     ++counts_.moves;
     attach(now, *first, false);
     attach(now, *second, true);
   }
 }
 
-Follower::Member* Follower::heard(Nanos now, MemberId from, Incarnation to, FollowNo number) {
+Follower::Member* Follower::heard(Nanos now, MemberId from, Incarnation to, AttachmentNumber number) {
   const auto at =
       std::find_if(members_.begin(), members_.end(), [from](const Member& one) { return one.id == from; });
   if (at == members_.end() || to != self_ || !at->line || at->number != number)
-    return ++counts_.foreign, nullptr;
-  at->heard_at = now;
+    return ++counts_.misaddressed, nullptr;
+  at->last_received_at = now;
   if (!at->heard) {
     at->heard = true;
     at->well_since = now;
@@ -193,37 +194,38 @@
 
 void Follower::answer(Nanos now, Member& member) {
   member.next_have = now + beat_;
-  orders_.have(member.id, member.number, at_);
+  actions_.have(member.id, member.number, at_);
 }
 
-void Follower::beat(Nanos now, MemberId from, Incarnation to, FollowNo number, Version committed, Nanos age) {
+void Follower::beat(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Version committed,
+                    Nanos age) {
   if (Member* const member = heard(now, from, to, number)) told(now, *member, committed, age);
 }
 
-void Follower::rest(Nanos now, MemberId from, Incarnation to, FollowNo number, Nanos rest) {
+void Follower::rest(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Nanos rest) {
   Member* const member = heard(now, from, to, number);
   if (!member || !member->primary) return;
-  if (rest < 0) return void(++counts_.senseless);
+  if (rest < 0) return void(++counts_.invalid);
   // It will be its turn: no reason to leave, up to a bound.
   progress_at_ = std::max(progress_at_, now + std::min(rest, most_rest_heeded));
 }
 
-void Follower::elsewhere(Nanos now, MemberId from, Incarnation to, FollowNo number) {
+void Follower::elsewhere(Nanos now, MemberId from, Incarnation to, AttachmentNumber number) {
   if (Member* const member = heard(now, from, to, number)) {
-    leave(now, *member, LeftWhy::blank);
+    leave(now, *member, LeaveReason::blank);
     choose(now);
   }
 }
 
-void Follower::again(Nanos now, MemberId from, Incarnation to, FollowNo number) {
+void Follower::again(Nanos now, MemberId from, Incarnation to, AttachmentNumber number) {
   if (Member* const member = heard(now, from, to, number)) attach(now, *member, member->primary);
 }
 
-void Follower::lost(Nanos now, MemberId control) {
+void Follower::disconnected(Nanos now, MemberId control) {
   const auto at = std::find_if(members_.begin(), members_.end(),
                                [control](const Member& one) { return one.id == control && one.line; });
   if (at == members_.end()) return;
-  leave(now, *at, LeftWhy::lost);
+  leave(now, *at, LeaveReason::lost);
   choose(now);
 }
 
@@ -259,11 +261,11 @@
   at_.renewing = at_.renewed = {};
 }
 
-void Follower::delta(Nanos now, MemberId from, Incarnation to, FollowNo number, Version since, Version upto,
-                     Version last, Nanos age, const std::vector<Entry>& entries) {
+void Follower::delta(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Version since,
+                     Version upto, Version last, Nanos age, const std::vector<Entry>& entries) {
   Member* const member = heard(now, from, to, number);
   if (!member) return;
-  if (!member->primary) return void(++counts_.foreign);
+  if (!member->primary) return void(++counts_.misaddressed);
   if (since > at_.staged) {
     ++counts_.gaps; // what came between is not here
     return answer(now, *member);
@@ -280,8 +282,8 @@
     return held_.contains(scope) || stage_.replaced.contains(scope);
   });
   if (!covers || upto > last || !stage(entries, since, upto, false)) {
-    ++counts_.senseless;
-    leave(now, *member, LeftWhy::senseless);
+    ++counts_.invalid;
+    leave(now, *member, LeaveReason::invalid);
     return choose(now);
   }
   at_.staged = upto;
@@ -295,12 +297,12 @@
   if (news) answer(now, *member);
 }
 
-void Follower::renewal(Nanos now, MemberId from, Incarnation to, FollowNo number, Version at,
+void Follower::renewal(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Version at,
                        const std::vector<std::uint16_t>& scopes, Version since, Version upto, Version last,
                        const std::vector<Entry>& entries) {
   Member* const member = heard(now, from, to, number);
   if (!member) return;
-  if (!member->primary) return void(++counts_.foreign);
+  if (!member->primary) return void(++counts_.misaddressed);
   if (at < at_.taken) {
     ++counts_.older;
     return answer(now, *member);
@@ -313,8 +315,8 @@
   });
   if (replaced.size() != scopes.size() || !covers || upto > at || at > last || since > upto ||
       at == Version{}) {
-    ++counts_.senseless;
-    leave(now, *member, LeftWhy::senseless);
+    ++counts_.invalid;
+    leave(now, *member, LeaveReason::invalid);
     return choose(now);
   }
   const bool same = at_.renewing == at && stage_.replaced == replaced;
@@ -327,8 +329,8 @@
     return answer(now, *member);
   }
   if (!stage(entries, since, upto, true)) {
-    ++counts_.senseless;
-    leave(now, *member, LeftWhy::senseless);
+    ++counts_.invalid;
+    leave(now, *member, LeaveReason::invalid);
     return choose(now);
   }
   stage_.read_at = last;
@@ -355,7 +357,7 @@
     auto made = std::make_unique<Entries>(figures_);
     for (const std::string& scope : scopes_) {
       const bool replaced = stage_.replaced.contains(scope);
-      state_->in(scope, [&](const Entry& entry) {
+      state_->for_each_in(scope, [&](const Entry& entry) {
         if (!replaced) {
           made->take(entry);
         } else if (const auto at = stage_.entries.find(entry.key); at == stage_.entries.end()) {
@@ -369,7 +371,7 @@
     }
     // Of keys that are replaced, what is in force now is looked for below.
     for (const std::string& scope : stage_.replaced)
-      in(scope, [&](const Entry& entry) {
+      for_each_in(scope, [&](const Entry& entry) {
         in_force_before.emplace(entry.key, entry);
         return true;
       });
@@ -390,14 +392,14 @@
       before = at->second;
     else if (const Entry* const now_in_force = find(entry->key))
       before = *now_in_force;
-    std::string why(state_->why_not(*entry));
+    std::string why(state_->rejection_reason(*entry));
     const bool room = why.empty();
-    if (room && !entry->deleted) why = orders_.check(*entry);
+    if (room && !entry->deleted) why = actions_.check(*entry);
     if (room) state_->take(*entry);
     if (!why.empty()) {
       ++counts_.refused;
       if (room) in_force_.insert_or_assign(entry->key, before);
-      orders_.refused(*entry, why);
+      actions_.refused(*entry, why);
       continue;
     }
     in_force_.erase(entry->key);
@@ -419,11 +421,11 @@
   for (const std::string_view key : keys) changed.push_back(&stage_.entries.find(key)->second);
   for (const Entry& entry : gone) changed.push_back(&entry);
   const Stage held_on = std::exchange(stage_, {}); // until the order returns
-  if (renewed || !changed.empty()) orders_.taken(upto, changed);
+  if (renewed || !changed.empty()) actions_.applied(upto, changed);
 }
 
-std::vector<ScopeHeld> Follower::held() const {
-  std::vector<ScopeHeld> all;
+std::vector<FollowedScope> Follower::held() const {
+  std::vector<FollowedScope> all;
   for (const std::string& scope : scopes_)
     all.push_back({scope, state_->digest(scope), held_.contains(scope)});
   return all;
@@ -439,7 +441,7 @@
   for (const std::string& scope : scopes_) {
     if (!held_.contains(scope)) continue;
     still.insert(scope);
-    state_->in(scope, [&](const Entry& entry) { return made->take(entry), true; });
+    state_->for_each_in(scope, [&](const Entry& entry) { return made->take(entry), true; });
   }
   made->reached(at_.taken);
   state_ = std::move(made);
@@ -458,9 +460,9 @@
   return entry && !entry->deleted ? entry : nullptr;
 }
 
-void Follower::in(std::string_view scope, const std::function<bool(const Entry&)>& each) const {
+void Follower::for_each_in(std::string_view scope, const std::function<bool(const Entry&)>& each) const {
   bool go_on = true;
-  state_->in(scope, [&](const Entry& entry) {
+  state_->for_each_in(scope, [&](const Entry& entry) {
     const Entry* const in_force = find(entry.key);
     return go_on = !in_force || each(*in_force);
   });
@@ -472,8 +474,8 @@
   now_ = now;
   for (Member& member : members_) {
     if (!member.line) continue;
-    if (now - member.heard_at >= silent_) {
-      leave(now, member, LeftWhy::silent);
+    if (now - member.last_received_at >= silent_) {
+      leave(now, member, LeaveReason::silent);
       continue;
     }
     if (member.heard && now - member.well_since >= settle_) member.tries = 0;
@@ -481,7 +483,8 @@
   // The primary gives nothing, and the other has more.
   if (Member* const first = primary()) {
     Member* const second = secondary();
-    if (second && behind_at(*second) >= 0 && now >= behind_at(*second)) leave(now, *first, LeftWhy::behind);
+    if (second && behind_at(*second) >= 0 && now >= behind_at(*second))
+      leave(now, *first, LeaveReason::behind);
   }
   choose(now);
   for (Member& member : members_) {
@@ -494,7 +497,7 @@
     std::vector<std::uint64_t> digests;
     for (const std::string& scope : scopes_) digests.push_back(state_->digest(scope));
     next_compare_ = now + static_cast<Nanos>(static_cast<double>(compare_) * (0.5 + chance_.unit()));
-    orders_.compare(member.id, member.number, at_.taken, digests);
+    actions_.compare(member.id, member.number, at_.taken, digests);
   }
 }
 
@@ -512,7 +515,7 @@
   for (const Member& member : members_) {
     if (!member.line) continue;
     (member.primary ? first : second) = &member;
-    also(member.heard_at + silent_);
+    also(member.last_received_at + silent_);
     also(member.next_have);
   }
   if (first && second) {
@@ -527,14 +530,14 @@
   return next;
 }
 
-std::vector<Follower::Line> Follower::lines() const {
-  std::vector<Line> all;
+std::vector<Follower::Attachment> Follower::attachments() const {
+  std::vector<Attachment> all;
   for (const Member& member : members_)
     if (member.line)
       all.push_back(
-          {member.id, member.primary, member.heard, member.since, member.heard_at, member.committed});
+          {member.id, member.primary, member.heard, member.since, member.last_received_at, member.committed});
   std::stable_sort(all.begin(), all.end(),
-                   [](const Line& a, const Line& b) { return a.primary > b.primary; });
+                   [](const Attachment& a, const Attachment& b) { return a.primary > b.primary; });
   return all;
 }
 
--- a/control/follower.hpp
+++ b/control/follower.hpp
@@ -1,5 +1,5 @@
 // A server's side of control: which two control members it follows, and the state that it has from them.
-// Decides only: no I/O, no clock, one time with each call; what is to be said goes out by `FollowerOrders`.
+// Decides only: no I/O, no clock, one time with each call; what is to be said goes out by `FollowerActions`.
 // feed.hpp has what the other side gives, docs/control.md the ways weighed.
 //
 // Never an older state after a newer one, whoever gives it: a delta is taken only if it goes on from what is
@@ -32,35 +32,35 @@
 
 namespace cometshift {
 
-enum class LeftWhy {
+enum class LeaveReason {
   silent,
   blank,
   behind,
   lost,
   nearer,
-  senseless
+  invalid
 }; // why a control member is no longer followed so
-std::string_view word_of(LeftWhy why);
+std::string_view to_text(LeaveReason why);
 
-class FollowerOrders {
+class FollowerActions {
  public:
-  virtual ~FollowerOrders() = default;
+  virtual ~FollowerActions() = default;
   // To a control member; feed.hpp takes these.
-  virtual void follow(MemberId to, FollowNo number, bool primary, const Position& at,
-                      const std::vector<ScopeHeld>& scopes) = 0;
-  virtual void have(MemberId to, FollowNo number, const Position& at) = 0;
-  virtual void compare(MemberId to, FollowNo number, Version at,
+  virtual void follow(MemberId to, AttachmentNumber number, bool primary, const Position& at,
+                      const std::vector<FollowedScope>& scopes) = 0;
+  virtual void have(MemberId to, AttachmentNumber number, const Position& at) = 0;
+  virtual void compare(MemberId to, AttachmentNumber number, Version at,
                        const std::vector<std::uint64_t>& digests) = 0;
-  virtual void unfollow(MemberId to, FollowNo number) = 0;
+  virtual void unfollow(MemberId to, AttachmentNumber number) = 0;
   // To the server itself. Why it can't take that entry; empty: it can.
   virtual std::string check(const Entry& entry) = 0;
   virtual void refused(const Entry& entry, std::string_view why) = 0;
   // The state is of that version now. `changed`: what is in force otherwise than before, by key; deleted
   // ones say so. Told where something changed, and after each renewal. Scopes that are followed no more don't
   // count as changed.
-  virtual void taken(Version version, const std::vector<const Entry*>& changed) = 0;
+  virtual void applied(Version version, const std::vector<const Entry*>& changed) = 0;
   // A line was left, or a nearer one made the primary; for the log.
-  virtual void left(MemberId control, LeftWhy why) = 0;
+  virtual void left(MemberId control, LeaveReason why) = 0;
 };
 
 class Follower {
@@ -69,7 +69,7 @@
     MemberId member{};
     std::string region, zone;
   };
-  struct Place {
+  struct Location {
     std::string region, zone;
   };
 
@@ -83,30 +83,32 @@
   // - control.first_number: where attachments begin to count, as Unix time in ms, so that of two lives the
   //   later has the greater numbers. A hint, for the directory
   // - and those of entries.hpp
-  Follower(Nanos now, Incarnation self, const Place& place, const std::vector<Control>& controls,
-           std::vector<std::string> scopes, const Given& figures, std::uint64_t seed, FollowerOrders& orders);
+  Follower(Nanos now, Incarnation self, const Location& place, const std::vector<Control>& controls,
+           std::vector<std::string> scopes, const Settings& figures, std::uint64_t seed,
+           FollowerActions& orders);
   Follower(const Follower&) = delete;
   Follower& operator=(const Follower&) = delete;
 
   // Others from now on. Empty: done; else why not, and nothing has changed.
   std::string_view set_scopes(Nanos now, std::vector<std::string> scopes);
 
-  // ---- what control members say, as FeedOrders; `to`: this life
-  void delta(Nanos now, MemberId from, Incarnation to, FollowNo number, Version since, Version upto,
+  // ---- what control members say, as FeedActions; `to`: this life
+  void delta(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Version since, Version upto,
              Version last, Nanos age, const std::vector<Entry>& entries);
-  void renewal(Nanos now, MemberId from, Incarnation to, FollowNo number, Version at,
+  void renewal(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Version at,
                const std::vector<std::uint16_t>& scopes, Version since, Version upto, Version last,
                const std::vector<Entry>& entries);
-  void beat(Nanos now, MemberId from, Incarnation to, FollowNo number, Version committed, Nanos age);
-  void rest(Nanos now, MemberId from, Incarnation to, FollowNo number, Nanos rest);
-  void elsewhere(Nanos now, MemberId from, Incarnation to, FollowNo number);
-  void again(Nanos now, MemberId from, Incarnation to, FollowNo number);
-  void lost(Nanos now, MemberId control); // the link knows that it is gone; sooner than by its silence
+  void beat(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Version committed, Nanos age);
+  void rest(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Nanos rest);
+  void elsewhere(Nanos now, MemberId from, Incarnation to, AttachmentNumber number);
+  void again(Nanos now, MemberId from, Incarnation to, AttachmentNumber number);
+  void disconnected(Nanos now,
+                    MemberId control); // the link knows that it is gone; sooner than by its silence
 
   // ---- the state
   // What is in force of a key; nullptr: nothing.
   const Entry* find(std::string_view key) const;
-  void in(std::string_view scope, const std::function<bool(const Entry&)>& each) const;
+  void for_each_in(std::string_view scope, const std::function<bool(const Entry&)>& each) const;
   Version version() const { return at_.taken; }
   // Since a control member last said that this state is the newest; -1: never, in this life.
   Nanos age(Nanos now) const { return current_at_ < 0 ? -1 : now - current_at_; }
@@ -116,16 +118,16 @@
   Nanos next_wake() const; // -1: none
   void due(Nanos now);
 
-  struct Line {
+  struct Attachment {
     MemberId member{};
-    bool primary = false, heard = false;
-    Nanos since = 0, heard_at = 0;
+    bool primary = false, responded = false;
+    Nanos since = 0, last_received_at = 0;
     Version committed{}; // as it last told
   };
-  std::vector<Line> lines() const; // the primary first
+  std::vector<Attachment> attachments() const; // the primary first
   struct Counts {
-    std::uint64_t deltas = 0, parts = 0, renewals = 0, refused = 0, gaps = 0, older = 0, senseless = 0,
-                  foreign = 0, moves = 0; // foreign: words of another life or attachment
+    std::uint64_t deltas = 0, parts = 0, renewals = 0, refused = 0, gaps = 0, older = 0, invalid = 0,
+                  misaddressed = 0, moves = 0; // misaddressed: words of another life or attachment
   };
   const Counts& counts() const { return counts_; }
   std::size_t keys_refused() const { return in_force_.size(); } // whose newest entry is not in force
@@ -139,8 +141,8 @@
     int tries = 0; // that came to nothing, in a row
     // As a line:
     bool line = false, primary = false, heard = false;
-    FollowNo number{};
-    Nanos since = 0, well_since = 0, heard_at = 0, next_have = 0, settle = 0;
+    AttachmentNumber number{};
+    Nanos since = 0, well_since = 0, last_received_at = 0, next_have = 0, settle = 0;
     Nanos ahead_since = -1; // it has told a version that is not here
     Version committed{};
   };
@@ -151,25 +153,25 @@
     std::size_t bytes = 0;
   };
 
-  Member* heard(Nanos now, MemberId from, Incarnation to, FollowNo number);
+  Member* heard(Nanos now, MemberId from, Incarnation to, AttachmentNumber number);
   Member* primary();
   Member* secondary();
   Member* next_best(Nanos now);
   void choose(Nanos now);
   void attach(Nanos now, Member& member, bool as_primary);
-  void leave(Nanos now, Member& member, LeftWhy why);
+  void leave(Nanos now, Member& member, LeaveReason why);
   Nanos behind_at(const Member& second) const;
   void answer(Nanos now, Member& member);
   void told(Nanos now, Member& member, Version committed, Nanos age);
   bool stage(const std::vector<Entry>& entries, Version since, Version upto, bool renewed);
   void take_stage();
   void drop_stage();
-  std::vector<ScopeHeld> held() const;
+  std::vector<FollowedScope> held() const;
 
-  FollowerOrders& orders_;
+  FollowerActions& actions_;
   Incarnation self_;
   Pcg chance_;
-  Given figures_;
+  Settings figures_;
   Nanos beat_, silent_, behind_, settle_, rest_least_, rest_most_, compare_;
   std::size_t most_entries_, most_bytes_;
   std::vector<Member> members_; // nearest first
--- a/control/following.hpp
+++ b/control/following.hpp
@@ -7,7 +7,7 @@
 namespace cometshift {
 
 // Of an attachment: rises in one incarnation, and over incarnations as far as Unix time did.
-using FollowNo = Id<struct FollowNoTag, std::uint64_t>;
+using AttachmentNumber = Id<struct FollowNoTag, std::uint64_t>;
 
 // How far a follower is. Versions are places of the one order, so a position counts with any control member.
 struct Position {
@@ -19,17 +19,17 @@
   bool operator==(const Position&) const = default;
 };
 
-struct ScopeHeld {
+struct FollowedScope {
   std::string scope;
   std::uint64_t digest = 0; // as Entries::digest, of the state taken
   bool held = false;        // false: it is new to the follower, of which `taken` says nothing
 };
 
-constexpr std::size_t most_scopes = 64;        // that one follows: their names fit into one word
+constexpr std::size_t max_scopes = 64;         // that one follows: their names fit into one word
 constexpr std::size_t most_scope_bytes = 4096; // names in all
 constexpr std::size_t entry_overhead = 64;     // bytes that an entry costs beside key and value, at the most
-constexpr std::size_t word_overhead = 128;     // and a word beside its entries
-constexpr std::size_t beat_bytes = word_overhead; // a word without entries
+constexpr std::size_t message_overhead = 128;  // and a word beside its entries
+constexpr std::size_t beat_bytes = message_overhead; // a word without entries
 inline std::size_t bytes_of(const Entry& entry) {
   return entry.key.size() + entry.value.size() + entry_overhead;
 }
--- a/control/replica.cpp
+++ b/control/replica.cpp
@@ -50,26 +50,26 @@
 
 } // namespace
 
-std::string_view word_of(PutEnd end) {
+std::string_view to_text(PutOutcome end) {
   switch (end) {
-  case PutEnd::done:
+  case PutOutcome::done:
     return "done";
-  case PutEnd::refused:
+  case PutOutcome::refused:
     return "refused";
-  case PutEnd::unknown:
+  case PutOutcome::unknown:
     return "unknown";
   }
   return "?";
 }
 
-std::string text_of(const Roster& roster) {
+std::string format_roster(const Roster& roster) {
   std::string text = "since=" + std::to_string(roster.since.raw);
   for (const auto& [member, life] : roster.lives)
     text += " " + std::to_string(member.raw) + "=" + std::to_string(life.raw);
   return text;
 }
 
-std::optional<Roster> roster_in(std::string_view text) {
+std::optional<Roster> parse_roster(std::string_view text) {
   constexpr std::string_view start = "since=";
   if (!text.starts_with(start)) return std::nullopt;
   text.remove_prefix(start.size());
@@ -97,23 +97,23 @@
 }
 
 Replica::Replica(Nanos now, MemberId self, Incarnation incarnation, std::set<MemberId> members,
-                 std::set<MemberId> voters, const Given& figures, ReplicaOrders& orders)
-    : orders_(orders), self_(self), incarnation_(incarnation), members_(std::move(members)),
+                 std::set<MemberId> voters, const Settings& figures, ReplicaActions& orders)
+    : actions_(orders), self_(self), incarnation_(incarnation), members_(std::move(members)),
       voters_(std::move(voters)), entries_(figures) {
-  beat_ = static_cast<Nanos>(needed(figures, "control.beat", 1));
-  again_ = static_cast<Nanos>(needed(figures, "control.again", 1));
+  beat_ = static_cast<Nanos>(required_number(figures, "control.beat", 1));
+  again_ = static_cast<Nanos>(required_number(figures, "control.again", 1));
   batch_ = span(figures, "control.batch", 0);
   grace_ = span(figures, "control.grace", 0);
-  patience_ = static_cast<Nanos>(needed(figures, "control.patience", 1));
-  put_timeout_ = static_cast<Nanos>(needed(figures, "control.put_timeout", 1));
-  most_puts_ = static_cast<std::size_t>(needed(figures, "control.most_puts", 1));
-  most_log_ = static_cast<std::size_t>(needed(figures, "control.most_log", 1));
-  most_pending_ = static_cast<std::size_t>(needed(figures, "control.most_pending", 1));
-  most_batch_ = static_cast<std::size_t>(needed(figures, "control.most_batch", 1));
+  patience_ = static_cast<Nanos>(required_number(figures, "control.patience", 1));
+  put_timeout_ = static_cast<Nanos>(required_number(figures, "control.put_timeout", 1));
+  most_puts_ = static_cast<std::size_t>(required_number(figures, "control.most_puts", 1));
+  most_log_ = static_cast<std::size_t>(required_number(figures, "control.most_log", 1));
+  most_pending_ = static_cast<std::size_t>(required_number(figures, "control.most_pending", 1));
+  most_batch_ = static_cast<std::size_t>(required_number(figures, "control.most_batch", 1));
   overhead_ = static_cast<std::size_t>(number(figures, "control.record_overhead", 0));
-  most_batches_ = static_cast<std::size_t>(needed(figures, "control.most_batches", 1));
-  most_entries_ = static_cast<std::size_t>(needed(figures, "control.most_entries", 1));
-  most_bytes_ = static_cast<std::size_t>(needed(figures, "control.most_bytes", 1));
+  most_batches_ = static_cast<std::size_t>(required_number(figures, "control.most_batches", 1));
+  most_entries_ = static_cast<std::size_t>(required_number(figures, "control.most_entries", 1));
+  most_bytes_ = static_cast<std::size_t>(required_number(figures, "control.most_bytes", 1));
   if (!members_.contains(self_) || members_.size() > most_members)
     throw std::invalid_argument("the control members are senseless");
   if (voters_.size() % 2 == 0 || voters_.size() > most_voters ||
@@ -154,14 +154,14 @@
   if (held && !roster_.lives.empty()) all.emplace_back(held->version, roster_);
   for (std::size_t i = behind(committed_); i < log_.size(); ++i)
     if (log_[i].entry.key == roster_key)
-      if (const auto roster = roster_in(log_[i].entry.value))
+      if (const auto roster = parse_roster(log_[i].entry.value))
         all.emplace_back(log_[i].entry.version, *roster);
   return all;
 }
 
 // Of equal rosters in a row the first says it all: terms that came to nothing each leave one.
-LogStanding Replica::log_standing() const {
-  LogStanding standing{last(), committed_, {}};
+LogStatus Replica::log_standing() const {
+  LogStatus standing{last(), committed_, {}};
   for (auto& one : rosters())
     if (standing.rosters.empty() || standing.rosters.back().second != one.second)
       standing.rosters.push_back(std::move(one));
@@ -170,7 +170,7 @@
 
 void Replica::learn_roster() {
   const Entry* held = entries_.find(roster_key);
-  const auto roster = held ? roster_in(held->value) : std::nullopt;
+  const auto roster = held ? parse_roster(held->value) : std::nullopt;
   roster_ = roster ? *roster : Roster{};
 }
 
@@ -189,23 +189,24 @@
     if (!entries_.take(record.entry)) ++no_room_;
     entries_.reached(version);
     if (record.entry.key == roster_key) learn_roster();
-    orders_.committed(record);
-    if (record.put.raw != 0 && record.entry.writer == self_ && record.of == incarnation_)
-      end_put(record.put, PutEnd::done, version, {});
+    actions_.committed(record);
+    if (record.put.raw != 0 && record.entry.writer == self_ && record.writer_incarnation == incarnation_)
+      end_put(record.put, PutOutcome::done, version, {});
     // What a writer before had written and this log has not by now will never be in it.
     for (auto& [number, put] : puts_)
       if (put.token.raw != 0 && put.token < version.token && !put.doubtful)
         put.token = Token{}, put.again = now;
     if (phase_ != Phase::office || record.put.raw == 0 || version.token != token_) continue;
-    const auto session = sessions_.find({record.entry.writer, record.of});
+    const auto session = sessions_.find({record.entry.writer, record.writer_incarnation});
     if (session == sessions_.end()) continue;
     const auto result = session->second.results.find(record.put);
     if (result == session->second.results.end()) continue;
     result->second.ended = true;
-    result->second.end = PutEnd::done;
+    result->second.end = PutOutcome::done;
     result->second.version = version;
     if (record.entry.writer != self_)
-      orders_.answer(record.entry.writer, record.of, token_, record.put, PutEnd::done, version, {});
+      actions_.answer(record.entry.writer, record.writer_incarnation, token_, record.put, PutOutcome::done,
+                      version, {});
   }
   trim();
 }
@@ -215,7 +216,7 @@
 // Word of a member that has, or wants, this token: is it the greatest yet, or still that one's?
 bool Replica::heed(Nanos now, MemberId from, Incarnation of, Token token) {
   if (token < promised_ || (token == promised_ && (writer_.member != from || writer_.of != of))) {
-    orders_.refuse(from, of, token, promised_);
+    actions_.refuse(from, of, token, promised_);
     return false;
   }
   if (token == promised_) return true;
@@ -229,12 +230,12 @@
 
 void Replica::prepared(Nanos now, MemberId from, Incarnation of, Token token, std::uint32_t round) {
   if (!members_.contains(from) || from == self_ || token.raw == 0) return void(++senseless_);
-  if (heed(now, from, of, token)) orders_.promise(from, of, token, round, log_standing());
+  if (heed(now, from, of, token)) actions_.promise(from, of, token, round, log_standing());
 }
 
 // ---- the writer
 
-void Replica::held(Nanos now, Token token, Nanos until) {
+void Replica::lease_held(Nanos now, Token token, Nanos until) {
   if (token == token_) {
     if (phase_ != Phase::none) until_ = std::max(until_, until);
     return;
@@ -254,7 +255,7 @@
   evaluate(now);
 }
 
-void Replica::lost(Nanos, Token token) {
+void Replica::lease_lost(Nanos, Token token) {
   if (token == token_) step_down();
 }
 
@@ -266,13 +267,13 @@
   sessions_.clear();
   answers_.clear();
   send_at_ = -1;
-  if (office) orders_.stepped_down(token_);
+  if (office) actions_.stepped_down(token_);
 }
 
 void Replica::supersede(Token seen) {
   step_down();
   // Against a token that two lives have had: the next has to be over it.
-  orders_.superseded(token_, std::max(seen, Token{token_.raw + 1}));
+  actions_.superseded(token_, std::max(seen, Token{token_.raw + 1}));
 }
 
 void Replica::refused(Nanos, MemberId from, Incarnation, Incarnation to, Token token, Token seen) {
@@ -288,11 +289,11 @@
   answers_[self_] = {incarnation_, {}};
   ask_again_ = now + again_;
   for (const MemberId member : members_)
-    if (member != self_) orders_.prepare(member, token_, round_);
+    if (member != self_) actions_.prepare(member, token_, round_);
 }
 
 void Replica::promised(Nanos now, MemberId from, Incarnation of, Incarnation to, Token token,
-                       std::uint32_t round, const LogStanding& standing) {
+                       std::uint32_t round, const LogStatus& standing) {
   if (!members_.contains(from) || from == self_) return void(++senseless_);
   if (to != incarnation_ || token != token_ || phase_ != Phase::asking || round != round_ || now >= until_)
     return;
@@ -308,7 +309,7 @@
     if (answer.standing.last > answers_[best].standing.last) best = member;
     committed = std::max(committed, answer.standing.committed);
   }
-  const LogStanding& log = answers_[best].standing;
+  const LogStatus& log = answers_[best].standing;
   const Rosters force = in_force(log.rosters, committed);
   std::size_t counted = 0, heard = 0;
   std::map<MemberId, Incarnation> lives;
@@ -351,7 +352,7 @@
     roster = all.back().second;
   }
   phase_ = Phase::office;
-  writer_.heard_at = now;
+  writer_.last_received_at = now;
   level_ = true;
   fellows_.clear();
   sessions_.clear();
@@ -367,7 +368,7 @@
       fellow.known_from = 1;
     }
   }
-  orders_.began(token_, by_all_);
+  actions_.began(token_, by_all_);
   write_roster(now, std::move(roster));
   settle(now);
   for (auto& [number, put] : puts_) put.again = now;
@@ -384,9 +385,9 @@
 void Replica::write_roster(Nanos now, Roster roster) {
   Record record;
   record.entry.key = roster_key;
-  record.entry.value = text_of(roster);
+  record.entry.value = format_roster(roster);
   record.entry.writer = self_;
-  record.of = incarnation_;
+  record.writer_incarnation = incarnation_;
   write(now, std::move(record));
 }
 
@@ -485,9 +486,9 @@
   append.log_from = log_from_;
   append.committed = committed_;
   const auto out = [&] {
-    append.mark = ++fellow.mark;
+    append.sequence = ++fellow.mark;
     append.previous = fellow.sent;
-    orders_.append(to, append);
+    actions_.append(to, append);
     fellow.told = committed_;
     fellow.next_beat = now + beat_;
   };
@@ -514,7 +515,7 @@
 std::string Replica::why_refused(const Entry& entry, const std::optional<Version>& expected) {
   if (entry.key == control_scope || scope_of(entry.key).substr(0, control_scope.size()) == control_scope)
     return "the scope is the control members' own";
-  if (const auto why = entries_.why_not(entry); !why.empty()) return std::string(why);
+  if (const auto why = entries_.rejection_reason(entry); !why.empty()) return std::string(why);
   const std::size_t pending = log_.size() - behind(committed_);
   if (pending >= most_pending_) return "too many writes are under way";
   if (!entry.deleted &&
@@ -527,39 +528,40 @@
       (none ? *expected != Version{} && !(held && *expected == held->version) : *expected != held->version))
     return "it was changed meanwhile";
   if (entry.deleted && none) return "there is no such entry";
-  return orders_.why_not(entry);
+  return actions_.rejection_reason(entry);
 }
 
 void Replica::passed(Nanos now, MemberId from, Incarnation of, Incarnation to, Token token,
-                     const PassedPut& put) {
+                     const ForwardedPut& put) {
   if (!members_.contains(from) || from == self_ || put.number.raw == 0) return void(++senseless_);
   if (to != incarnation_ || token != token_ || phase_ != Phase::office || now >= until_) return;
   take_put(now, from, of, put);
 }
 
-void Replica::take_put(Nanos now, MemberId from, Incarnation of, const PassedPut& put) {
+void Replica::take_put(Nanos now, MemberId from, Incarnation of, const ForwardedPut& put) {
   auto at = sessions_.find({from, of});
   if (at == sessions_.end()) {
     if (sessions_.size() >= most_sessions)
-      std::erase_if(sessions_, [&](const auto& one) { return one.second.heard_at + session_kept < now; });
+      std::erase_if(sessions_,
+                    [&](const auto& one) { return one.second.last_received_at + session_kept < now; });
     if (sessions_.size() >= most_sessions) return void(++senseless_);
     at = sessions_.try_emplace({from, of}).first;
   }
   Session& session = at->second;
-  session.heard_at = now;
+  session.last_received_at = now;
   session.oldest = std::max(session.oldest, put.oldest);
   session.results.erase(session.results.begin(), session.results.lower_bound(session.oldest));
   if (put.number < session.oldest) return; // ended there: against one that comes late and is written again
   if (const auto known = session.results.find(put.number); known != session.results.end()) {
     const Session::Result& result = known->second;
     if (result.ended && from != self_)
-      orders_.answer(from, of, token_, put.number, result.end, result.version, result.why);
+      actions_.answer(from, of, token_, put.number, result.end, result.version, result.why);
     return;
   }
   if (session.results.size() >= most_results) return;
   Record record;
   record.entry = {put.key, put.value, {}, from, put.deleted};
-  record.of = of;
+  record.writer_incarnation = of;
   record.put = put.number;
   // A refusal is kept as well: the same put may not be written later.
   Session::Result& result = session.results[put.number];
@@ -569,19 +571,19 @@
     return settle(now); // it may be alone
   }
   result.ended = true;
-  result.end = PutEnd::refused;
+  result.end = PutOutcome::refused;
   if (from == self_)
-    end_put(put.number, PutEnd::refused, {}, std::string(result.why));
+    end_put(put.number, PutOutcome::refused, {}, std::string(result.why));
   else
-    orders_.answer(from, of, token_, put.number, PutEnd::refused, {}, result.why);
+    actions_.answer(from, of, token_, put.number, PutOutcome::refused, {}, result.why);
 }
 
 // ---- puts of this member
 
-PutNo Replica::put(Nanos now, std::string key, std::string value, bool deleted,
-                   std::optional<Version> expected) {
-  if (puts_.size() >= most_puts_) return PutNo{0};
-  const PutNo number{++put_count_};
+PutNumber Replica::put(Nanos now, std::string key, std::string value, bool deleted,
+                       std::optional<Version> expected) {
+  if (puts_.size() >= most_puts_) return PutNumber{0};
+  const PutNumber number{++put_count_};
   Put& put = puts_[number];
   put.put = {number, {}, std::move(key), std::move(value), deleted, expected};
   put.deadline = now + put_timeout_;
@@ -589,37 +591,39 @@
   return number;
 }
 
-PutNo Replica::oldest_put() const { return puts_.empty() ? PutNo{put_count_ + 1} : puts_.begin()->first; }
+PutNumber Replica::oldest_put() const {
+  return puts_.empty() ? PutNumber{put_count_ + 1} : puts_.begin()->first;
+}
 
-void Replica::pass_on(Nanos now, PutNo number) {
+void Replica::pass_on(Nanos now, PutNumber number) {
   Put& put = puts_.at(number);
   put.again = now + again_;
-  if (writer_.heard_at < 0) return; // none in office is known
+  if (writer_.last_received_at < 0) return; // none in office is known
   if (put.token.raw != 0 && put.token != promised_) {
-    if (put.doubtful) end_put(number, PutEnd::unknown, {}, "its writer is gone, and with it the answer");
+    if (put.doubtful) end_put(number, PutOutcome::unknown, {}, "its writer is gone, and with it the answer");
     return; // the log will tell
   }
   put.put.oldest = oldest_put();
   if (writer_.member != self_) {
     put.token = promised_;
-    orders_.pass(writer_.member, writer_.of, promised_, put.put);
-  } else if (writes(now)) {
+    actions_.pass(writer_.member, writer_.of, promised_, put.put);
+  } else if (is_writer(now)) {
     put.token = token_;
-    const PassedPut copy = put.put; // it may end within
+    const ForwardedPut copy = put.put; // it may end within
     take_put(now, self_, incarnation_, copy);
   }
 }
 
-void Replica::answered(Nanos, MemberId from, Incarnation, Incarnation to, Token token, PutNo number,
-                       PutEnd end, Version version, std::string_view why) {
+void Replica::answered(Nanos, MemberId from, Incarnation, Incarnation to, Token token, PutNumber number,
+                       PutOutcome end, Version version, std::string_view why) {
   if (!members_.contains(from)) return void(++senseless_);
   const auto at = puts_.find(number);
   if (to != incarnation_ || at == puts_.end() || at->second.token != token) return;
   end_put(number, end, version, why);
 }
 
-void Replica::end_put(PutNo number, PutEnd end, Version version, std::string_view why) {
-  if (puts_.erase(number) > 0) orders_.ended(number, end, version, why);
+void Replica::end_put(PutNumber number, PutOutcome end, Version version, std::string_view why) {
+  if (puts_.erase(number) > 0) actions_.ended(number, end, version, why);
 }
 
 // ---- the others
@@ -627,15 +631,15 @@
 void Replica::appending(Nanos now, MemberId from, Incarnation of, const Append& append) {
   if (!members_.contains(from) || from == self_ || append.token.raw == 0) return void(++senseless_);
   if (!heed(now, from, of, append.token)) return;
-  if (writer_.heard_at < 0)
+  if (writer_.last_received_at < 0)
     for (auto& [number, put] : puts_) put.again = now;
-  writer_.heard_at = now;
+  writer_.last_received_at = now;
   const auto& records = append.records;
   for (std::size_t i = 0; i < records.size(); ++i)
     if (records[i].entry.version <= (i == 0 ? append.previous : records[i - 1].entry.version))
       return void(++senseless_);
   const auto answer = [&](Version matched, bool gap) {
-    orders_.appended(from, of, append.token, append.mark, matched, gap);
+    actions_.appended(from, of, append.token, append.sequence, matched, gap);
   };
   std::size_t next = 0; // the first that is not committed here
   if (append.previous < committed_) {
@@ -691,14 +695,14 @@
 void Replica::ask_chunks(Nanos now) {
   fetch_.again = now + again_;
   fetch_.taken = 0;
-  orders_.fetch(fetch_.from, promised_, fetch_.base, fetch_.cursor, roster_.since);
+  actions_.fetch(fetch_.from, promised_, fetch_.base, fetch_.cursor, roster_.since);
 }
 
 void Replica::fetched(Nanos now, MemberId from, Incarnation of, Token token, Version base, Version cursor,
                       Token since) {
   if (!members_.contains(from) || from == self_) return void(++senseless_);
-  if (token < promised_) return orders_.refuse(from, of, token, promised_);
-  const bool mine = writer_.member == self_ && writes(now);
+  if (token < promised_) return actions_.refuse(from, of, token, promised_);
+  const bool mine = writer_.member == self_ && is_writer(now);
   const bool theirs = writer_.member == from && writer_.of == of; // it begins with this log
   if (token != promised_ || (!mine && !theirs)) return;
   Chunk chunk;
@@ -708,8 +712,8 @@
   chunk.committed = committed_;
   if (base != Version{} &&
       (since != roster_.since || base < chunk.floor || (base > committed_ && !in_log(base)))) {
-    chunk.no_way = true;
-    return orders_.chunk(from, of, chunk);
+    chunk.unavailable = true;
+    return actions_.chunk(from, of, chunk);
   }
   for (std::size_t count = 0; count < most_batches_ && !chunk.last; ++count) {
     chunk.from = chunk.to = cursor;
@@ -734,7 +738,7 @@
     }
     chunk.last = whole;
     cursor = chunk.to;
-    orders_.chunk(from, of, chunk);
+    actions_.chunk(from, of, chunk);
   }
 }
 
@@ -742,7 +746,7 @@
   if (to != incarnation_ || !fetch_.under_way || from != fetch_.from || chunk.token != promised_ ||
       chunk.base != fetch_.base)
     return;
-  if (chunk.no_way) {
+  if (chunk.unavailable) {
     if (fetch_.base != Version{}) begin_fetch(now, from, {});
     return;
   }
@@ -831,7 +835,7 @@
     if (version > committed) push(std::move(record));
   learn_roster();
   for (auto& [number, put] : puts_) put.doubtful = put.doubtful || put.token.raw != 0;
-  orders_.replaced();
+  actions_.replaced();
   if (!writer) return;
   if (last() == chosen_.last) return begin(now);
   phase_ = Phase::asking;
@@ -859,7 +863,7 @@
   if (phase_ == Phase::asking && now >= ask_again_) {
     ask_again_ = now + again_;
     for (const MemberId member : members_)
-      if (!answers_.contains(member)) orders_.prepare(member, token_, round_);
+      if (!answers_.contains(member)) actions_.prepare(member, token_, round_);
     evaluate(now);
   }
   if (fetch_.under_way && now >= fetch_.deadline) {
@@ -887,29 +891,29 @@
       }
     }
   }
-  std::vector<PutNo> due_puts;
+  std::vector<PutNumber> due_puts;
   for (const auto& [number, put] : puts_)
     if (now >= std::min(put.again, put.deadline)) due_puts.push_back(number);
-  for (const PutNo number : due_puts) {
+  for (const PutNumber number : due_puts) {
     const auto at = puts_.find(number);
     if (at == puts_.end()) continue;
     if (now < at->second.deadline)
       pass_on(now, number);
     else if (at->second.token.raw == 0)
-      end_put(number, PutEnd::refused, {}, "no writer was in office");
+      end_put(number, PutOutcome::refused, {}, "no writer was in office");
     else
-      end_put(number, PutEnd::unknown, {}, "no answer in time");
+      end_put(number, PutOutcome::unknown, {}, "no answer in time");
   }
 }
 
-Replica::Standing Replica::standing() const {
-  Standing now;
+Replica::Status Replica::status() const {
+  Status now;
   now.ready = ready();
   now.office = phase_ == Phase::office;
   now.establishing = phase_ == Phase::asking || phase_ == Phase::fetching;
   now.fetching = fetch_.under_way;
-  if (writer_.heard_at >= 0) now.writer = writer_.member, now.token = promised_;
-  now.heard_at = writer_.heard_at;
+  if (writer_.last_received_at >= 0) now.writer = writer_.member, now.token = promised_;
+  now.last_received_at = writer_.last_received_at;
   now.last = last();
   now.committed = committed_;
   now.roster = roster_;
--- a/control/replica.hpp
+++ b/control/replica.hpp
@@ -1,7 +1,7 @@
 // One control member's part in the one order of writes: replication in memory, without a disk. The lease
 // "control" (leases.hpp) says who writes, its fencing token is the term. Decides only: no I/O, no clock, one
-// time with each call; what is to be said goes out by `ReplicaOrders`. docs/control-order.md has the argument
-// in full, tests/control_replica.cpp plays it.
+// time with each call; what is to be said goes out by `ReplicaActions`. docs/control-order.md has the
+// argument in full, tests/control_replica.cpp plays it.
 //
 // Why there are never two orders, in short. (1) A version (token, number) is written once, by the holder of
 // that token, behind one predecessor: two logs that share a version are the same up to it. (2) A member that
@@ -46,7 +46,7 @@
 
 namespace cometshift {
 
-using PutNo = Id<struct PutNoTag, std::uint64_t>; // of a put, rising in one incarnation; 0: none
+using PutNumber = Id<struct PutNoTag, std::uint64_t>; // of a put, rising in one incarnation; 0: none
 
 // Of the scope that operators can't write to: the roster is an entry too, so that all members get it.
 constexpr std::string_view control_scope = "control", roster_key = "control/roster";
@@ -57,19 +57,19 @@
   Token since{}; // the order was begun anew under this token, after a first start or a loss
   bool operator==(const Roster&) const = default;
 };
-std::string text_of(const Roster& roster);
-std::optional<Roster> roster_in(std::string_view text); // nothing: not a roster
+std::string format_roster(const Roster& roster);
+std::optional<Roster> parse_roster(std::string_view text); // nothing: not a roster
 
 // An entry on its way through the log, and whose put it was.
 struct Record {
   Entry entry;
-  Incarnation of{}; // of entry.writer
-  PutNo put{};      // 0: the writer's own
+  Incarnation writer_incarnation{}; // of entry.writer
+  PutNumber put{};                  // 0: the writer's own
   bool operator==(const Record&) const = default;
 };
 
 // What a member says of its log when it promises.
-struct LogStanding {
+struct LogStatus {
   Version last{}, committed{};
   // The newest committed roster, if there is one, and those behind it in the log.
   std::vector<std::pair<Version, Roster>> rosters;
@@ -77,9 +77,9 @@
 
 struct Append {
   Token token{};
-  std::uint64_t mark = 0; // echoed by the answer; rising for each member
-  Version log_from{};     // what is older than that the writer can only tell by chunks
-  Version previous{};     // what stands before the first of the records
+  std::uint64_t sequence = 0; // echoed by the answer; rising for each member
+  Version log_from{};         // what is older than that the writer can only tell by chunks
+  Version previous{};         // what stands before the first of the records
   Version committed{};
   std::vector<Record> records;
 };
@@ -92,35 +92,35 @@
   Version from{}; // entries after that
   Version to{};   // up to there
   Version floor{}, committed{};
-  bool last = false;   // `to` is the end of the log
-  bool no_way = false; // from that base it can't be told
+  bool last = false;        // `to` is the end of the log
+  bool unavailable = false; // from that base it can't be told
   std::vector<Record> records;
 };
 
-enum class PutEnd {
+enum class PutOutcome {
   done,    // at a version, for good
   refused, // and never done
   unknown  // it may be done, or come to be
 };
-std::string_view word_of(PutEnd end);
+std::string_view to_text(PutOutcome end);
 
 // A put on its way from the member where it came to the writer.
-struct PassedPut {
-  PutNo number{};
-  PutNo oldest{}; // smaller ones are ended there
+struct ForwardedPut {
+  PutNumber number{};
+  PutNumber oldest{}; // smaller ones are ended there
   std::string key, value;
   bool deleted = false;
   // Only if the newest entry of the key has this version; {}: only if there is none, or a deletion.
   std::optional<Version> expected;
 };
 
-class ReplicaOrders {
+class ReplicaActions {
  public:
-  virtual ~ReplicaOrders() = default;
+  virtual ~ReplicaActions() = default;
   // ---- to be said to another control member. `of`: to this incarnation of it only.
   virtual void prepare(MemberId to, Token token, std::uint32_t round) = 0;
   virtual void promise(MemberId to, Incarnation of, Token token, std::uint32_t round,
-                       const LogStanding& standing) = 0;
+                       const LogStatus& standing) = 0;
   virtual void refuse(MemberId to, Incarnation of, Token token, Token seen) = 0; // a greater one is promised
   virtual void append(MemberId to, const Append& append) = 0;
   // `matched`: all up to there is as the writer has it; with `gap`: go back to there.
@@ -129,17 +129,17 @@
   // Tell me your state and log after `cursor`, of which I have `base`, in the order begun under `since`.
   virtual void fetch(MemberId to, Token token, Version base, Version cursor, Token since) = 0;
   virtual void chunk(MemberId to, Incarnation of, const Chunk& chunk) = 0;
-  virtual void pass(MemberId to, Incarnation of, Token token, const PassedPut& put) = 0;
-  virtual void answer(MemberId to, Incarnation of, Token token, PutNo put, PutEnd end, Version version,
-                      std::string_view why) = 0;
+  virtual void pass(MemberId to, Incarnation of, Token token, const ForwardedPut& put) = 0;
+  virtual void answer(MemberId to, Incarnation of, Token token, PutNumber put, PutOutcome end,
+                      Version version, std::string_view why) = 0;
 
   // ---- to this member's own parts
   // Why the caller can't take such an entry; empty: it can. Asked of the writer before it writes.
-  virtual std::string why_not(const Entry& entry) = 0;
+  virtual std::string rejection_reason(const Entry& entry) = 0;
   // `entries()` has it now; in the order of versions.
   virtual void committed(const Record& record) = 0;
   virtual void replaced() = 0; // `entries()` is another, of a later version, by a transfer
-  virtual void ended(PutNo put, PutEnd end, Version version, std::string_view why) = 0;
+  virtual void ended(PutNumber put, PutOutcome end, Version version, std::string_view why) = 0;
   // This member is the writer in office. `after_loss`: begun anew by the word of all voters; what only lost
   // lives held is gone.
   virtual void began(Token token, bool after_loss) = 0;
@@ -164,21 +164,21 @@
   // - control.record_overhead: that a record costs there beside key and value; 0 unless told
   // - control.most_batches: under way to one member
   Replica(Nanos now, MemberId self, Incarnation incarnation, std::set<MemberId> members,
-          std::set<MemberId> voters, const Given& figures, ReplicaOrders& orders);
+          std::set<MemberId> voters, const Settings& figures, ReplicaActions& orders);
   Replica(const Replica&) = delete;
   Replica& operator=(const Replica&) = delete;
 
   // ---- what this member's Leases order of the lease "control"
-  void held(Nanos now, Token token, Nanos until);
-  void lost(Nanos now, Token token);
+  void lease_held(Nanos now, Token token, Nanos until);
+  void lease_lost(Nanos now, Token token);
 
   // ---- what is put at this member. Ends by `ended`, perhaps within the call; 0: no room, nothing follows.
-  PutNo put(Nanos now, std::string key, std::string value, bool deleted, std::optional<Version> expected);
+  PutNumber put(Nanos now, std::string key, std::string value, bool deleted, std::optional<Version> expected);
 
   // ---- what other control members say, each with its number and incarnation; `to`: to which of this one's
   void prepared(Nanos now, MemberId from, Incarnation of, Token token, std::uint32_t round);
   void promised(Nanos now, MemberId from, Incarnation of, Incarnation to, Token token, std::uint32_t round,
-                const LogStanding& standing);
+                const LogStatus& standing);
   void refused(Nanos now, MemberId from, Incarnation of, Incarnation to, Token token, Token seen);
   void appending(Nanos now, MemberId from, Incarnation of, const Append& append);
   void appended(Nanos now, MemberId from, Incarnation of, Incarnation to, Token token, std::uint64_t mark,
@@ -186,9 +186,9 @@
   void fetched(Nanos now, MemberId from, Incarnation of, Token token, Version base, Version cursor,
                Token since);
   void chunked(Nanos now, MemberId from, Incarnation of, Incarnation to, const Chunk& chunk);
-  void passed(Nanos now, MemberId from, Incarnation of, Incarnation to, Token token, const PassedPut& put);
-  void answered(Nanos now, MemberId from, Incarnation of, Incarnation to, Token token, PutNo put, PutEnd end,
-                Version version, std::string_view why);
+  void passed(Nanos now, MemberId from, Incarnation of, Incarnation to, Token token, const ForwardedPut& put);
+  void answered(Nanos now, MemberId from, Incarnation of, Incarnation to, Token token, PutNumber put,
+                PutOutcome end, Version version, std::string_view why);
 
   // ---- time
   Nanos next_wake() const; // -1: none
@@ -200,21 +200,21 @@
   // Not blank: a voter whose life counts in the newest roster that it knows as committed, or another member
   // that holds a state.
   bool ready() const;
-  bool writes(Nanos now) const { return phase_ == Phase::office && now < until_; }
+  bool is_writer(Nanos now) const { return phase_ == Phase::office && now < until_; }
 
-  struct Standing {
+  struct Status {
     bool ready = false, office = false, establishing = false, fetching = false;
     MemberId writer{}; // 0: none is known
     Token token{};     // of that writer
-    Nanos heard_at = -1;
+    Nanos last_received_at = -1;
     Version last{}, committed{};
     Roster roster;
     std::size_t puts = 0, pending = 0; // under way; in the log and not committed
     std::uint64_t puts_so_far = 0;
     std::map<MemberId, Version> matched; // in office: how far each other is
   };
-  Standing standing() const;
-  std::uint64_t senseless() const { return senseless_; }
+  Status status() const;
+  std::uint64_t invalid() const { return senseless_; }
   // Committed entries that this member had no room for: its bounds are smaller than the writer's.
   std::uint64_t no_room() const { return no_room_; }
 
@@ -223,11 +223,11 @@
   struct Writer { // whose token was promised last
     MemberId member{};
     Incarnation of{};
-    Nanos heard_at = -1; // in office
+    Nanos last_received_at = -1; // in office
   };
   struct Answer { // to a prepare
     Incarnation of{};
-    LogStanding standing;
+    LogStatus standing;
   };
   struct Fellow { // another member, to a writer in office
     Incarnation of{};
@@ -243,18 +243,18 @@
     Nanos next_beat = 0, again = -1;
   };
   struct Session { // of one life of a member that passes puts on
-    PutNo oldest{};
+    PutNumber oldest{};
     struct Result {
       bool ended = false;
-      PutEnd end = PutEnd::unknown;
+      PutOutcome end = PutOutcome::unknown;
       Version version{};
       std::string why;
     };
-    std::map<PutNo, Result> results;
-    Nanos heard_at = 0;
+    std::map<PutNumber, Result> results;
+    Nanos last_received_at = 0;
   };
   struct Put { // of this member
-    PassedPut put;
+    ForwardedPut put;
     Token token{};         // passed on under it; 0: it is known that no writer has written it
     bool doubtful = false; // a transfer may have hidden its end
     Nanos again = 0, deadline = 0;
@@ -283,7 +283,7 @@
   void trim();
   using Rosters = std::vector<std::pair<Version, Roster>>;
   Rosters rosters() const; // the newest committed one and all behind it
-  LogStanding log_standing() const;
+  LogStatus log_standing() const;
   const Entry* newest(std::string_view key) const; // pending ones too
 
   // The writer
@@ -298,7 +298,7 @@
   void join(Nanos now);
   void settle(Nanos now);
   void send(Nanos now, MemberId to, Fellow& fellow, bool beat);
-  void take_put(Nanos now, MemberId from, Incarnation of, const PassedPut& put);
+  void take_put(Nanos now, MemberId from, Incarnation of, const ForwardedPut& put);
 
   // The others
   void begin_fetch(Nanos now, MemberId from, Version base);
@@ -306,11 +306,11 @@
   bool take_chunk(const Chunk& chunk); // false: all from the beginning again
   void adopt(Nanos now, Version committed);
   bool heed(Nanos now, MemberId from, Incarnation of, Token token); // false: a greater token is promised
-  void pass_on(Nanos now, PutNo number);
-  void end_put(PutNo number, PutEnd end, Version version, std::string_view why);
-  PutNo oldest_put() const;
+  void pass_on(Nanos now, PutNumber number);
+  void end_put(PutNumber number, PutOutcome end, Version version, std::string_view why);
+  PutNumber oldest_put() const;
 
-  ReplicaOrders& orders_;
+  ReplicaActions& actions_;
   MemberId self_;
   Incarnation incarnation_;
   std::set<MemberId> members_, voters_;
@@ -337,14 +337,14 @@
   std::map<MemberId, Incarnation> lives_before_; // of the round before
   bool by_all_ = false;
   MemberId source_{};
-  LogStanding chosen_;
+  LogStatus chosen_;
   Version known_committed_{};
   std::map<MemberId, Fellow> fellows_;
   std::map<std::pair<MemberId, Incarnation>, Session> sessions_;
   Nanos send_at_ = -1;
 
   Fetch fetch_;
-  std::map<PutNo, Put> puts_;
+  std::map<PutNumber, Put> puts_;
   std::uint64_t put_count_ = 0;
   std::uint64_t senseless_ = 0, no_room_ = 0;
 };
--- a/core/core.cpp
+++ b/core/core.cpp
@@ -22,23 +22,23 @@
 constexpr Nanos key_slack = 100 * ms; // the protocol's time limits are 50 ms longer, and its times whole ms
 constexpr Nanos longest_wait = 3600 * second; // of an op before it was read: older is a wrong clock
 
-std::size_t of_memory(const Given& given, std::size_t for_mb, std::size_t divisor) {
+std::size_t of_memory(const Settings& given, std::size_t for_mb, std::size_t divisor) {
   return static_cast<std::size_t>(number(given, "memory_mb", 0)) * for_mb / divisor;
 }
 
 } // namespace
 
-Core::Core(Nanos now, const Given& given, Orders& orders)
-    : orders_(orders), given_(given), fresh_for_(span(given, "fresh_for_ns", 0)),
+Core::Core(Nanos now, const Settings& given, Actions& orders)
+    : actions_(orders), given_(given), fresh_for_(span(given, "fresh_for_ns", 0)),
       until_kill_(span(given, "stop_ns", 0)), most_results_(of_memory(given, mb, results_part)),
       most_ops_(of_memory(given, ops_for_mb, 1)), most_keys_(of_memory(given, keys_for_mb, 1)), now_(now) {
   for (int t = 0;; ++t) {
     const std::string at = "op_type." + std::to_string(t) + ".";
     if (!given.contains(at + "name")) break;
     const std::string repeats = text(given, at + "repeats", "");
-    repeats_.push_back(repeats == "keyed"       ? Repeats::keyed
-                       : repeats == "retryable" ? Repeats::retryable
-                                                : Repeats::non_retryable);
+    repeats_.push_back(repeats == "keyed"       ? RetryClass::keyed
+                       : repeats == "retryable" ? RetryClass::retryable
+                                                : RetryClass::non_retryable);
     op_timeouts_.push_back(span(given, at + "op_timeout_ns"));
     longest_ = std::max(longest_, op_timeouts_.back());
   }
@@ -48,7 +48,7 @@
   }
   if (Pools::wanted(given)) pools_ = std::make_unique<Pools>(now, given);
   const auto half = [&](const char* name) { return static_cast<std::uint64_t>(number(given, name, 0)); };
-  choice_.reset(new Choice(now, half("seed_high") << 32 | half("seed_low"), given, *this));
+  module_.reset(new DecisionModule(now, half("seed_high") << 32 | half("seed_low"), given, *this));
 }
 
 // ---- the end and the middle of a turn
@@ -64,24 +64,24 @@
   while (!wakes_.empty() && wakes_.top().first <= now) {
     const WakeId name = wakes_.top().second;
     wakes_.pop();
-    choice_->woken(now, name, gauges_);
+    module_->woken(now, name, gauges_);
   }
   forget_old();
   settle_strays();
 }
 
-void Core::leave(Nanos now) {
+void Core::drain(Nanos now) {
   now_ = now;
   if (leaving_) return;
   leaving_ = true;
-  orders_.note("drain", "told to leave, " + std::to_string(until_kill_ / ms) + " ms to go");
-  choice_->drain(now, until_kill_);
+  actions_.note("drain", "told to leave, " + std::to_string(until_kill_ / ms) + " ms to go");
+  module_->drain(now, until_kill_);
 }
 
 // What was learnt of the capacity is kept; ops that stand here count in no pool any more.
-void Core::set_pools(Nanos now, const Given& pools) {
+void Core::set_pools(Nanos now, const Settings& pools) {
   now_ = now;
-  Given given = given_;
+  Settings given = given_;
   std::erase_if(given, [](const auto& entry) { return Pools::is_setting(entry.first); });
   for (const auto& entry : pools)
     if (Pools::is_setting(entry.first)) given.insert(entry);
@@ -125,13 +125,13 @@
   if (op.answered && op.run != Op::Run::wanted && op.run != Op::Run::sent) ops_.erase(at);
 }
 
-void Core::op_came(Nanos now, Line line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
-                   Nanos limit, double held_kb, double rank, std::string_view mark, std::string_view subject,
-                   Content body, Digest body_digest) {
+void Core::op_received(Nanos now, StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
+                       Nanos received_at, Nanos limit, double held_kb, double rank, std::string_view mark,
+                       std::string_view subject, Content body, Digest body_digest) {
   now_ = now;
-  const Repeats repeats = repeats_[type.raw];
-  const bool keyed = repeats == Repeats::keyed;
-  const bool shared = repeats == Repeats::retryable && fresh_for_ > 0 && !subject.empty();
+  const RetryClass repeats = repeats_[type.raw];
+  const bool keyed = repeats == RetryClass::keyed;
+  const bool shared = repeats == RetryClass::retryable && fresh_for_ > 0 && !subject.empty();
   std::optional<Key> at_key;
   if (keyed)
     at_key = Key{type, std::string(mark), body_digest};
@@ -140,8 +140,8 @@
   // Sent again under its own number after it has ended: it has run, and is answered from what is kept.
   if (const auto at = at_key ? keys_.find(*at_key) : keys_.end();
       at != keys_.end() && at->second.holder == id && !ops_.contains(id)) {
-    if (at->second.state == Kept::State::done) return orders_.served(line, id, at->second.result);
-    if (at->second.state == Kept::State::failed) return orders_.failed(line, id, Reason::first_failed);
+    if (at->second.state == Kept::State::done) return actions_.served(line, id, at->second.result);
+    if (at->second.state == Kept::State::failed) return actions_.failed(line, id, Reason::first_failed);
   }
   // Against filling the memory, and against a number that comes twice: also after its op has ended, as what
   // is kept of that is known by its number, and whoever came under it would be taken for it.
@@ -149,54 +149,54 @@
   const bool no_key_room = keyed && keys_.size() >= most_keys_;
   if (known || ops_.size() >= most_ops_ || no_key_room) {
     const Reason why = known ? Reason::known : no_key_room ? Reason::too_many_keys : Reason::too_many_ops;
-    orders_.note("request", known ? "refused, its txn is known" : "refused, too many");
-    orders_.refused(line, id, why, 0, false);
-    return known ? orders_.penalize(line) : void();
+    actions_.note("request", known ? "refused, its txn is known" : "refused, too many");
+    actions_.refused(line, id, why, 0, false);
+    return known ? actions_.penalize(line) : void();
   }
   if (keyed && contested(*at_key)) {
-    orders_.note("request", "refused, the mark of another op");
-    orders_.refused(line, id, Reason::other_mark, 0, true);
-    return orders_.penalize(line);
+    actions_.note("request", "refused, the mark of another op");
+    actions_.refused(line, id, Reason::other_mark, 0, true);
+    return actions_.penalize(line);
   }
-  const OpId earlier = at_key ? earlier_of(*at_key, keyed, door) : no_op;
+  const OpId earlier = at_key ? earlier_of(*at_key, keyed, received_at) : no_op_id;
   double worth = 1;
   if (pools_) {
     // Tries of one op have the same body and rank; other ops hardly ever have both.
     const Digest trace{body_digest.high ^ type.raw, body_digest.low ^ std::bit_cast<std::uint64_t>(rank)};
-    const Pools::Verdict verdict = pools_->came(now, id, type, tenant, trace, earlier != no_op);
-    if (!verdict.pass) return orders_.refused(line, id, verdict.why, verdict.come_back, false);
+    const Pools::Verdict verdict = pools_->came(now, id, type, tenant, trace, earlier != no_op_id);
+    if (!verdict.pass) return actions_.refused(line, id, verdict.why, verdict.come_back, false);
     worth = verdict.worth;
   }
-  door = std::min(door, now);
-  Nanos waited = std::min(now - door, longest_wait);
+  received_at = std::min(received_at, now);
+  Nanos waited = std::min(now - received_at, longest_wait);
   if (limit > 0) waited = std::min(waited, limit - 1); // patience is told as at least something
   Op& op = ops_[id];
   op.line = line;
   op.type = type;
   op.body = std::move(body);
-  op.door = door;
+  op.received_at = received_at;
   op.key = std::move(at_key);
   lines_[line.connection][line.stream] = id;
-  const KeyId reads = subject.empty() ? no_key : KeyId{0}; // the module asks only whether there is one
-  choice_->op_read(now, id, type, tenant, reads, caller, limit > 0 ? limit - waited : 0, waited, 0, held_kb,
+  const KeyId reads = subject.empty() ? no_key_id : KeyId{0}; // the module asks only whether there is one
+  module_->op_read(now, id, type, tenant, reads, caller, limit > 0 ? limit - waited : 0, waited, 0, held_kb,
                    rank, false, earlier, worth);
 }
 
-void Core::line_lost(Nanos now, Line line) {
+void Core::stream_lost(Nanos now, StreamRef line) {
   now_ = now;
   const auto at = lines_.find(line.connection);
   if (at == lines_.end()) return;
   const auto op_at = at->second.find(line.stream);
   if (op_at == at->second.end()) return;
   const OpId id = op_at->second;
-  choice_->op_gone(now, id); // first: what it orders for this op still finds it
+  module_->op_cancelled(now, id); // first: what it orders for this op still finds it
   if (Op* op = open(id)) answered(id, *op);
 }
 
-void Core::nack(OpId id, Reason why, bool no_retry, Nanos stay_away) {
+void Core::nack(OpId id, Reason why, bool no_retry, Nanos retry_after) {
   Op* op = open(id);
   if (!op) return;
-  orders_.refused(op->line, id, why, stay_away, no_retry);
+  actions_.refused(op->line, id, why, retry_after, no_retry);
   if (pools_) pools_->answered(now_, id, true);
   answered(id, *op);
 }
@@ -204,7 +204,7 @@
 void Core::fail(OpId id, Reason why) {
   Op* op = open(id);
   if (!op) return;
-  orders_.failed(op->line, id, why);
+  actions_.failed(op->line, id, why);
   answered(id, *op);
 }
 
@@ -229,19 +229,19 @@
   ++op.starts;
   op.run = Op::Run::sent;
   op.last_start = StartNo{++starts_};
-  orders_.start(id, op.type, op.body, op.last_start);
+  actions_.start(id, op.type, op.body, op.last_start);
 }
 
-void Core::halt(OpId) { orders_.note("module", "this link has no command to stop a run"); }
-void Core::answer_without(OpId) {
-  orders_.note("module", "this link has no command to go on without a call");
+void Core::halt(OpId) { actions_.note("module", "this link has no command to stop a run"); }
+void Core::answer_without_call(OpId) {
+  actions_.note("module", "this link has no command to go on without a call");
 }
 
 void Core::machine_up(Nanos now, Nanos since) {
   now_ = now;
   if (up_before_) return;
   up_before_ = true;
-  choice_->machine_up(now, since);
+  module_->machine_up(now, since);
 }
 
 void Core::link_down(Nanos now) {
@@ -259,16 +259,16 @@
     if (op.run == Op::Run::wanted && op.answered)
       moot.push_back(id); // was never begun, and never will be
     else if (op.run == Op::Run::wanted || (op.run == Op::Run::sent && !op.heard && op.last_start > known &&
-                                           repeats_[op.type.raw] == Repeats::retryable))
+                                           repeats_[op.type.raw] == RetryClass::retryable))
       send_run(id, op);
     if (op.run == Op::Run::sent && op.reply) {
-      orders_.resume(id, *op.reply);
+      actions_.resume(id, *op.reply);
       if (pools_) pools_->resumed(now, id);
       op.reply.reset();
       op.at_call = false;
     }
   }
-  for (const OpId id : moot) run_over(now, id, Outcome::moot, 0, {});
+  for (const OpId id : moot) run_finished(now, id, Outcome::moot, 0, {});
 }
 
 bool Core::strays_due() const { return link_up_ && now_ - looked_at_ >= stray_rest_; }
@@ -283,15 +283,15 @@
     if (op.run == Op::Run::sent && op.answered && now_ - op.answered_at >= stray_rest_) send_run(id, op);
 }
 
-void Core::run_over(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) {
+void Core::run_finished(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) {
   now_ = now;
   const auto at = ops_.find(id);
   if (at == ops_.end() || (at->second.run != Op::Run::sent && at->second.run != Op::Run::wanted))
-    return orders_.note("notice", "passed over, the end of a run that is not known");
+    return actions_.note("notice", "passed over, the end of a run that is not known");
   Op& op = at->second;
   op.run = Op::Run::over;
   op.at_call = false;
-  if (std::exchange(op.calling, false)) orders_.give_up_call(id);
+  if (std::exchange(op.calling, false)) actions_.cancel_call(id);
   if (pools_) pools_->run_over(now, id);
   // That nothing was started is sure only of what was sent once at the most, or the first may have been read.
   const bool never_begun = outcome == Outcome::moot && !op.heard && op.starts <= 1;
@@ -305,12 +305,12 @@
   }
   if (!op.answered && outcome != Outcome::halted) {
     if (outcome == Outcome::done)
-      orders_.served(op.line, id, std::move(result));
+      actions_.served(op.line, id, std::move(result));
     else
-      orders_.failed(op.line, id, outcome == Outcome::moot ? Reason::never_begun : Reason::run_failed);
+      actions_.failed(op.line, id, outcome == Outcome::moot ? Reason::never_begun : Reason::run_failed);
     answered(id, op);
   }
-  choice_->run_ended(now, id, outcome, lag);
+  module_->run_ended(now, id, outcome, lag);
   release(id);
 }
 
@@ -319,8 +319,8 @@
   // A start that was none: nothing was begun, and nothing else will be heard of it.
   if (const auto at = ops_.find(id);
       at != ops_.end() && !at->second.heard && at->second.run == Op::Run::sent) {
-    orders_.penalize(at->second.line);
-    run_over(now, id, Outcome::moot, 0, {});
+    actions_.penalize(at->second.line);
+    run_finished(now, id, Outcome::moot, 0, {});
   }
 }
 
@@ -337,12 +337,12 @@
   now_ = now;
   const auto at = ops_.find(id);
   if (at == ops_.end() || at->second.run != Op::Run::sent || at->second.at_call)
-    return orders_.note("notice", "passed over, a call of a run that is not known");
+    return actions_.note("notice", "passed over, a call of a run that is not known");
   at->second.heard = at->second.at_call = true;
   if (Kept* entry = entry_of(id); entry && entry->ran == id) entry->proven = true;
   at->second.call = std::move(body);
   if (pools_) pools_->at_call(now, id);
-  choice_->call_wanted(now, id);
+  module_->call_wanted(now, id);
 }
 
 void Core::call(OpId id, Nanos time_out) {
@@ -350,10 +350,10 @@
   if (at == ops_.end()) return;
   at->second.called_at = now_;
   at->second.calling = true;
-  orders_.call(id, time_out > 0 ? time_out : op_timeouts_[at->second.type.raw], at->second.call);
+  actions_.call(id, time_out > 0 ? time_out : op_timeouts_[at->second.type.raw], at->second.call);
 }
 
-void Core::call_over(Nanos now, OpId id, Outcome outcome, Content reply) {
+void Core::call_finished(Nanos now, OpId id, Outcome outcome, Content reply) {
   now_ = now;
   const auto at = ops_.find(id);
   if (at == ops_.end()) return;
@@ -362,13 +362,13 @@
   if (outcome == Outcome::done) {
     if (link_up_) {
       op.at_call = false;
-      orders_.resume(id, reply);
+      actions_.resume(id, reply);
       if (pools_) pools_->resumed(now_, id);
     } else {
       op.reply = std::move(reply);
     }
   }
-  choice_->call_ended(now, id, outcome, now - op.called_at);
+  module_->call_ended(now, id, outcome, now - op.called_at);
 }
 
 // ---- keys, repeats and results
@@ -390,15 +390,15 @@
   return false;
 }
 
-OpId Core::earlier_of(const Key& key, bool keyed, Nanos door) const {
+OpId Core::earlier_of(const Key& key, bool keyed, Nanos received_at) const {
   const auto at = keys_.find(key);
-  if (at == keys_.end()) return no_op;
+  if (at == keys_.end()) return no_op_id;
   const Kept& entry = at->second;
   // A holder that is gone without a run leaves nothing to repeat.
-  if (entry.state == Kept::State::held && !ops_.contains(entry.holder)) return no_op;
-  if (keyed) return door <= entry.until + key_slack ? entry.holder : no_op;
-  if (now_ > entry.until || entry.state == Kept::State::failed) return no_op;
-  return entry.state == Kept::State::done && now_ - entry.ended_at > fresh_for_ ? no_op : entry.holder;
+  if (entry.state == Kept::State::held && !ops_.contains(entry.holder)) return no_op_id;
+  if (keyed) return received_at <= entry.until + key_slack ? entry.holder : no_op_id;
+  if (now_ > entry.until || entry.state == Kept::State::failed) return no_op_id;
+  return entry.state == Kept::State::done && now_ - entry.ended_at > fresh_for_ ? no_op_id : entry.holder;
 }
 
 void Core::keep_key(OpId id, Nanos lifetime) {
@@ -409,7 +409,7 @@
   if (!fresh) key_ends_.erase(entry.end);
   if (entry.state == Kept::State::done || entry.state == Kept::State::failed) {
     end_entry(entry, Kept::State::held, {}); // its time is over: nothing of the run before is left
-    entry.ran = no_op;
+    entry.ran = no_op_id;
   }
   holders_.erase(entry.holder);
   holders_.insert(id);
@@ -446,7 +446,7 @@
   result_bytes_ -= entry.result.size;
   // Against filling the memory: what has no room is answered as failed, and not run again.
   if (result_bytes_ + result.size > most_results_) {
-    orders_.note("results", "no room to keep one");
+    actions_.note("results", "no room to keep one");
     state = Kept::State::failed;
     result = {};
   }
@@ -470,7 +470,7 @@
     reused_.push_back(id);
 }
 
-void Core::settle(Nanos now) {
+void Core::answer_repeats(Nanos now) {
   now_ = now;
   while (!reused_.empty()) {
     const std::vector<OpId> now_due = std::move(reused_);
@@ -480,18 +480,18 @@
       if (!op || !op->reusing) continue;
       op->reusing = false;
       if (std::exchange(op->never_begun, false)) {
-        const bool keyed = repeats_[op->type.raw] == Repeats::keyed;
-        choice_->unbegun(now, id, earlier_of(*op->key, keyed, op->door));
+        const bool keyed = repeats_[op->type.raw] == RetryClass::keyed;
+        module_->reuse_failed(now, id, earlier_of(*op->key, keyed, op->received_at));
         continue;
       }
       const auto at = keys_.find(*op->key);
       const bool done = at != keys_.end() && at->second.state == Kept::State::done;
       if (done)
-        orders_.served(op->line, id, at->second.result);
+        actions_.served(op->line, id, at->second.result);
       else
-        orders_.failed(op->line, id, Reason::first_failed);
+        actions_.failed(op->line, id, Reason::first_failed);
       answered(id, *op);
-      choice_->run_ended(now, id, done ? Outcome::done : Outcome::failed, 0);
+      module_->run_ended(now, id, done ? Outcome::done : Outcome::failed, 0);
     }
   }
 }
@@ -511,60 +511,63 @@
 
 // ---- the rest of what the module orders
 
-void Core::health(bool good, bool) { orders_.health(good); }
-void Core::tell_callers(double value) { orders_.tell_callers(value); }
-void Core::idle_close(Nanos after) { orders_.idle_close(after); }
+void Core::health(bool good, bool) { actions_.health(good); }
+void Core::notify_callers(double value) { actions_.notify_callers(value); }
+void Core::set_idle_timeout(Nanos after) { actions_.set_idle_timeout(after); }
 void Core::wake_at(Nanos at, WakeId name) { wakes_.emplace(at, name); }
-void Core::log(std::string_view words) { orders_.note("module", words); }
-void Core::timing(Timing what, Nanos time) {
-  if (what == Timing::settle_stray)
+void Core::log(std::string_view words) { actions_.note("module", words); }
+void Core::set_timing(Timing what, Nanos time) {
+  if (what == Timing::orphan_query_delay)
     stray_rest_ = time;
   else
-    orders_.timing(what, time);
+    actions_.set_timing(what, time);
 }
-void Core::when_full(std::span<const Eviction> order, int penalties) { orders_.when_full(order, penalties); }
-void Core::stop_accepting() { orders_.stop_accepting(); }
+void Core::set_eviction_order(std::span<const Eviction> order, int max_invalid_ops) {
+  actions_.set_eviction_order(order, max_invalid_ops);
+}
+void Core::stop_accepting() { actions_.stop_accepting(); }
 
 // ---- what is remembered
 
-template <class Keeper>
-void Core::remember_op(Keeper& keeper, Op& op) {
-  keeper(op.line.connection, op.line.stream, op.type, op.body, op.key, op.door, op.answered, op.reusing,
-         op.run, op.last_start, op.never_begun, op.starts, op.heard, op.at_call, op.calling, op.call,
-         op.reply, op.called_at, op.answered_at);
-  if (Keeper::reads && (op.type.raw >= repeats_.size() || op.run > Op::Run::over || (op.reusing && !op.key)))
+template <class Serializer>
+void Core::serialize_op(Serializer& serializer, Op& op) {
+  serializer(op.line.connection, op.line.stream, op.type, op.body, op.key, op.received_at, op.answered,
+             op.reusing, op.run, op.last_start, op.never_begun, op.starts, op.heard, op.at_call, op.calling,
+             op.call, op.reply, op.called_at, op.answered_at);
+  if (Serializer::reads &&
+      (op.type.raw >= repeats_.size() || op.run > Op::Run::over || (op.reusing && !op.key)))
     throw std::invalid_argument("snapshot: an op that can't be");
 }
 
-template <class Keeper>
-void Core::remember_kept(Keeper& keeper, Kept& entry) {
-  keeper(entry.holder, entry.ran, entry.until, entry.ended_at, entry.state, entry.proven, entry.result,
-         entry.waiting);
-  if (Keeper::reads && entry.state > Kept::State::failed)
+template <class Serializer>
+void Core::serialize_kept(Serializer& serializer, Kept& entry) {
+  serializer(entry.holder, entry.ran, entry.until, entry.ended_at, entry.state, entry.proven, entry.result,
+             entry.waiting);
+  if (Serializer::reads && entry.state > Kept::State::failed)
     throw std::invalid_argument("snapshot: an entry that can't be");
 }
 
-template <class Keeper>
-void Core::remember(Keeper& keeper) {
+template <class Serializer>
+void Core::serialize(Serializer& serializer) {
   std::size_t ops = ops_.size(), keys = key_ends_.size();
-  keeper(now_, ops, keys);
-  if constexpr (Keeper::reads) {
+  serializer(now_, ops, keys);
+  if constexpr (Serializer::reads) {
     ops_.clear(), lines_.clear(), keys_.clear(), key_ends_.clear(), holders_.clear();
     result_bytes_ = 0;
     for (; ops > 0; --ops) {
       OpId id{};
-      keeper(id);
+      serializer(id);
       Op& op = ops_[id];
-      remember_op(keeper, op);
+      serialize_op(serializer, op);
       if (!op.answered) lines_[op.line.connection][op.line.stream] = id;
     }
     for (; keys > 0; --keys) { // in the order of their ends: those of one time keep their order
       Nanos end = 0;
       Key key;
-      keeper(end, key);
+      serializer(end, key);
       const auto [at, fresh] = keys_.try_emplace(key);
       if (!fresh) throw std::invalid_argument("snapshot: a key twice");
-      remember_kept(keeper, at->second);
+      serialize_kept(serializer, at->second);
       holders_.insert(at->second.holder);
       result_bytes_ += at->second.result.size;
       at->second.end = key_ends_.emplace(end, at->first);
@@ -572,30 +575,30 @@
   } else {
     for (auto& [id, op] : ops_) {
       OpId copy = id;
-      keeper(copy);
-      remember_op(keeper, op);
+      serializer(copy);
+      serialize_op(serializer, op);
     }
     for (auto& [end, key] : key_ends_) {
       Nanos copy = end;
-      keeper(copy, key);
-      remember_kept(keeper, keys_.at(key));
+      serializer(copy, key);
+      serialize_kept(serializer, keys_.at(key));
     }
   }
   std::vector<Wake> wakes;
   for (auto left = wakes_; !left.empty(); left.pop()) wakes.push_back(left.top());
-  keeper(reused_, wakes, starts_, stray_rest_, looked_at_, link_up_, up_before_, leaving_);
-  if constexpr (Keeper::reads) {
+  serializer(reused_, wakes, starts_, stray_rest_, looked_at_, link_up_, up_before_, leaving_);
+  if constexpr (Serializer::reads) {
     wakes_ = {};
     for (const Wake& wake : wakes) wakes_.push(wake);
   }
   const std::size_t told = gauges_.size();
-  keeper(gauges_, *choice_);
-  if (pools_) keeper(*pools_);
-  if (Keeper::reads && gauges_.size() != told)
+  serializer(gauges_, *module_);
+  if (pools_) serializer(*pools_);
+  if (Serializer::reads && gauges_.size() != told)
     throw std::invalid_argument("snapshot: other gauges than the settings'");
 }
 
-template void Core::remember(Writer& keeper);
-template void Core::remember(Reader& keeper);
+template void Core::serialize(Writer& serializer);
+template void Core::serialize(Reader& serializer);
 
 } // namespace cometshift
--- a/core/core.hpp
+++ b/core/core.hpp
@@ -24,37 +24,37 @@
 
 class Core final : public Events, Server {
  public:
-  Core(Nanos now, const Given& given, Orders& orders);
+  Core(Nanos now, const Settings& given, Actions& orders);
 
-  void op_came(Nanos now, Line line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
-               Nanos limit, double held_kb, double rank, std::string_view mark, std::string_view subject,
-               Content body, Digest body_digest) override;
-  void line_lost(Nanos now, Line line) override;
+  void op_received(Nanos now, StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
+                   Nanos received_at, Nanos limit, double held_kb, double rank, std::string_view mark,
+                   std::string_view subject, Content body, Digest body_digest) override;
+  void stream_lost(Nanos now, StreamRef line) override;
   void machine_up(Nanos now, Nanos since) override;
   void link_up(Nanos now, StartNo known) override;
   void link_down(Nanos now) override;
-  void run_over(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) override;
+  void run_finished(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) override;
   void call_wanted(Nanos now, OpId id, Content body) override;
   void start_refused(Nanos now, OpId id) override;
   void gauges(Nanos now, std::span<const double> values) override;
-  void call_over(Nanos now, OpId id, Outcome outcome, Content reply) override;
+  void call_finished(Nanos now, OpId id, Outcome outcome, Content reply) override;
   void due(Nanos now) override;
-  void settle(Nanos now) override;
-  void leave(Nanos now) override;
-  void set_pools(Nanos now, const Given& pools) override;
+  void answer_repeats(Nanos now) override;
+  void drain(Nanos now) override;
+  void set_pools(Nanos now, const Settings& pools) override;
 
   bool anything_due(Nanos now) const; // else `due` changes nothing
-  bool unsettled() const { return !reused_.empty(); }
+  bool has_repeats_to_answer() const { return !reused_.empty(); }
   Nanos next_wake() const { return wakes_.empty() ? -1 : wakes_.top().first; } // -1: none
-  bool leaving() const { return leaving_; }
+  bool draining() const { return leaving_; }
   bool all_answered() const;
 
-  bool explain(Nanos now, OpId id, Figures& into) const { return choice_->explain(now, id, into); }
+  bool explain(Nanos now, OpId id, DecisionInputs& into) const { return module_->explain(now, id, into); }
   const Pools* pools() const { return pools_.get(); } // null: none are set
-  const Given& given() const { return given_; }       // the settings, with the pools as they are now
-  // As Choice::remember, with all that the core remembers beside it.
-  template <class Keeper>
-  void remember(Keeper& keeper);
+  const Settings& settings() const { return given_; } // the settings, with the pools as they are now
+  // As DecisionModule::serialize, with all that the core remembers beside it.
+  template <class Serializer>
+  void serialize(Serializer& serializer);
 
  private:
   // Under what repeats are known: the op type, the mark or the subject, and of a mark the body's digest, as
@@ -64,17 +64,17 @@
     std::string word;
     Digest body;
     auto operator<=>(const Key&) const = default;
-    template <class Keeper>
-    void remember(Keeper& keeper) {
-      keeper(type);
-      keeper.word(word);
-      keeper(body.high, body.low);
+    template <class Serializer>
+    void serialize(Serializer& serializer) {
+      serializer(type);
+      serializer.word(word);
+      serializer(body.high, body.low);
     }
   };
   // What is remembered under a key: which try holds it, which ran, and what came of that.
   struct Kept {
     OpId holder;
-    OpId ran = no_op;
+    OpId ran = no_op_id;
     Nanos until = 0;    // of arrival of repeats
     Nanos ended_at = 0; // of the run
     enum class State { held, running, done, failed } state = State::held;
@@ -84,11 +84,11 @@
     std::multimap<Nanos, Key>::iterator end = {}; // when to look whether this is over
   };
   struct Op {
-    Line line;
+    StreamRef line;
     OpTypeId type;
     Content body;
     std::optional<Key> key;
-    Nanos door = 0;
+    Nanos received_at = 0;
     bool answered = false;
     bool reusing = false;
     enum class Run { none, wanted, sent, over } run = Run::none;
@@ -106,21 +106,21 @@
 
   // The module's orders.
   void run(OpId op) override;
-  void nack(OpId op, Reason why, bool no_retry, Nanos stay_away) override;
+  void nack(OpId op, Reason why, bool no_retry, Nanos retry_after) override;
   void fail(OpId op, Reason why) override;
   void call(OpId op, Nanos time_out) override;
-  void answer_without(OpId op) override;
+  void answer_without_call(OpId op) override;
   void keep_key(OpId op, Nanos lifetime) override;
   void forget_key(OpId op) override;
   void reuse(OpId op) override;
   void halt(OpId op) override;
   void health(bool good, bool from_store) override;
-  void tell_callers(double value) override;
-  void idle_close(Nanos after) override;
+  void notify_callers(double value) override;
+  void set_idle_timeout(Nanos after) override;
   void wake_at(Nanos at, WakeId name) override;
   void log(std::string_view words) override;
-  void timing(Timing what, Nanos time) override;
-  void when_full(std::span<const Eviction> order, int penalties) override;
+  void set_timing(Timing what, Nanos time) override;
+  void set_eviction_order(std::span<const Eviction> order, int max_invalid_ops) override;
   void stop_accepting() override;
 
   void send_run(OpId id, Op& op);
@@ -129,21 +129,21 @@
   void release(OpId id);   // forgets an op of which nothing is left to do
   Kept* entry_of(OpId id); // under its key, whoever holds it; null if there is none
   bool contested(const Key& key) const;
-  OpId earlier_of(const Key& key, bool keyed, Nanos door) const;
+  OpId earlier_of(const Key& key, bool keyed, Nanos received_at) const;
   void end_entry(Kept& entry, Kept::State state, Content result);
   void unbegun(Kept& entry);
   void erase(const Key& key);
   void forget_old();
   void settle_strays();
   bool strays_due() const;
-  template <class Keeper>
-  void remember_op(Keeper& keeper, Op& op);
-  template <class Keeper>
-  void remember_kept(Keeper& keeper, Kept& entry);
+  template <class Serializer>
+  void serialize_op(Serializer& serializer, Op& op);
+  template <class Serializer>
+  void serialize_kept(Serializer& serializer, Kept& entry);
 
-  Orders& orders_;
-  Given given_;
-  std::vector<Repeats> repeats_;
+  Actions& actions_;
+  Settings given_;
+  std::vector<RetryClass> repeats_;
   std::vector<Nanos> op_timeouts_;
   Nanos fresh_for_;
   Nanos longest_ = 0; // op timeout
@@ -171,7 +171,7 @@
   bool up_before_ = false;
   bool leaving_ = false;
   std::unique_ptr<Pools> pools_; // null: none, and nothing is asked of them
-  std::unique_ptr<Choice> choice_;
+  std::unique_ptr<DecisionModule> module_;
 };
 
 } // namespace cometshift
--- a/emulator/days.cpp
+++ b/emulator/days.cpp
@@ -7,7 +7,7 @@
 constexpr Nanos second = 1000 * ms;
 } // namespace
 
-Given usual_pools() {
+Settings usual_pools() {
   return {{"pools.on", 1.0},        {"pools.reserve", 0.05},     {"pools.repeats", 0.05},
           {"pools.window_ns", 1e9}, {"pool.0.name", "bookings"}, {"pool.0.op_types", "booking\n"},
           {"pool.0.floor", 0.8}};
--- a/emulator/days.hpp
+++ b/emulator/days.hpp
@@ -5,7 +5,7 @@
 
 namespace cometshift::emulator {
 
-Given usual_pools(); // bookings with a floor, a small reserve, few repeats
+Settings usual_pools(); // bookings with a floor, a small reserve, few repeats
 Day usual_day(std::uint64_t seed);
 // Two troubles, at times overlapping; every second one with pools, at times changed under load.
 Day random_day(std::uint64_t seed);
--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -25,7 +25,7 @@
 struct Fleet;
 
 // One server: its core, its machine, and what checks it.
-struct Node final : Orders {
+struct Node final : Actions {
   struct Run {
     double left = 0, part = 0; // ns of a standard core
     int calls = 0;
@@ -72,19 +72,19 @@
   void die(Nanos now);
   void settle_rules();
 
-  void served(Line line, OpId op, Content result) override;
-  void refused(Line line, OpId op, Reason why, Nanos stay_away, bool no_retry) override;
-  void failed(Line line, OpId op, Reason why) override;
-  void penalize(Line) override {}
+  void served(StreamRef line, OpId op, Content result) override;
+  void refused(StreamRef line, OpId op, Reason why, Nanos retry_after, bool no_retry) override;
+  void failed(StreamRef line, OpId op, Reason why) override;
+  void penalize(StreamRef) override {}
   void start(OpId op, OpTypeId type, const Content& body, StartNo number) override;
   void resume(OpId op, const Content& reply) override;
   void call(OpId op, Nanos time_out, const Content& body) override;
-  void give_up_call(OpId op) override;
+  void cancel_call(OpId op) override;
   void health(bool good) override;
-  void tell_callers(double) override {}
-  void idle_close(Nanos) override {}
-  void timing(Timing, Nanos) override {}
-  void when_full(std::span<const Eviction>, int) override {}
+  void notify_callers(double) override {}
+  void set_idle_timeout(Nanos) override {}
+  void set_timing(Timing, Nanos) override {}
+  void set_eviction_order(std::span<const Eviction>, int) override {}
   void stop_accepting() override {}
   void note(const char*, std::string_view) override {}
 };
@@ -135,7 +135,7 @@
   void at(Nanos when, std::function<void()> what) {
     queue.push({{std::max(when, now), order++}, std::move(what)});
   }
-  Given settings() const;
+  Settings settings() const;
   std::string kind_of(OpId op) {
     const auto at = tries.find(op);
     const load::Request* request = at == tries.end() ? nullptr : demand.find(at->second.request);
@@ -145,9 +145,9 @@
   void ask();
   void look();
   void send(load::RequestId id, std::size_t balancer, int walked, std::size_t not_this);
-  void answer(OpId op, load::Demand::Answer answer, Nanos stay_away, bool not_elsewhere);
+  void answer(OpId op, load::Demand::Answer answer, Nanos retry_after, bool not_elsewhere);
   void follow(load::RequestId id, std::size_t balancer, int walked, load::Demand::Answer answer,
-              Nanos stay_away, bool not_elsewhere, std::size_t server);
+              Nanos retry_after, bool not_elsewhere, std::size_t server);
   void finish(load::Request& request, load::Demand::Answer answer);
   void list(std::size_t server, bool in);
   void fault(const Fault& one, bool begins);
@@ -217,7 +217,7 @@
   rules.run_over(id, Outcome::done);
   fleet.at(now + link_hop, [this, id, l = life] {
     if (l != life) return;
-    tell(fleet.now, [&](Nanos t) { told->run_over(t, id, Outcome::done, 0, Content("result")); });
+    tell(fleet.now, [&](Nanos t) { told->run_finished(t, id, Outcome::done, 0, Content("result")); });
   });
 }
 
@@ -228,7 +228,7 @@
   work(now);
   what(unix_now);
   if (!core || core->anything_due(unix_now)) told->due(unix_now);
-  while (core && core->unsettled()) core->settle(unix_now);
+  while (core && core->has_repeats_to_answer()) core->answer_repeats(unix_now);
   while (!todo.empty()) {
     const auto now_due = std::move(todo);
     todo.clear();
@@ -260,7 +260,7 @@
   runs.clear(), calls.clear(), over.clear();
   reading = busy = 0;
   armed = -1;
-  Given given = fleet.settings();
+  Settings given = fleet.settings();
   given["seed_low"] = static_cast<double>(fleet.day.seed * 1000 + number * 10 + life);
   given["cold"] = is_cold ? 1.0 : 0.0;
   if (fleet.day.queue == 0) {
@@ -312,20 +312,20 @@
 
 // ---- what the core orders
 
-void Node::served(Line, OpId op, Content) {
+void Node::served(StreamRef, OpId op, Content) {
   rules.answered(unix_begin + fleet.now, op, Rules::Final::served);
   fleet.at(fleet.now + hop, [this, op] { fleet.answer(op, load::Demand::Answer::served, 0, false); });
 }
-void Node::refused(Line, OpId op, Reason why, Nanos stay_away, bool no_retry) {
+void Node::refused(StreamRef, OpId op, Reason why, Nanos retry_after, bool no_retry) {
   rules.answered(unix_begin + fleet.now, op, Rules::Final::nacked);
-  ++fleet.row.reasons[fleet.kind_of(op) + std::string(word_of(why))];
-  fleet.at(fleet.now + hop, [this, op, stay_away, no_retry] {
-    fleet.answer(op, load::Demand::Answer::refused, stay_away, no_retry);
+  ++fleet.row.reasons[fleet.kind_of(op) + std::string(to_text(why))];
+  fleet.at(fleet.now + hop, [this, op, retry_after, no_retry] {
+    fleet.answer(op, load::Demand::Answer::refused, retry_after, no_retry);
   });
 }
-void Node::failed(Line, OpId op, Reason why) {
+void Node::failed(StreamRef, OpId op, Reason why) {
   rules.answered(unix_begin + fleet.now, op, Rules::Final::failed);
-  ++fleet.row.reasons[fleet.kind_of(op) + "failed, " + std::string(word_of(why))];
+  ++fleet.row.reasons[fleet.kind_of(op) + "failed, " + std::string(to_text(why))];
   fleet.at(fleet.now + hop, [this, op] { fleet.answer(op, load::Demand::Answer::failed, 0, false); });
 }
 void Node::start(OpId op, OpTypeId, const Content& body, StartNo) {
@@ -353,7 +353,7 @@
     if (l != life || calls[op] != mine) return;
     ++calls[op];
     tell(fleet.now, [&](Nanos t) {
-      told->call_over(t, op, outcome, outcome == Outcome::done ? Content("reply") : Content());
+      told->call_finished(t, op, outcome, outcome == Outcome::done ? Content("reply") : Content());
     });
   };
   fleet.at(fleet.now + time_out, [ends] { ends(Outcome::timed_out); });
@@ -370,7 +370,7 @@
     ends(Outcome::done);
   });
 }
-void Node::give_up_call(OpId op) { ++calls[op]; }
+void Node::cancel_call(OpId op) { ++calls[op]; }
 void Node::health(bool good) {
   if (!good) todo.push_back([this] { fleet.list(number, false); });
 }
@@ -414,28 +414,28 @@
     nodes.push_back(std::make_unique<Node>(*this, n, d.cores, d.speeds[n % d.speeds.size()], figures));
 }
 
-Given Fleet::settings() const {
-  Given given{{"cores", std::floor(day.cores)},
-              {"fall_multiple", 8.0},
-              {"memory_kb", 40'000.0},
-              {"run_factor", 4.0},
-              {"key_kb", 2.0},
-              {"drain_grace_ns", 2e9},
-              {"fleet_size", static_cast<double>(day.servers)},
-              {"callers", static_cast<double>(day.balancers)},
-              {"call_share", dependency_slots * 3 / static_cast<double>(day.servers)},
-              {"calls_over_ns", 5e9},
-              {"call_linger_ns", 2e8},
-              {"tells_patience", 1.0},
-              {"memory_mb", 64.0},
-              {"stop_ns", 5e9},
-              {"seed_high", 7.0},
-              {"idle_ns", 30e9},
-              {"stay_away_heeded", 1.0},
-              {"max_stay_away_ns", 1e9},
-              {"over_share_worth", 0.05},
-              {"warm_after_ns", day.warm_ns},
-              {"cold_from", day.cold_from}};
+Settings Fleet::settings() const {
+  Settings given{{"cores", std::floor(day.cores)},
+                 {"fall_multiple", 8.0},
+                 {"memory_kb", 40'000.0},
+                 {"run_factor", 4.0},
+                 {"key_kb", 2.0},
+                 {"drain_grace_ns", 2e9},
+                 {"fleet_size", static_cast<double>(day.servers)},
+                 {"callers", static_cast<double>(day.balancers)},
+                 {"call_share", dependency_slots * 3 / static_cast<double>(day.servers)},
+                 {"calls_over_ns", 5e9},
+                 {"call_linger_ns", 2e8},
+                 {"tells_patience", 1.0},
+                 {"memory_mb", 64.0},
+                 {"stop_ns", 5e9},
+                 {"seed_high", 7.0},
+                 {"idle_ns", 30e9},
+                 {"stay_away_heeded", 1.0},
+                 {"max_stay_away_ns", 1e9},
+                 {"over_share_worth", 0.05},
+                 {"warm_after_ns", day.warm_ns},
+                 {"cold_from", day.cold_from}};
   given["say"] = "none";
   given["name"] = "emulated";
   given["gauge.0"] = "cores_busy";
@@ -529,34 +529,34 @@
     for (const load::Kind& one : day.kinds) mean += one.part * one.work_us, parts += one.part;
     node.work(now);
     node.reading += day.read_part * mean / parts * 1000;
-    const Line line{ConnectionId{1}, StreamId{static_cast<std::uint32_t>(op.raw)}};
+    const StreamRef line{ConnectionId{1}, StreamId{static_cast<std::uint32_t>(op.raw)}};
     const OpTypeId type{static_cast<std::uint32_t>(asked_for->kind)};
     node.rules.came(unix_begin + now, op, type, unix_begin + sent, unix_begin + sent + left, mark);
     node.rules.at_line(op, line);
     const Digest digest{asked_for->id.raw * 0x9e3779b97f4a7c15ULL,
                         static_cast<std::uint64_t>(asked_for->kind) + 1};
     node.tell(now, [&](Nanos t) {
-      node.told->op_came(t, line, op, type, TenantId{asked_for->tenant}, CallerId{asked_for->caller},
-                         unix_begin + sent, left, asked_for->kb, asked_for->rank, mark, {}, Content(body),
-                         digest);
+      node.told->op_received(t, line, op, type, TenantId{asked_for->tenant}, CallerId{asked_for->caller},
+                             unix_begin + sent, left, asked_for->kb, asked_for->rank, mark, {}, Content(body),
+                             digest);
     });
   });
   at(now + left + answer_room, [this, op] { answer(op, load::Demand::Answer::none, 0, false); });
 }
 
-void Fleet::answer(OpId op, load::Demand::Answer what, Nanos stay_away, bool not_elsewhere) {
+void Fleet::answer(OpId op, load::Demand::Answer what, Nanos retry_after, bool not_elsewhere) {
   const auto found = tries.find(op);
   if (found == tries.end()) return;
   const Try one = found->second;
   tries.erase(found);
   Balancer& balancer = balancers[one.balancer];
   --balancer.in_hand[one.server];
-  if (stay_away > 0 && balancer.heeds) balancer.away[one.server] = now + stay_away;
-  follow(one.request, one.balancer, one.walked, what, stay_away, not_elsewhere, one.server);
+  if (retry_after > 0 && balancer.heeds) balancer.away[one.server] = now + retry_after;
+  follow(one.request, one.balancer, one.walked, what, retry_after, not_elsewhere, one.server);
 }
 
-void Fleet::follow(load::RequestId id, std::size_t b, int walked, load::Demand::Answer what, Nanos stay_away,
-                   bool not_elsewhere, std::size_t server) {
+void Fleet::follow(load::RequestId id, std::size_t b, int walked, load::Demand::Answer what,
+                   Nanos retry_after, bool not_elsewhere, std::size_t server) {
   load::Request* request = demand.find(id);
   if (!request || request->over) return;
   const load::Kind& kind = day.kinds[request->kind];
@@ -567,7 +567,7 @@
     if (balancers[b].resends)
       return at(now + 5 * ms, [this, id, b, walked, server] { send(id, b, walked, server); });
   }
-  const load::Demand::Next next = demand.after(*request, what, now, stay_away, not_elsewhere);
+  const load::Demand::Next next = demand.after(*request, what, now, retry_after, not_elsewhere);
   if (!next.again) return finish(*request, what);
   at(now + next.after, [this, id, b] { send(id, b, 0, ~std::size_t{0}); });
 }
@@ -599,7 +599,7 @@
     } else if (one.what == "slow") {
       node.slowed = begins ? one.figure : 1;
     } else if (one.what == "drain" && begins && node.up) {
-      node.tell(now, [&](Nanos t) { node.rules.told_to_leave(t), node.told->leave(t); });
+      node.tell(now, [&](Nanos t) { node.rules.told_to_leave(t), node.told->drain(t); });
     }
     if (node.up) node.arm(now);
   }
@@ -608,7 +608,7 @@
   if (one.what == "pools" && begins)
     for (auto& node : nodes)
       if (node->up)
-        node->tell(now, [&](Nanos t) { node->told->set_pools(t, one.figure > 0 ? day.more : Given{}); });
+        node->tell(now, [&](Nanos t) { node->told->set_pools(t, one.figure > 0 ? day.more : Settings{}); });
 }
 
 void Fleet::run() {
--- a/emulator/fleet.hpp
+++ b/emulator/fleet.hpp
@@ -50,7 +50,7 @@
   std::vector<double> tenants{0.5, 0.3, 0.2};
   std::vector<double> quotas{0.4, 0.4, 0.2};
   std::vector<Fault> faults;
-  Given more;                // settings beside: pools
+  Settings more;             // settings beside: pools
   std::size_t queue = 0;     // not 0: a plain queue with this bound in the module's place (plain.hpp)
   std::vector<double> fixed; // with it: parts of slots and bound by op type
 };
