--- a/emulator/plain.hpp
+++ b/emulator/plain.hpp
@@ -20,30 +20,30 @@
     std::vector<double> parts; // of slots and bound, by op type; empty: one queue for all
     std::vector<bool> keyed;   // by op type
   };
-  Plain(Figures figures, Orders& orders);
+  Plain(Figures figures, Actions& orders);
 
-  void op_came(Nanos now, Line line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
-               Nanos limit, double held_kb, double rank, std::string_view mark, std::string_view subject,
-               Content body, Digest body_digest) override;
-  void line_lost(Nanos now, Line line) override;
+  void op_received(Nanos now, StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
+                   Nanos received_at, Nanos limit, double held_kb, double rank, std::string_view mark,
+                   std::string_view subject, Content body, Digest body_digest) override;
+  void stream_lost(Nanos now, StreamRef line) override;
   void machine_up(Nanos, Nanos) override {}
   void link_up(Nanos, StartNo) override {}
   void link_down(Nanos) override {}
-  void run_over(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) override;
+  void run_finished(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) override;
   void call_wanted(Nanos now, OpId id, Content body) override;
   void start_refused(Nanos, OpId) override {}
   void gauges(Nanos, std::span<const double>) override {}
-  void call_over(Nanos now, OpId id, Outcome outcome, Content reply) override;
+  void call_finished(Nanos now, OpId id, Outcome outcome, Content reply) override;
   void due(Nanos now) override;
-  void settle(Nanos) override {}
-  void leave(Nanos) override { leaving_ = true; }
-  void set_pools(Nanos, const Given&) override {}
+  void answer_repeats(Nanos) override {}
+  void drain(Nanos) override { leaving_ = true; }
+  void set_pools(Nanos, const Settings&) override {}
 
   Nanos next_wake() const { return dues_.empty() ? -1 : dues_.begin()->first; }
 
  private:
   struct Op {
-    Line line;
+    StreamRef line;
     OpTypeId type;
     Nanos due = 0;
     Content body, call;
@@ -64,7 +64,7 @@
   void fail(OpId id, Reason why);
 
   Figures figures_;
-  Orders& orders_;
+  Actions& actions_;
   std::vector<Queue> queues_;
   std::map<OpId, Op> ops_;
   std::map<std::string, Effect> effects_; // for a day's length: not bounded
--- a/explore/leases_world.cpp
+++ b/explore/leases_world.cpp
@@ -21,7 +21,7 @@
   return all;
 }
 // A token's beginning is what an operator's clock gives it; another with each start.
-Given figures(std::uint8_t lives) {
+Settings figures(std::uint8_t lives) {
   return {{"leases.term", static_cast<double>(term)},
           {"leases.longest_term", static_cast<double>(term)},
           {"leases.drift", drift},
@@ -30,7 +30,7 @@
 }
 
 // Writes all but lists of members, which it hands over.
-class Nameless : public Keeper<Nameless> {
+class Nameless : public Serializer<Nameless> {
   Writer out_;
   std::vector<std::vector<MemberId>>& lists_;
 
@@ -60,10 +60,10 @@
 
 } // namespace
 
-struct LeasesWorld::Orders final : LeaseOrders {
+struct LeasesWorld::Actions final : LeaseActions {
   LeasesWorld& world;
   std::size_t member;
-  Orders(LeasesWorld& w, std::size_t m) : world(w), member(m) {}
+  Actions(LeasesWorld& w, std::size_t m) : world(w), member(m) {}
   void say(Message::Kind kind, MemberId to, std::uint64_t incarnation, AskNo n, std::uint64_t token,
            Nanos span, bool wanted = false) {
     const Message one{kind,
@@ -91,7 +91,7 @@
     say(Message::Kind::refuse, to, of.raw, n, seen.raw, left);
   }
   void held(std::string_view, Token token, Nanos, Nanos until) override { world.held(member, token, until); }
-  void lost(std::string_view, Token, LostWhy) override { world.holdings_[member - voters] = {}; }
+  void lost(std::string_view, Token, LossReason) override { world.holdings_[member - voters] = {}; }
 };
 
 std::string LeasesWorld::Message::words() const {
@@ -107,11 +107,11 @@
 LeasesWorld::LeasesWorld(const Bounds& bounds) : bounds_(&bounds) {
   for (std::size_t m = 0; m < members; ++m) {
     lives_[m] = 1;
-    Orders orders(*this, m);
+    Actions orders(*this, m);
     const Nanos begun = m < voters ? -2 * term : 0;
     Leases made(begun, MemberId{static_cast<std::uint32_t>(m + 1)}, Incarnation{1}, list(), figures(1),
                 m < voters ? 1 : m, orders);
-    if (m >= voters) made.want(0, lease);
+    if (m >= voters) made.acquire(0, lease);
     keep(m, made);
   }
   if (!bounds.held) return;
@@ -129,27 +129,27 @@
   return static_cast<Nanos>(static_cast<double>(clock) / (member < voters ? 1 + drift : 1 - drift)) + 1;
 }
 
-std::unique_ptr<Leases> LeasesWorld::alive(std::size_t member, Orders& orders) const {
+std::unique_ptr<Leases> LeasesWorld::alive(std::size_t member, Actions& orders) const {
   auto made =
       std::make_unique<Leases>(clock(member), MemberId{static_cast<std::uint32_t>(member + 1)},
                                Incarnation{lives_[member]}, list(), figures(lives_[member]), 1, orders);
   Reader reader(kept_[member]);
-  made->remember(reader);
+  made->serialize(reader);
   return made;
 }
 
 void LeasesWorld::keep(std::size_t member, Leases& leases) {
   kept_[member].clear();
   Writer writer(kept_[member]);
-  leases.remember(writer);
+  leases.serialize(writer);
   if (member >= voters) {
     nameless_[member - voters].clear();
     heard_[member - voters].clear();
     Nameless beside(nameless_[member - voters], heard_[member - voters]);
-    leases.remember(beside);
+    leases.serialize(beside);
   }
   wakes_[member] = leases.next_wake();
-  ends_[member] = leases.grant_ends();
+  ends_[member] = leases.grant_expiries();
 }
 
 // Who holds believes it until its own clock says otherwise, whatever it hears meanwhile.
@@ -210,7 +210,7 @@
 LeasesWorld LeasesWorld::after(Step step) const {
   LeasesWorld world = *this;
   const auto in = [&world](std::size_t member, auto act) {
-    Orders orders(world, member);
+    Actions orders(world, member);
     const std::unique_ptr<Leases> one = world.alive(member, orders);
     act(*one, world.clock(member));
     world.keep(member, *one);
@@ -247,7 +247,7 @@
   case What::crash: {
     ++world.crashes_;
     ++world.lives_[step.which];
-    Orders orders(world, step.which);
+    Actions orders(world, step.which);
     Leases anew(world.clock(step.which), MemberId{step.which + 1}, Incarnation{world.lives_[step.which]},
                 list(), figures(world.lives_[step.which]), 1, orders);
     world.keep(step.which, anew);
--- a/explore/leases_world.hpp
+++ b/explore/leases_world.hpp
@@ -50,7 +50,7 @@
     What what;
     std::uint32_t which;
   };
-  struct Orders;
+  struct Actions;
   struct Holding {
     std::uint64_t token = 0;
     Nanos until = 0; // true time
@@ -62,7 +62,7 @@
   std::vector<Nanos> moments() const;
   Nanos clock(std::size_t member) const;
   Nanos true_time(std::size_t member, Nanos clock) const;
-  std::unique_ptr<Leases> alive(std::size_t member, Orders& orders) const;
+  std::unique_ptr<Leases> alive(std::size_t member, Actions& orders) const;
   void keep(std::size_t member, Leases& leases);
   void held(std::size_t member, Token token, Nanos until);
 
--- a/fleet/rig.cpp
+++ b/fleet/rig.cpp
@@ -150,7 +150,7 @@
   Life& life = *seat.lives.back();
   seat.life = &life;
   life.begun = now();
-  life.rules = std::make_unique<Rules>(Rules::Figures{.repeats = {Repeats::retryable, Repeats::keyed},
+  life.rules = std::make_unique<Rules>(Rules::Figures{.repeats = {RetryClass::retryable, RetryClass::keyed},
                                                       .op_timeouts = {},
                                                       .key_windows = {0, 9 * second},
                                                       .grace = 2 * second});
--- a/lab/experiment.hpp
+++ b/lab/experiment.hpp
@@ -11,7 +11,7 @@
 
 struct Policy {
   std::string name;
-  Given settings;            // of pools
+  Settings settings;         // of pools
   std::size_t queue = 0;     // a plain queue with this bound in the module's place; 0: none
   std::vector<double> fixed; // with it: parts by op type
 };
--- a/leases/clocks.hpp
+++ b/leases/clocks.hpp
@@ -9,7 +9,7 @@
 
 namespace cometshift {
 
-class CarefulClock {
+class LeaseClock {
   static constexpr Nanos window =
       1'000'000'000; // over which the two are compared: long beside the noise of readings
 
@@ -19,7 +19,7 @@
   Nanos apart_ = 0; // of the two, in the last whole window
 
  public:
-  CarefulClock(Nanos one, Nanos other)
+  LeaseClock(Nanos one, Nanos other)
       : one_at_(one), other_at_(other), early_at_(one), late_at_(one), early_(one), late_(one) {}
 
   void take(Nanos one, Nanos other) {
@@ -35,7 +35,7 @@
   }
   Nanos early() const { return early_; } // of who holds, and of all that is no promise to others
   Nanos late() const { return late_; }   // of who granted
-  Nanos apart() const { return apart_; }
+  Nanos divergence() const { return apart_; }
 };
 
 } // namespace cometshift
--- a/leases/leases.cpp
+++ b/leases/leases.cpp
@@ -23,32 +23,33 @@
 
 } // namespace
 
-std::string_view word_of(LostWhy why) {
+std::string_view to_text(LossReason why) {
   switch (why) {
-  case LostWhy::ended:
+  case LossReason::ended:
     return "ended";
-  case LostWhy::given_up:
+  case LossReason::given_up:
     return "given up";
-  case LostWhy::turn_over:
+  case LossReason::turn_over:
     return "its turn is over";
-  case LostWhy::refused_by_target:
+  case LossReason::refused_by_target:
     return "its token was refused";
   }
   return "?";
 }
 
-Leases::Leases(Nanos now, MemberId self, Incarnation incarnation, const Voters& voters, const Given& figures,
-               std::uint64_t seed, LeaseOrders& orders)
-    : orders_(orders), self_(self), incarnation_(incarnation), voters_(voters), chance_(seed) {
-  term_ = static_cast<Nanos>(needed(figures, "leases.term", static_cast<double>(ms)));
-  longest_term_ = static_cast<Nanos>(needed(figures, "leases.longest_term", static_cast<double>(term_)));
+Leases::Leases(Nanos now, MemberId self, Incarnation incarnation, const Voters& voters,
+               const Settings& figures, std::uint64_t seed, LeaseActions& orders)
+    : actions_(orders), self_(self), incarnation_(incarnation), voters_(voters), chance_(seed) {
+  term_ = static_cast<Nanos>(required_number(figures, "leases.term", static_cast<double>(ms)));
+  longest_term_ =
+      static_cast<Nanos>(required_number(figures, "leases.longest_term", static_cast<double>(term_)));
   answer_ = span(figures, "leases.answer", static_cast<double>(term_ / answer_part));
   if (answer_ < 1 || answer_ > term_) throw std::invalid_argument("setting leases.answer is senseless");
   longest_act_ = span(figures, "leases.longest_act", 0);
-  drift_ = needed(figures, "leases.drift", 0);
+  drift_ = required_number(figures, "leases.drift", 0);
   if (drift_ > most_drift) throw std::invalid_argument("setting leases.drift is senseless");
   most_terms_ = static_cast<int>(number(figures, "leases.most_terms", 0));
-  most_ = static_cast<std::size_t>(needed(figures, "leases.most", 1));
+  most_ = static_cast<std::size_t>(required_number(figures, "leases.most", 1));
   first_ = Token{static_cast<std::uint64_t>(number(figures, "leases.first_token", 0)) << member_bits};
   // Against two holders where a voter forgot what it granted: by then the longest of it is over, whatever the
   // drift, as a holder's time is shorter than its voters' by twice the bound.
@@ -90,7 +91,7 @@
 
 void Leases::asked(Nanos now, MemberId from, Incarnation of, Epoch epoch, std::string_view lease,
                    AskNo number, Token token, Nanos term) {
-  if (!voters_.grants(self_)) return;
+  if (!voters_.may_grant(self_)) return;
   // A longer term than is waited out by voters that start, or one that is no time, is none.
   if (!sensible_name(lease) || term < 0 || term > longest_term_ || token.raw == 0 || number.raw == 0)
     return void(++senseless_);
@@ -100,29 +101,29 @@
     if (grant) grant->seen = std::max(grant->seen, token);
     return;
   }
-  if (!grant) return orders_.refuse(from, of, lease, number, Token{0}, term_); // no room
+  if (!grant) return actions_.refuse(from, of, lease, number, Token{0}, term_); // no room
   // Against a majority of voters that others need no more (voters.hpp): it is to learn of their list first.
-  if (epoch < voters_.epoch()) return orders_.refuse(from, of, lease, number, Token{0}, answer_);
+  if (epoch < voters_.epoch()) return actions_.refuse(from, of, lease, number, Token{0}, answer_);
   const bool same = grant->holder == from && grant->of == of;
   // Against an old ask, or one that comes twice, which would begin again what was released or is over.
   if (same && number <= grant->last) return;
   if (!same && !grant->open(now)) {
     grant->wanted_until = now + term_;
-    return orders_.refuse(from, of, lease, number, grant->seen, grant->until - now);
+    return actions_.refuse(from, of, lease, number, grant->seen, grant->until - now);
   }
   // Who looks holds nothing: what it was granted and could not use is free again, if the word of it was lost.
   if (same && term == 0) grant->until = std::min(grant->until, now);
   // A token rises with each holder; one who holds goes on under its own, also where this voter missed some
   // renewals: nobody else was granted meanwhile.
   const bool goes_on = same && token == grant->seen;
-  if (!goes_on && token <= grant->seen) return orders_.refuse(from, of, lease, number, grant->seen, 0);
-  if (term == 0) return orders_.grant(from, of, lease, number, false);
+  if (!goes_on && token <= grant->seen) return actions_.refuse(from, of, lease, number, grant->seen, 0);
+  if (term == 0) return actions_.grant(from, of, lease, number, false);
   grant->holder = from;
   grant->of = of;
   grant->last = number;
   grant->seen = token;
   grant->until = now + term;
-  orders_.grant(from, of, lease, number, now < grant->wanted_until);
+  actions_.grant(from, of, lease, number, now < grant->wanted_until);
 }
 
 void Leases::released(Nanos now, MemberId from, Incarnation of, std::string_view lease, AskNo number) {
@@ -136,7 +137,7 @@
 
 // ---- who asks
 
-bool Leases::want(Nanos now, std::string_view lease) {
+bool Leases::acquire(Nanos now, std::string_view lease) {
   if (!sensible_name(lease)) return false;
   if (const auto at = wishes_.find(lease); at != wishes_.end()) {
     at->second.dropped = false;
@@ -164,14 +165,14 @@
   wish.block = 0;
   wish.next = now + answer_;
   for (const MemberId voter : voters_.all())
-    orders_.ask(voter, voters_.epoch(), lease, wish.number, wish.token, look ? 0 : term_);
+    actions_.ask(voter, voters_.epoch(), lease, wish.number, wish.token, look ? 0 : term_);
 }
 
 void Leases::give_back(const std::string& lease, const Wish& wish) {
-  for (const MemberId voter : voters_.all()) orders_.release(voter, lease, wish.number);
+  for (const MemberId voter : voters_.all()) actions_.release(voter, lease, wish.number);
 }
 
-void Leases::lose(Nanos now, const std::string& lease, Wish& wish, LostWhy why, Nanos rest) {
+void Leases::lose(Nanos now, const std::string& lease, Wish& wish, LossReason why, Nanos rest) {
   const Token token = wish.token;
   const bool held = wish.held;
   give_back(lease, wish);
@@ -181,7 +182,7 @@
   wish.granted.clear();
   wish.rounds = wish.terms = wish.acts = 0;
   wish.next = now + rest;
-  if (held) orders_.lost(lease, token, why);
+  if (held) actions_.lost(lease, token, why);
 }
 
 void Leases::granted(Nanos now, MemberId from, Incarnation to, std::string_view lease, AskNo number,
@@ -190,7 +191,7 @@
   if (to != incarnation_ || at == wishes_.end()) return;
   Wish& wish = at->second;
   if (number != wish.number) return; // of an ask that is over
-  if (!voters_.votes(from)) return void(++senseless_);
+  if (!voters_.is_voter(from)) return void(++senseless_);
   // Against a grant that comes when it has ended, and one that carries a holder over its own end.
   if (now >= wish.asked_at + holding_time() || (wish.held && now >= wish.until)) return;
   wish.granted.insert(from);
@@ -211,7 +212,7 @@
   }
   wish.until = until;
   wish.next = wish.asked_at + renew_after();
-  orders_.held(at->first, wish.token, wish.from, wish.until);
+  actions_.held(at->first, wish.token, wish.from, wish.until);
 }
 
 void Leases::refused(Nanos now, MemberId from, Incarnation to, std::string_view lease, AskNo number,
@@ -220,7 +221,7 @@
   if (to != incarnation_ || at == wishes_.end()) return;
   Wish& wish = at->second;
   wish.floor = std::max(wish.floor, seen);
-  if (number != wish.number || !voters_.votes(from)) return;
+  if (number != wish.number || !voters_.is_voter(from)) return;
   wish.refused_by.insert(from);
   wish.block = std::max(wish.block, now + std::clamp<Nanos>(left, 0, longest_term_));
   settle_round(now, at->first, wish);
@@ -269,7 +270,7 @@
   if (at == wishes_.end()) return;
   Wish& wish = at->second;
   wish.floor = std::max(wish.floor, seen);
-  if (wish.held && wish.token < seen) lose(now, at->first, wish, LostWhy::refused_by_target, 0);
+  if (wish.held && wish.token < seen) lose(now, at->first, wish, LossReason::refused_by_target, 0);
 }
 
 void Leases::drop(Nanos now, std::string_view lease) {
@@ -280,7 +281,7 @@
   wish.dropped = wish.held && wish.acts > 0;
   if (wish.dropped) return;
   first_ = std::max(first_, wish.token); // asked for again, it is another holding
-  lose(now, at->first, wish, LostWhy::given_up, 0);
+  lose(now, at->first, wish, LossReason::given_up, 0);
   wishes_.erase(at);
 }
 
@@ -304,30 +305,30 @@
 void Leases::due(Nanos now) {
   for (auto at = wishes_.begin(); at != wishes_.end();) {
     const bool over = at->second.dropped && now >= at->second.until;
-    if (over) lose(now, at->first, at->second, LostWhy::ended, 0);
+    if (over) lose(now, at->first, at->second, LossReason::ended, 0);
     at = over ? wishes_.erase(at) : std::next(at);
   }
   for (auto& [lease, wish] : wishes_) {
     if (wish.dropped) {
       wish.next = wish.until; // not renewed
     } else if (wish.held && now >= wish.until)
-      lose(now, lease, wish, LostWhy::ended, rest(0));
+      lose(now, lease, wish, LossReason::ended, rest(0));
     else if (wish.held && now >= wish.next && most_terms_ > 0 && wish.wanted && wish.terms >= most_terms_ &&
              wish.acts == 0)
-      lose(now, lease, wish, LostWhy::turn_over, term_);
+      lose(now, lease, wish, LossReason::turn_over, term_);
     else if (now >= wish.next)
       ask(now, lease, wish, !wish.held);
   }
 }
 
-std::vector<Nanos> Leases::grant_ends() const {
+std::vector<Nanos> Leases::grant_expiries() const {
   std::vector<Nanos> ends{silent_until_};
   for (const auto& [lease, grant] : grants_) ends.push_back(grant.until);
   return ends;
 }
 
-std::vector<Leases::Standing> Leases::standing() const {
-  std::vector<Standing> all;
+std::vector<Leases::Status> Leases::status() const {
+  std::vector<Status> all;
   for (const auto& [lease, wish] : wishes_)
     all.push_back({lease, wish.held ? wish.token : Token{0}, wish.since, wish.until, wish.rounds});
   return all;
--- a/leases/leases.hpp
+++ b/leases/leases.hpp
@@ -1,6 +1,6 @@
 // Leases: a named task of the whole fleet has one hand at a time. Each member may ask for a lease; a few
 // named members, the voters, grant it. One `Leases` is one member, voter or not. It decides only: no I/O, no
-// clock, one time with each call, and what is to be said goes out by `LeaseOrders`. docs/leases.md has the
+// clock, one time with each call, and what is to be said goes out by `LeaseActions`. docs/leases.md has the
 // ways weighed and the argument; tests/leases.cpp mirrors it, assumption by assumption.
 //
 // Why two never hold at once, in short. (1) A voter has at most one grant of a lease that is not over. (2) A
@@ -37,12 +37,12 @@
 using Token = Id<struct TokenTag, std::uint64_t>; // of a holding: greater than all before it; 0: none
 using AskNo = Id<struct AskNoTag, std::uint64_t>; // of an ask, rising in one incarnation
 
-enum class LostWhy { ended, given_up, turn_over, refused_by_target };
-std::string_view word_of(LostWhy why);
+enum class LossReason { ended, given_up, turn_over, refused_by_target };
+std::string_view to_text(LossReason why);
 
-class LeaseOrders {
+class LeaseActions {
  public:
-  virtual ~LeaseOrders() = default;
+  virtual ~LeaseActions() = default;
   // What is to be said to a voter: grant me this lease, or with a term of 0, would you; I have no use for
   // what you granted up to this ask.
   // `epoch`: of the list of voters that the asker goes by.
@@ -56,7 +56,7 @@
                       Nanos left) = 0;
   // This member may act from `from` until `until`, under this token. Told again with each renewal.
   virtual void held(std::string_view lease, Token token, Nanos from, Nanos until) = 0;
-  virtual void lost(std::string_view lease, Token token, LostWhy why) = 0;
+  virtual void lost(std::string_view lease, Token token, LossReason why) = 0;
 };
 
 class Leases {
@@ -75,18 +75,18 @@
   //   after most voters forgot, and a target's refusal puts it right
   // - leases.most: names that are known at once, as a voter and as one who asks, each
   // Who votes is asked of `voters` at each step.
-  Leases(Nanos now, MemberId self, Incarnation incarnation, const Voters& voters, const Given& figures,
-         std::uint64_t seed, LeaseOrders& orders);
+  Leases(Nanos now, MemberId self, Incarnation incarnation, const Voters& voters, const Settings& figures,
+         std::uint64_t seed, LeaseActions& orders);
   Leases(const Leases&) = delete;
   Leases& operator=(const Leases&) = delete;
 
   // Tokens that this member asks for are over this one's, which goes on as `leases.first_token` does: against
   // voters that have seen none of those before, as where the list of voters was changed.
-  void count(std::uint64_t at_least) { counted_ = std::max(counted_, at_least); }
+  void raise_token_counter(std::uint64_t at_least) { counted_ = std::max(counted_, at_least); }
 
   // ---- what this member wants
   // Asks for a lease until it is dropped. False: no room for another name.
-  bool want(Nanos now, std::string_view lease);
+  bool acquire(Nanos now, std::string_view lease);
   void drop(Nanos now, std::string_view lease); // gives it up at once, if it is held
   void leave(Nanos now);                        // all of them: this member is about to go
   // May an act that takes `act` at the most begin now? Its token, or Token{0}.
@@ -109,21 +109,21 @@
   Nanos next_wake() const; // -1: none
   void due(Nanos now);
 
-  struct Standing { // of a lease that this member wants
+  struct Status { // of a lease that this member wants
     std::string lease;
     Token token{0}; // 0: not held
     Nanos since = 0, until = 0;
     int rounds = 0; // of asking since it was last held, or since it was wanted
   };
-  std::vector<Standing> standing() const;
-  bool silent(Nanos now) const { return voters_.grants(self_) && now < silent_until_; }
+  std::vector<Status> status() const;
+  bool silent(Nanos now) const { return voters_.may_grant(self_) && now < silent_until_; }
   std::uint64_t senseless() const { return senseless_; }
 
   // All that it remembers, to bytes and back (serializer.hpp), into one that was made with the same settings.
-  template <class Keeper>
-  void remember(Keeper& keeper);
+  template <class Serializer>
+  void serialize(Serializer& serializer);
   // When something changes by itself: ends of grants by the voter's clock, all else by that of who asks.
-  std::vector<Nanos> grant_ends() const;
+  std::vector<Nanos> grant_expiries() const;
 
  private:
   // A voter's: who has a lease of it.
@@ -135,9 +135,9 @@
     Token seen{0}; // the greatest that was granted
     Nanos wanted_until = 0;
     bool open(Nanos now) const { return now >= until; }
-    template <class Keeper>
-    void remember(Keeper& keeper) {
-      keeper(holder, of, last, until, seen, wanted_until);
+    template <class Serializer>
+    void serialize(Serializer& serializer) {
+      serializer(holder, of, last, until, seen, wanted_until);
     }
   };
   // What this member wants.
@@ -155,17 +155,17 @@
     Nanos next = 0;  // ask, renew or look again
     Nanos block = 0; // until then a grant is known to stand in the way
     int rounds = 0, terms = 0;
-    template <class Keeper>
-    void remember(Keeper& keeper) {
-      keeper(number, asked_at, token, floor, granted, refused_by, held, wanted, looking, dropped, acts, since,
-             from, until, next, block, rounds, terms);
+    template <class Serializer>
+    void serialize(Serializer& serializer) {
+      serializer(number, asked_at, token, floor, granted, refused_by, held, wanted, looking, dropped, acts,
+                 since, from, until, next, block, rounds, terms);
     }
   };
   using Wishes = std::map<std::string, Wish, std::less<>>;
 
   void ask(Nanos now, const std::string& lease, Wish& wish, bool look);
   void give_back(const std::string& lease, const Wish& wish);
-  void lose(Nanos now, const std::string& lease, Wish& wish, LostWhy why, Nanos rest);
+  void lose(Nanos now, const std::string& lease, Wish& wish, LossReason why, Nanos rest);
   void settle_round(Nanos now, const std::string& lease, Wish& wish);
   Token next_token(const Wish& wish) const;
   Nanos rest(int rounds); // drawn by chance, longer with each round lost
@@ -173,7 +173,7 @@
   Nanos renew_after();
   Grant* grant_for(Nanos now, std::string_view lease);
 
-  LeaseOrders& orders_;
+  LeaseActions& actions_;
   MemberId self_;
   Incarnation incarnation_;
   const Voters& voters_;
@@ -191,9 +191,9 @@
   Wishes wishes_;
 };
 
-template <class Keeper>
-void Leases::remember(Keeper& keeper) {
-  keeper(chance_, first_, counted_, silent_until_, asks_, senseless_, grants_, wishes_);
+template <class Serializer>
+void Leases::serialize(Serializer& serializer) {
+  serializer(chance_, first_, counted_, silent_until_, asks_, senseless_, grants_, wishes_);
 }
 
 } // namespace cometshift
--- a/leases/tasks.cpp
+++ b/leases/tasks.cpp
@@ -18,22 +18,22 @@
 
 } // namespace
 
-std::string_view word_of(TaskEnd end) {
+std::string_view to_text(TaskOutcome end) {
   switch (end) {
-  case TaskEnd::done:
+  case TaskOutcome::done:
     return "done";
-  case TaskEnd::failed:
+  case TaskOutcome::failed:
     return "failed";
-  case TaskEnd::unknown:
+  case TaskOutcome::unknown:
     return "unknown";
-  case TaskEnd::refused:
+  case TaskOutcome::refused:
     return "refused";
   }
   return "?";
 }
 
-Tasks::Tasks(Nanos now, const Given& figures, Leases& leases, TaskOrders& orders)
-    : leases_(leases), orders_(orders) {
+Tasks::Tasks(Nanos now, const Settings& figures, Leases& leases, TaskActions& orders)
+    : leases_(leases), actions_(orders) {
   at_once_ = static_cast<int>(number(figures, "tasks.at_once", 4));
   if (at_once_ < 1) throw std::invalid_argument("setting tasks.at_once is senseless");
   for (int t = 0;; ++t) {
@@ -42,8 +42,8 @@
     if (name.empty()) break;
     Task task;
     task.name = name;
-    task.every = static_cast<Nanos>(needed(figures, at + "every", static_cast<double>(ms)));
-    task.limit = static_cast<Nanos>(needed(figures, at + "limit", static_cast<double>(ms)));
+    task.every = static_cast<Nanos>(required_number(figures, at + "every", static_cast<double>(ms)));
+    task.limit = static_cast<Nanos>(required_number(figures, at + "limit", static_cast<double>(ms)));
     if (task.limit > task.every) throw std::invalid_argument("setting " + at + "limit is senseless");
     task.priority = static_cast<int>(number(figures, at + "priority", 0));
     task.most_an_hour = number(figures, at + "most_an_hour", 0);
@@ -52,7 +52,7 @@
     task.tokens = std::max(1.0, task.most_an_hour / burst_an_hour);
     task.filled_at = now;
     task.next = now;
-    if (!leases_.want(now, name)) throw std::invalid_argument("setting " + at + "name is senseless");
+    if (!leases_.acquire(now, name)) throw std::invalid_argument("setting " + at + "name is senseless");
     tasks_.push_back(std::move(task));
   }
 }
@@ -89,27 +89,27 @@
     if (task.name == lease) task.from = -1;
 }
 
-void Tasks::ended(Nanos now, TaskId id, Token token, TaskEnd end, Token seen) {
+void Tasks::ended(Nanos now, TaskId id, Token token, TaskOutcome end, Token seen) {
   Task& task = tasks_[id.raw];
   if (task.running != token) return;
   task.running = Token{0};
   --running_;
   leases_.end_act(now, task.name, token);
   switch (end) {
-  case TaskEnd::done:
+  case TaskOutcome::done:
     ++task.done;
     task.failures = 0;
     task.rest = 0;
     task.told = std::max(task.told, token);
     done_at(now, task, now);
-    orders_.tell_done(id, token);
+    actions_.notify_done(id, token);
     return;
-  case TaskEnd::refused:
+  case TaskOutcome::refused:
     ++task.refused;
     leases_.refused_by_target(now, task.name, seen);
     return;
-  case TaskEnd::failed:
-  case TaskEnd::unknown:
+  case TaskOutcome::failed:
+  case TaskOutcome::unknown:
     ++task.failed;
     task.next = now + task.every; // a failure is no reason to ask sooner
     if (++task.failures < failures_in_a_row || leaving_) return;
@@ -117,12 +117,12 @@
     task.rest = std::clamp(2 * task.rest, rest_periods * task.every, most_rest_periods * task.every);
     task.rests_until = now + task.rest;
     leases_.drop(now, task.name);
-    orders_.resting(id, task.rest);
+    actions_.released_after_failures(id, task.rest);
     return;
   }
 }
 
-void Tasks::heard_done(Nanos now, std::string_view name, Token token, Nanos ago) {
+void Tasks::completed_elsewhere(Nanos now, std::string_view name, Token token, Nanos ago) {
   for (Task& task : tasks_) {
     if (task.name != name) continue;
     // Against word of an earlier holder that comes late, and against a time that can't be.
@@ -155,7 +155,7 @@
     Task& task = tasks_[t];
     if (task.rests_until >= 0 && now >= task.rests_until) {
       task.rests_until = -1;
-      leases_.want(now, task.name);
+      leases_.acquire(now, task.name);
     }
     if (task.running.raw == 0 && task.from >= 0 && now >= task.from && now >= task.next) ready.push_back(t);
   }
@@ -180,12 +180,12 @@
     task.running = token;
     ++running_;
     ++task.begun;
-    orders_.begin(TaskId{t}, token, task.limit);
+    actions_.begin(TaskId{t}, token, task.limit);
   }
 }
 
-std::vector<Tasks::Standing> Tasks::standing() const {
-  std::vector<Standing> all;
+std::vector<Tasks::Status> Tasks::status() const {
+  std::vector<Status> all;
   for (const Task& task : tasks_)
     all.push_back({task.name, task.running.raw != 0, task.limit, task.last, task.next, task.begun, task.done,
                    task.failed, task.refused, task.missed});
--- a/leases/tasks.hpp
+++ b/leases/tasks.hpp
@@ -1,6 +1,7 @@
 // Periodic tasks of the whole fleet: each is done by whoever holds its lease, at most once at a time, in its
 // period, under its token. Decides only, as leases.hpp does: no I/O, no clock, one time with each call; what
-// is to be done goes out by `TaskOrders`. docs/leases.md says which guarantee holds for which kind of target.
+// is to be done goes out by `TaskActions`. docs/leases.md says which guarantee holds for which kind of
+// target.
 //
 // A task that is due is begun only if its longest time ends within the holding, most important first, so many
 // at once. Who fails at it several times in a row lets it go for a while, so that another tries: it may be
@@ -19,17 +20,19 @@
 
 using TaskId = Id<struct TaskIdTag, std::uint32_t>; // index into the tasks
 
-enum class TaskEnd { done, failed, unknown, refused }; // unknown: it may have had its effect
-std::string_view word_of(TaskEnd end);
+enum class TaskOutcome { done, failed, unknown, refused }; // unknown: it may have had its effect
+std::string_view to_text(TaskOutcome end);
 
-class TaskOrders {
+class TaskActions {
  public:
-  virtual ~TaskOrders() = default;
+  virtual ~TaskActions() = default;
   // To be done now, over within `limit`; ends by `Tasks::ended`.
   virtual void begin(TaskId task, Token token, Nanos limit) = 0;
   // All others are to hear that it was done just now.
-  virtual void tell_done(TaskId task, Token token) = 0;
-  virtual void resting(TaskId task, Nanos rest) = 0; // let go after failures, asked for again after the rest
+  virtual void notify_done(TaskId task, Token token) = 0;
+  virtual void
+  released_after_failures(TaskId task,
+                          Nanos rest) = 0; // let go after failures, asked for again after the rest
 };
 
 class Tasks {
@@ -41,25 +44,26 @@
   // - task.N.most_an_hour: how often this member may begin it; 0: no bound
   // - task.N.catch_up: 1: periods that were missed are done later, one after the other, some at the most
   // - tasks.at_once: that this member does at once
-  Tasks(Nanos now, const Given& figures, Leases& leases, TaskOrders& orders);
+  Tasks(Nanos now, const Settings& figures, Leases& leases, TaskActions& orders);
 
   // What the leases have ordered: from when a lease may be acted under, or that it is gone.
   void held(std::string_view lease, Nanos from);
   void lost(std::string_view lease);
-  void ended(Nanos now, TaskId task, Token token, TaskEnd end, Token seen); // seen: of a target that refused
-  void heard_done(Nanos now, std::string_view name, Token token, Nanos ago);
+  void ended(Nanos now, TaskId task, Token token, TaskOutcome end,
+             Token seen); // seen: of a target that refused
+  void completed_elsewhere(Nanos now, std::string_view name, Token token, Nanos ago);
   void leave(Nanos now); // begins none any more
 
   Nanos next_wake() const; // -1: none but by a change of what is held
   void due(Nanos now);
 
-  struct Standing {
+  struct Status {
     std::string name;
     bool running = false;
     Nanos limit = 0, last = -1, next = 0;
     std::uint64_t begun = 0, done = 0, failed = 0, refused = 0, missed = 0;
   };
-  std::vector<Standing> standing() const;
+  std::vector<Status> status() const;
   const std::string& name(TaskId task) const { return tasks_[task.raw].name; }
 
  private:
@@ -85,7 +89,7 @@
   void fill(Nanos now, Task& task);
 
   Leases& leases_;
-  TaskOrders& orders_;
+  TaskActions& actions_;
   std::vector<Task> tasks_;
   int at_once_, running_ = 0;
   bool leaving_ = false;
--- a/leases/trials.cpp
+++ b/leases/trials.cpp
@@ -8,24 +8,24 @@
 constexpr double least_unheard_terms = 2; // a holder may be lost, and the next one found, in between
 } // namespace
 
-Trials::Trials(const Given& figures, std::string lease, Leases& leases, std::uint64_t seed,
-               TrialOrders& orders)
-    : leases_(leases), orders_(orders), lease_(std::move(lease)), chance_(seed) {
-  const double term = needed(figures, "leases.term", 1);
-  unheard_ = static_cast<Nanos>(needed(figures, "trials.unheard", least_unheard_terms * term));
+Trials::Trials(const Settings& figures, std::string lease, Leases& leases, std::uint64_t seed,
+               TrialActions& orders)
+    : leases_(leases), actions_(orders), lease_(std::move(lease)), chance_(seed) {
+  const double term = required_number(figures, "leases.term", 1);
+  unheard_ = static_cast<Nanos>(required_number(figures, "trials.unheard", least_unheard_terms * term));
   spread_ = span(figures, "trials.spread", 0);
 }
 
 void Trials::wait(Nanos until) {
   until_ = until;
-  orders_.others_try(until);
+  actions_.others_try(until);
 }
 
 void Trials::stopped(Nanos now) {
   if (stopped_at_ >= 0) return;
   stopped_at_ = now;
   latest_ = Token{0};
-  if (!leases_.want(now, lease_)) return; // no room for its name: each for itself
+  if (!leases_.acquire(now, lease_)) return; // no room for its name: each for itself
   wait(now + unheard_);
 }
 
@@ -48,7 +48,7 @@
 
 void Trials::went(Nanos now, bool good) {
   if (stopped_at_ < 0) return;
-  orders_.tell(good, mine_);
+  actions_.tell(good, mine_);
   if (good) end(now);
 }
 
@@ -69,7 +69,7 @@
 void Trials::due(Nanos now) {
   if (back_at_ < 0 || now < back_at_) return;
   end(now);
-  orders_.below_is_back();
+  actions_.below_is_back();
 }
 
 } // namespace cometshift
--- a/leases/trials.hpp
+++ b/leases/trials.hpp
@@ -14,9 +14,9 @@
 
 namespace cometshift {
 
-class TrialOrders {
+class TrialActions {
  public:
-  virtual ~TrialOrders() = default;
+  virtual ~TrialActions() = default;
   virtual void
   others_try(Nanos until) = 0; // this server makes no trial before then; a time that is past: it may
   virtual void
@@ -30,7 +30,8 @@
   // - trials.unheard: after so long without a word of whoever tries, this server tries for itself; at least
   // two terms
   // - trials.spread: over which servers come back after a good word, by chance: against all at once
-  Trials(const Given& figures, std::string lease, Leases& leases, std::uint64_t seed, TrialOrders& orders);
+  Trials(const Settings& figures, std::string lease, Leases& leases, std::uint64_t seed,
+         TrialActions& orders);
 
   void stopped(Nanos now);         // calls have stopped here
   void went(Nanos now, bool good); // a trial of this server's has ended, or calls go again by themselves
@@ -48,7 +49,7 @@
   void end(Nanos now);
 
   Leases& leases_;
-  TrialOrders& orders_;
+  TrialActions& actions_;
   std::string lease_;
   Pcg chance_;
   Nanos unheard_, spread_;
--- a/leases/voters.cpp
+++ b/leases/voters.cpp
@@ -37,7 +37,7 @@
 }
 
 // Against a list that leaves out a step: between this one and it no majorities need meet.
-std::string_view Voters::take(Nanos now, VoterList on_file) {
+std::string_view Voters::apply_file(Nanos now, VoterList on_file) {
   if (!sensible(on_file)) return "senseless";
   if (on_file.epoch < list_.epoch) return "its epoch is past";
   if (on_file.epoch == list_.epoch) {
@@ -55,7 +55,7 @@
   return {};
 }
 
-void Voters::heard(Nanos now, MemberId from, Epoch on_file) {
+void Voters::file_epoch_received(Nanos now, MemberId from, Epoch on_file) {
   if (files_.size() >= most_known && !files_.contains(from)) return;
   Epoch& known = files_[from];
   known = std::max(known, on_file);
@@ -64,7 +64,7 @@
 
 // A newer list is what others go by: asks under an older one come to nothing more and more. Whatever epochs
 // lie between, those who made it have seen them settled.
-void Voters::learnt(Nanos now, const VoterList& list) {
+void Voters::list_received(Nanos now, const VoterList& list) {
   if (sensible(list) && list.epoch > list_.epoch) go_by(now, list);
 }
 
@@ -82,7 +82,7 @@
   all_ = list_.voters;
 }
 
-void Voters::passed(Nanos now) {
+void Voters::advance_time(Nanos now) {
   if (alone_at_ >= 0) look(now);
 }
 
--- a/leases/voters.hpp
+++ b/leases/voters.hpp
@@ -39,23 +39,23 @@
   Voters(Nanos now, MemberId self, VoterList on_file, Nanos settle);
 
   // The file was read again. Empty: it is taken; else why not, and nothing has changed.
-  std::string_view take(Nanos now, VoterList on_file);
+  std::string_view apply_file(Nanos now, VoterList on_file);
   // What another member tells: the epoch of the list that it has on file, and the list that it goes by, which
   // is taken if it is newer, but not as on file.
-  void heard(Nanos now, MemberId from, Epoch on_file);
-  void learnt(Nanos now, const VoterList& list);
-  void passed(Nanos now);  // time goes on: what waits for it is looked at
-  Nanos next_wake() const; // -1: nothing waits
+  void file_epoch_received(Nanos now, MemberId from, Epoch on_file);
+  void list_received(Nanos now, const VoterList& list);
+  void advance_time(Nanos now); // time goes on: what waits for it is looked at
+  Nanos next_wake() const;      // -1: nothing waits
 
   Epoch epoch() const { return list_.epoch; }
   Epoch on_file() const { return on_file_; }
   const VoterList& list() const { return list_; }
   bool joint() const { return joint_; } // majorities of both are needed
-  bool votes(MemberId member) const {
+  bool is_voter(MemberId member) const {
     return all_.contains(member);
   }                                                      // may grant: of either list, while joint
   const std::set<MemberId>& all() const { return all_; } // whom to ask
-  bool grants(MemberId member) const {                   // asked by those who are not as far as this one, too
+  bool may_grant(MemberId member) const {                // asked by those who are not as far as this one, too
     return list_.voters.contains(member) || list_.previous.contains(member);
   }
   bool enough(const std::set<MemberId>& granted) const;
--- a/load/callers.cpp
+++ b/load/callers.cpp
@@ -186,7 +186,7 @@
   c.open.clear();
   connections_.erase(c.id);
   for (const auto& [stream, one] : open) {
-    rules_.line_lost({ConnectionId{c.id}, StreamId{stream}});
+    rules_.stream_lost({ConnectionId{c.id}, StreamId{stream}});
     if (!one.given_up) follow(one.request, Demand::Answer::none, 0, false);
   }
 }
@@ -204,7 +204,7 @@
   std::string_view rest = frame.substr(head + 1);
   unsigned fields = static_cast<unsigned char>(rest.front());
   rest.remove_prefix(1);
-  Nanos stay_away = 0;
+  Nanos retry_after = 0;
   bool not_elsewhere = false;
   for (; fields > 0 && !rest.empty(); --fields) {
     const std::size_t name_size = static_cast<unsigned char>(rest.front());
@@ -216,7 +216,7 @@
     if (name == "later") {
       std::int64_t later = 0;
       std::from_chars(value.data(), value.data() + value.size(), later);
-      stay_away = later * ms;
+      retry_after = later * ms;
     }
     if (name == "giveup") not_elsewhere = value == "1";
     rest.remove_prefix(3 + name_size + size);
@@ -225,10 +225,10 @@
            code == 0    ? Demand::Answer::served
            : code == 14 ? Demand::Answer::refused
                         : Demand::Answer::failed,
-           stay_away, not_elsewhere, rest);
+           retry_after, not_elsewhere, rest);
 }
 
-void Callers::answered(Connection& c, std::uint32_t stream, Demand::Answer answer, Nanos stay_away,
+void Callers::answered(Connection& c, std::uint32_t stream, Demand::Answer answer, Nanos retry_after,
                        bool not_elsewhere, std::string_view body) {
   const auto at = c.open.find(stream);
   if (at == c.open.end()) return;
@@ -246,13 +246,13 @@
       made = made || (ran_.contains(tried) && body == "result of " + hex(tried));
     wrong_results_ += !made;
   }
-  if (!one.given_up) follow(one.request, answer, stay_away, not_elsewhere);
+  if (!one.given_up) follow(one.request, answer, retry_after, not_elsewhere);
 }
 
-void Callers::follow(RequestId id, Demand::Answer answer, Nanos stay_away, bool not_elsewhere) {
+void Callers::follow(RequestId id, Demand::Answer answer, Nanos retry_after, bool not_elsewhere) {
   Request* request = demand_.find(id);
   if (!request || request->over) return;
-  const Demand::Next next = demand_.after(*request, answer, now(), stay_away, not_elsewhere);
+  const Demand::Next next = demand_.after(*request, answer, now(), retry_after, not_elsewhere);
   if (!next.again) return finish(*request, answer, now());
   auto timer = std::make_shared<asio::steady_timer>(io_, std::chrono::nanoseconds(next.after));
   timer->async_wait([this, timer, id](asio::error_code error) {
--- a/load/callers.hpp
+++ b/load/callers.hpp
@@ -70,11 +70,11 @@
   void send(Request& request);
   void flush(Held c);
   void frame(Connection& c, std::string_view frame);
-  void answered(Connection& c, std::uint32_t stream, Demand::Answer answer, Nanos stay_away,
+  void answered(Connection& c, std::uint32_t stream, Demand::Answer answer, Nanos retry_after,
                 bool not_elsewhere, std::string_view body);
   void end(Connection& c);
   void finish(Request& request, Demand::Answer answer, Nanos now);
-  void follow(RequestId id, Demand::Answer answer, Nanos stay_away, bool not_elsewhere);
+  void follow(RequestId id, Demand::Answer answer, Nanos retry_after, bool not_elsewhere);
   Nanos now() const;
 
   asio::io_context& io_;
--- a/load/demand.cpp
+++ b/load/demand.cpp
@@ -65,7 +65,8 @@
 
 // A balancer that resends does so at once and on the client's account; then the client asks by itself,
 // rested, while there is time and while it was not told that nothing else will help.
-Demand::Next Demand::after(Request& request, Answer answer, Nanos now, Nanos stay_away, bool not_elsewhere) {
+Demand::Next Demand::after(Request& request, Answer answer, Nanos now, Nanos retry_after,
+                           bool not_elsewhere) {
   const Kind& kind = kinds_[request.kind];
   const Nanos left = request.asked + kind.limit - now;
   if (answer == Answer::served || left <= 0) return {};
@@ -78,7 +79,7 @@
       (not_elsewhere && figures_.heeds && answer == Answer::refused && kind.limit / 2 > left))
     return {};
   Nanos rest = client_rest * request.client_tries + static_cast<Nanos>(chance_.unit() * client_rest);
-  if (figures_.heeds) rest = std::max(rest, stay_away);
+  if (figures_.heeds) rest = std::max(rest, retry_after);
   if (rest >= left) return {};
   ++request.tries;
   ++request.client_tries;
--- a/load/demand.hpp
+++ b/load/demand.hpp
@@ -61,7 +61,7 @@
     Nanos after = 0;
   };
   // What comes after a try's end, `now` from the beginning: it may be tried again, which counts.
-  Next after(Request& request, Answer answer, Nanos now, Nanos stay_away, bool not_elsewhere);
+  Next after(Request& request, Answer answer, Nanos now, Nanos retry_after, bool not_elsewhere);
   std::uint64_t next_txn() { return static_cast<std::uint64_t>(chance_.next()) << 32 | (chance_.next() | 1); }
 
   const std::vector<Kind>& kinds() const { return kinds_; }
--- a/load/main.cpp
+++ b/load/main.cpp
@@ -55,7 +55,7 @@
   const auto at = [&](unsigned short port) {
     return asio::ip::tcp::endpoint(asio::ip::address_v4(host), port);
   };
-  Rules rules({.repeats = {Repeats::retryable, Repeats::keyed},
+  Rules rules({.repeats = {RetryClass::retryable, RetryClass::keyed},
                .op_timeouts = {},
                .key_windows = {0, 9 * second},
                .grace = 2 * second});
--- a/node/clock.hpp
+++ b/node/clock.hpp
@@ -25,7 +25,7 @@
   }
   void next_turn() { known_ = false; }
   // Of a time that others took from the system's clock.
-  Nanos of(Nanos theirs) const { return theirs + shift_; }
+  Nanos from_system(Nanos theirs) const { return theirs + shift_; }
 };
 
 } // namespace cometshift
--- a/node/configuration.cpp
+++ b/node/configuration.cpp
@@ -51,7 +51,7 @@
 }
 
 // What the module can't do without, by the names under which it is told.
-void check(const Given& given, const std::string& path) {
+void check(const Settings& given, const std::string& path) {
   const auto needs = [&](const std::string& ours, const std::string& wire, double least) {
     if (!given.contains(ours)) bad(path + wire, "missing");
     if (number(given, ours, 0) < least) bad(path + wire, "out of range");
@@ -101,14 +101,14 @@
 
 } // namespace
 
-Given configuration_in(std::string_view json) {
+Settings parse_configuration(std::string_view json) {
   simdjson::dom::parser parser;
   element all;
   if (parser.parse(json.data(), json.size()).get(all) != simdjson::SUCCESS) bad("configuration", "not JSON");
   object top;
   if (all.get(top) != simdjson::SUCCESS) bad("configuration", "not an object");
 
-  Given given = given_by(part(top, "settings"), "settings.");
+  Settings given = parse_settings(part(top, "settings"), "settings.");
   check(given, "settings.");
   given["name"] = word(top, "name");
   for (const char c : text(given, "name", ""))
@@ -135,11 +135,11 @@
   return given;
 }
 
-Given read_configuration(const std::string& path) {
+Settings read_configuration(const std::string& path) {
   simdjson::padded_string json;
   if (simdjson::padded_string::load(path).get(json) != simdjson::SUCCESS)
     throw std::invalid_argument("configuration " + path + ": can't be read");
-  return configuration_in(json);
+  return parse_configuration(json);
 }
 
 } // namespace cometshift
--- a/node/frames.cpp
+++ b/node/frames.cpp
@@ -44,10 +44,10 @@
   for (std::size_t i = 0; i < 4; ++i, length >>= 8) out[start + i] = static_cast<char>(length & 0xff);
 }
 
-void put_no_more(std::string& out) { put_frame(out, no_more, 0, {}); }
+void put_no_more(std::string& out) { put_frame(out, go_away, 0, {}); }
 
 void put_frame(std::string& out, Type type, std::uint32_t stream, std::string_view payload) {
-  put_number(out, least_length + payload.size(), 4);
+  put_number(out, min_length + payload.size(), 4);
   put_number(out, type, 1);
   put_number(out, stream, 4);
   out += payload;
--- a/node/frames.hpp
+++ b/node/frames.hpp
@@ -13,37 +13,37 @@
 namespace cometshift::frames {
 
 enum Type : std::uint8_t {
-  ask = 10,
-  answer = 11,
-  check = 20,
-  checked = 21,
-  no_more = 30,
+  request = 10,
+  response = 11,
+  health_check = 20,
+  health_response = 21,
+  go_away = 30,
   peer_hello = 40, // between servers of a fleet only (peers/)
-  peer_letter = 41
+  peer_message = 41
 };
-enum Code : std::uint8_t { good = 0, bad = 1, failed = 2, refused = 14 };
+enum Code : std::uint8_t { ok = 0, unhealthy = 1, failed = 2, refused = 14 };
 
-constexpr std::size_t head_size = 9; // of a frame, its length included
-constexpr std::uint32_t least_length = 5;
-constexpr std::uint32_t most_length = 262'144;
+constexpr std::size_t header_size = 9; // of a frame, its length included
+constexpr std::uint32_t min_length = 5;
+constexpr std::uint32_t max_length = 262'144;
 
-inline std::uint32_t number_at(const char* at, int bytes) {
+inline std::uint32_t read_le(const char* at, int bytes) {
   std::uint32_t value = 0;
   for (int i = bytes; i-- > 0;) value = value << 8 | static_cast<unsigned char>(at[i]);
   return value;
 }
-inline bool possible(std::uint32_t length) { return length >= least_length && length <= most_length; }
+inline bool is_valid_length(std::uint32_t length) { return length >= min_length && length <= max_length; }
 
 // Hands each field to `each(name, value)`; what follows the fields is left in `rest`. False if they overrun
 // the payload.
 template <class Each>
-bool fields(std::string_view payload, Each each, std::string_view& rest) {
+bool for_each_field(std::string_view payload, Each each, std::string_view& rest) {
   if (payload.empty()) return false;
   unsigned count = static_cast<unsigned char>(payload.front());
   payload.remove_prefix(1);
   const auto cut = [&payload](int size_bytes, std::string_view& out) {
     if (payload.size() < static_cast<std::size_t>(size_bytes)) return false;
-    const std::size_t size = number_at(payload.data(), size_bytes);
+    const std::size_t size = read_le(payload.data(), size_bytes);
     payload.remove_prefix(static_cast<std::size_t>(size_bytes));
     if (payload.size() < size) return false;
     out = payload.substr(0, size);
--- a/node/front.cpp
+++ b/node/front.cpp
@@ -32,7 +32,7 @@
 } // namespace
 
 Front::Front(asio::io_context& io, const std::string& listen, std::size_t most_connections,
-             std::size_t most_waiting, Names names, Taker& taker)
+             std::size_t most_waiting, Names names, Handler& taker)
     : io_(io), acceptor_(io), retry_(io), most_connections_(most_connections), most_waiting_(most_waiting),
       names_(std::move(names)), taker_(taker) {
   try {
@@ -169,7 +169,7 @@
   const ConnectionId id = c.id;
   waiting_ -= c.waiting;
   connections_.erase(id);
-  for (const StreamId stream : open) taker_.line_lost({id, stream});
+  for (const StreamId stream : open) taker_.stream_lost({id, stream});
 }
 
 // A frame that is on its way has its time, also past the end: its caller wrote no new one.
@@ -284,20 +284,20 @@
       continue;
     }
     if (left < 4) break;
-    const std::uint32_t length = frames::number_at(c.in.get() + from, 4);
-    if (!frames::possible(length)) {
+    const std::uint32_t length = frames::read_le(c.in.get() + from, 4);
+    if (!frames::is_valid_length(length)) {
       unreadable(c, "a length out of range");
       continue;
     }
     const std::size_t size = length + 4;
     const bool whole = size <= kept_bytes / 2; // what is larger is not kept: only its head counts
-    if (left < (whole ? size : frames::head_size)) break;
+    if (left < (whole ? size : frames::header_size)) break;
     const char* at = c.in.get() + from;
-    const std::string_view payload(at + frames::head_size, whole ? size - frames::head_size : 0);
-    if (!frame(c, static_cast<std::uint8_t>(at[4]), StreamId{frames::number_at(at + 5, 4)}, payload, whole))
+    const std::string_view payload(at + frames::header_size, whole ? size - frames::header_size : 0);
+    if (!frame(c, static_cast<std::uint8_t>(at[4]), StreamId{frames::read_le(at + 5, 4)}, payload, whole))
       continue;
-    from += whole ? size : frames::head_size;
-    if (!whole) c.skip = size - frames::head_size;
+    from += whole ? size : frames::header_size;
+    if (!whole) c.skip = size - frames::header_size;
     c.heard = true;
     c.last = now_;
     c.begun = c.skip > 0 || from < c.filled ? now_ : -1;
@@ -311,13 +311,14 @@
 bool Front::unreadable(Connection& c, const char* why) {
   note("frame", "connection %llu: %s", static_cast<unsigned long long>(c.id.raw), why);
   c.input_ignored = true;
-  say(c,
-      [](std::string& out) { frames::put_answer(out, frames::answer, 0, frames::failed, -1, 0, false, 0); });
+  say(c, [](std::string& out) {
+    frames::put_answer(out, frames::response, 0, frames::failed, -1, 0, false, 0);
+  });
   tell_no_more(c);
   return false;
 }
 
-void Front::penalize(Line line) {
+void Front::penalize(StreamRef line) {
   const auto at = connections_.find(line.connection);
   if (at != connections_.end() && ++at->second->penalties == most_penalties_)
     unreadable(*at->second, "too many ops that can't be taken");
@@ -339,14 +340,14 @@
   // have been on the way.
   if (c.draining_since >= 0 && now_ - c.draining_since >= leave_to_end_ && ++c.past_end > most_penalties_)
     return unreadable(c, "goes on after its end");
-  if (type == frames::ask) return ask(c, stream, payload, whole);
-  if (type != frames::check) return unreadable(c, "an unknown type");
+  if (type == frames::request) return ask(c, stream, payload, whole);
+  if (type != frames::health_check) return unreadable(c, "an unknown type");
   std::string_view rest;
   const auto ignore = [](std::string_view, std::string_view) {};
-  if (whole && !frames::fields(payload, ignore, rest)) return unreadable(c, overrun);
+  if (whole && !frames::for_each_field(payload, ignore, rest)) return unreadable(c, overrun);
   say(c, [&](std::string& out) {
-    frames::put_answer(out, frames::checked, stream.raw, good_ ? frames::good : frames::bad, feedback_, 0,
-                       false, 0);
+    frames::put_answer(out, frames::health_response, stream.raw, good_ ? frames::ok : frames::unhealthy,
+                       feedback_, 0, false, 0);
   });
   return true;
 }
@@ -366,8 +367,8 @@
     there[at] = true;
     value[at] = text;
   };
-  const bool readable = !whole || frames::fields(payload, take, body);
-  const auto& [verb, txn, door, lb, team, limit, ram, standing, unique, item] = value;
+  const bool readable = !whole || frames::for_each_field(payload, take, body);
+  const auto& [verb, txn, received_at, lb, team, limit, ram, standing, unique, item] = value;
   if (!readable) return unreadable(c, overrun);
   if (!use_stream(c, stream)) return unreadable(c, "a stream used twice");
   if (!whole) return refuse(c, stream, "too large");
@@ -383,8 +384,8 @@
   std::uint64_t id = 0;
   std::int64_t door_ms = 0, limit_ms = 0, caller = 0;
   double kb = 0, rank = 0;
-  if (!read_hex(txn, id) || id == no_op.raw) return refuse(c, stream, "txn");
-  if (!frames::read_whole(door, door_ms) || door_ms < 0 || door_ms > latest_time)
+  if (!read_hex(txn, id) || id == no_op_id.raw) return refuse(c, stream, "txn");
+  if (!frames::read_whole(received_at, door_ms) || door_ms < 0 || door_ms > latest_time)
     return refuse(c, stream, "door");
   if (!frames::read_whole(lb, caller) || caller < 0) return refuse(c, stream, "lb");
   if (there[5] ? !frames::read_whole(limit, limit_ms) || limit_ms <= 0 || limit_ms > latest_time
@@ -396,7 +397,7 @@
     return refuse(c, stream, "unique");
   if (item.size() > most_text) return refuse(c, stream, "item");
   c.open.insert(stream);
-  taker_.op_came(
+  taker_.op_received(
       {c.id, stream}, OpId{id}, OpTypeId{static_cast<std::uint32_t>(type_at)},
       TenantId{names_.tenants.empty() ? 0 : static_cast<std::uint32_t>(tenant - names_.tenants.begin())},
       CallerId{static_cast<std::uint64_t>(caller)}, door_ms * ms, limit_ms * ms, kb, rank, unique, item,
@@ -433,18 +434,18 @@
 }
 
 // The connection of a line that is to be answered now; null if it is gone.
-Front::Connection* Front::settle(Line line) {
+Front::Connection* Front::settle(StreamRef line) {
   const auto at = connections_.find(line.connection);
   if (at == connections_.end() || at->second->open.erase(line.stream) == 0) return nullptr;
   at->second->last = now_;
   return at->second.get();
 }
 
-void Front::served(Line line, std::string result) {
+void Front::served(StreamRef line, std::string result) {
   Connection* c = settle(line);
   if (!c) return;
   say(*c, [&](std::string& out) {
-    frames::put_answer(out, frames::answer, line.stream.raw, frames::good, feedback_, 0, false,
+    frames::put_answer(out, frames::response, line.stream.raw, frames::ok, feedback_, 0, false,
                        result.size());
   });
   c->penalties = 0;
@@ -453,18 +454,18 @@
   c->out.push_back(std::move(result));
 }
 
-void Front::refused(Line line, Nanos stay_away, bool no_retry) {
+void Front::refused(StreamRef line, Nanos retry_after, bool no_retry) {
   if (Connection* c = settle(line))
     say(*c, [&](std::string& out) {
-      frames::put_answer(out, frames::answer, line.stream.raw, frames::refused, feedback_, stay_away / ms,
+      frames::put_answer(out, frames::response, line.stream.raw, frames::refused, feedback_, retry_after / ms,
                          no_retry, 0);
     });
 }
 
-void Front::failed(Line line) {
+void Front::failed(StreamRef line) {
   if (Connection* c = settle(line))
     say(*c, [&](std::string& out) {
-      frames::put_answer(out, frames::answer, line.stream.raw, frames::failed, feedback_, 0, false, 0);
+      frames::put_answer(out, frames::response, line.stream.raw, frames::failed, feedback_, 0, false, 0);
     });
 }
 
--- a/node/front.hpp
+++ b/node/front.hpp
@@ -19,15 +19,15 @@
 
 class Front {
  public:
-  // What comes in. `door` and `limit` are Unix time and a span; limit 0, empty texts: not told. The views
-  // hold until the call returns.
-  class Taker {
+  // What comes in. `received_at` and `limit` are Unix time and a span; limit 0, empty texts: not told. The
+  // views hold until the call returns.
+  class Handler {
    public:
-    virtual ~Taker() = default;
-    virtual void op_came(Line line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
-                         Nanos limit, double held_kb, double rank, std::string_view mark,
-                         std::string_view subject, std::string_view body) = 0;
-    virtual void line_lost(Line line) = 0; // its answer can't be delivered any more
+    virtual ~Handler() = default;
+    virtual void op_received(StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
+                             Nanos received_at, Nanos limit, double held_kb, double rank,
+                             std::string_view mark, std::string_view subject, std::string_view body) = 0;
+    virtual void stream_lost(StreamRef line) = 0; // its answer can't be delivered any more
   };
   struct Names { // by their ids; which op types carry a mark, and whether patience is told
     std::vector<std::string> op_types;
@@ -37,27 +37,27 @@
   };
 
   Front(asio::io_context& io, const std::string& listen, std::size_t most_connections,
-        std::size_t most_waiting, Names names, Taker& taker);
+        std::size_t most_waiting, Names names, Handler& taker);
 
   // The final answers; each line takes one.
-  void served(Line line, std::string result);
-  void refused(Line line, Nanos stay_away, bool no_retry);
-  void failed(Line line);
+  void served(StreamRef line, std::string result);
+  void refused(StreamRef line, Nanos retry_after, bool no_retry);
+  void failed(StreamRef line);
 
   void health(bool good) { good_ = good; }
   void feedback(double value) { feedback_ = value; }
-  void idle_close(Nanos after) { idle_ = after; }
-  void silent_close(Nanos after) { silent_ = after; }
-  void first_word(Nanos time) { first_word_ = time; }
-  void unread(Nanos time) { unread_ = time; }
-  void when_full(std::vector<Eviction> order, int penalties) {
+  void set_idle_timeout(Nanos after) { idle_ = after; }
+  void silent_connection_timeout(Nanos after) { silent_ = after; }
+  void frame_timeout(Nanos time) { first_word_ = time; }
+  void write_stall_timeout(Nanos time) { unread_ = time; }
+  void set_eviction_order(std::vector<Eviction> order, int max_invalid_ops) {
     order_ = std::move(order);
-    most_penalties_ = penalties;
+    most_penalties_ = max_invalid_ops;
   }
   // Its op is none that a caller would send: too many of them, and its connection ends.
-  void penalize(Line line);
-  void leave_to_end(Nanos time) { leave_to_end_ = time; }
-  void accept_again(Nanos rest) { accept_again_ = rest; }
+  void penalize(StreamRef line);
+  void connection_drain_delay(Nanos time) { leave_to_end_ = time; }
+  void accept_retry_delay(Nanos rest) { accept_again_ = rest; }
   void stop_accepting();
   bool closed() const { return stopped_accepting_ && connections_.empty() && endings_.empty(); }
   void flush(Nanos now); // one gathered write for each connection with something to say
@@ -116,7 +116,7 @@
   template <class Put>
   void say(Connection& c, Put put);
   void mark(Connection& c);
-  Connection* settle(Line line);
+  Connection* settle(StreamRef line);
   void tell_no_more(Connection& c);
   void write(Connection& c);
   void drop(Connection& c, const char* why);
@@ -132,7 +132,7 @@
   std::size_t most_connections_;
   std::size_t most_waiting_;
   Names names_;
-  Taker& taker_;
+  Handler& taker_;
   std::map<ConnectionId, std::unique_ptr<Connection>> connections_;
   std::map<std::uint64_t, Ending> endings_; // in the order in which they began to end
   std::uint64_t next_ending_ = 1;
--- a/node/host.cpp
+++ b/node/host.cpp
@@ -27,7 +27,7 @@
 
 constexpr Nanos most_lead = 5 * ms; // gauges asked for longer before a wake-up would be none of its moment
 
-Front::Names names_in(const Given& given) {
+Front::Names names_in(const Settings& given) {
   Front::Names names;
   for (int t = 0;; ++t) {
     const std::string at = "op_type." + std::to_string(t) + ".";
@@ -45,18 +45,18 @@
   if (!path.empty()) hang_ups.add(SIGHUP);
   return path;
 }
-std::size_t part_of(const Given& given, const char* name, std::size_t unit, std::size_t divisor) {
+std::size_t part_of(const Settings& given, const char* name, std::size_t unit, std::size_t divisor) {
   return static_cast<std::size_t>(number(given, name, 0)) * unit / divisor;
 }
 // Balancers' connections: what calls and the server's own leave. Those that end take a few beside them.
-std::size_t most_connections(const Given& given) {
+std::size_t most_connections(const Settings& given) {
   const std::size_t calls = part_of(given, "sockets", 1, calls_part);
   const std::size_t own = std::max(own_least, part_of(given, "sockets", 1, own_part));
   const auto all = static_cast<std::size_t>(number(given, "sockets", 0));
   return all - std::min(all - 1, calls + own);
 }
-Given pools_in(const Given& operators) {
-  Given pools;
+Settings pools_in(const Settings& operators) {
+  Settings pools;
   for (const auto& entry : operators)
     if (Pools::is_setting(entry.first)) pools.insert(entry);
   return pools;
@@ -69,7 +69,7 @@
 
 } // namespace
 
-Host::Host(const Given& given, std::string path, const Given& operators, std::string operator_path)
+Host::Host(const Settings& given, std::string path, const Settings& operators, std::string operator_path)
     : signals_(io_), hang_ups_(io_), questions_(io_), path_(catching(hang_ups_, std::move(path))),
       operator_path_(std::move(operator_path)), timer_(io_), names_(names_in(given)),
       front_(io_, text(given, "listen", ""), most_connections(given),
@@ -119,7 +119,7 @@
   hang_ups_.async_wait([this](asio::error_code error, int) {
     if (error) return;
     try {
-      const Given operators = operator_path_.empty() ? operators_ : read_operator(operator_path_);
+      const Settings operators = operator_path_.empty() ? operators_ : read_operator(operator_path_);
       reload(read_configuration(path_), operators);
     } catch (const std::exception& e) { // a file that can't be taken changes nothing
       cometshift::note("reload", "left as it was: %s", e.what());
@@ -138,10 +138,10 @@
 
 // What operators set can be taken at any time, but for the fleet; what is the same already goes on
 // undisturbed.
-void Host::take(const Given& operators) {
+void Host::take(const Settings& operators) {
   set_log(text(operators, "log.format", "text") == "json", text(operators, "log.level", "info"));
   if (pools_in(operators) != pools_in(operators_)) tape_.set_pools(now(), pools_in(operators));
-  const Given wanted = part_of(operators, "recording.");
+  const Settings wanted = part_of(operators, "recording.");
   if (wanted != part_of(operators_, "recording.")) {
     tape_.end(now());
     if (number(wanted, "on", 0) != 0) tape_.begin(now(), wanted, files_in(text(wanted, "folder", "")));
@@ -154,7 +154,7 @@
   operators_ = operators;
 }
 
-void Host::reload(const Given& given, const Given& operators) {
+void Host::reload(const Settings& given, const Settings& operators) {
   take(operators); // first: where it can't be taken, nothing is
   cometshift::note("reload", "vm %s, records %s, announce %s", text(given, "vm", "").c_str(),
                    text(given, "records", "").c_str(), text(given, "announce", "").c_str());
@@ -173,7 +173,7 @@
 }
 
 bool Host::over() const {
-  return core_->leaving() && stopped_accepting_ && front_.closed() && core_->all_answered() &&
+  return core_->draining() && stopped_accepting_ && front_.closed() && core_->all_answered() &&
          (!member_ || member_->gone());
 }
 
@@ -183,9 +183,9 @@
   if (stopped_accepting_)
     front_.stop_accepting(); // not within the module's order: what still comes in is handed to it
   do {                       // a line that is found lost may free others, and what they want
-    if (core_->unsettled()) tape_.settle(now());
+    if (core_->has_repeats_to_answer()) tape_.answer_repeats(now());
     front_.flush(now());
-  } while (core_->unsettled());
+  } while (core_->has_repeats_to_answer());
   interpreter_.flush();
   if (member_) member_->turn();
   clock_.next_turn();
@@ -215,20 +215,20 @@
 
 void Host::stop() {
   if (member_) member_->leave(); // what the fleet has of it goes on elsewhere at once
-  tape_.leave(now());
+  tape_.drain(now());
 }
 
 // ---- what the sockets bring
 
-void Host::op_came(Line line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
-                   Nanos limit, double held_kb, double rank, std::string_view mark, std::string_view subject,
-                   std::string_view body) {
+void Host::op_received(StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
+                       Nanos received_at, Nanos limit, double held_kb, double rank, std::string_view mark,
+                       std::string_view subject, std::string_view body) {
   Digest digest;
   if (names_.marked[type.raw] || core_->pools()) std::tie(digest.high, digest.low) = digest_(body);
-  tape_.op_came(now(), line, id, type, tenant, caller, clock_.of(door), limit, held_kb, rank, mark, subject,
-                Content(std::string(body)), digest);
+  tape_.op_received(now(), line, id, type, tenant, caller, clock_.from_system(received_at), limit, held_kb,
+                    rank, mark, subject, Content(std::string(body)), digest);
 }
-void Host::line_lost(Line line) { tape_.line_lost(now(), line); }
+void Host::stream_lost(StreamRef line) { tape_.stream_lost(now(), line); }
 void Host::machine_up(Nanos since) { tape_.machine_up(now(), since); }
 void Host::link_down() { tape_.link_down(now()); }
 
@@ -241,7 +241,7 @@
   tape_.link_up(now(), known_);
 }
 void Host::run_over(OpId id, Outcome outcome, Nanos lag, std::string result) {
-  tape_.run_over(now(), id, outcome, lag, Content(std::move(result)));
+  tape_.run_finished(now(), id, outcome, lag, Content(std::move(result)));
 }
 void Host::call_wanted(OpId id, std::string body) { tape_.call_wanted(now(), id, Content(std::move(body))); }
 void Host::gauges(std::span<const double> values) {
@@ -249,7 +249,7 @@
   if (interpreter_.up()) proven(interpreter_.answered_question()); // else of a link that is not caught up
   tape_.gauges(now(), values);
 }
-void Host::not_carried_out(OpId id, std::string_view command) {
+void Host::command_rejected(OpId id, std::string_view command) {
   cometshift::note("interpreter", "not carried out: %.*s",
                    static_cast<int>(std::min<std::size_t>(command.size(), 40)), command.data());
   if (command == "APPLY") tape_.start_refused(now(), id);
@@ -257,12 +257,12 @@
 
 // ---- what the core orders
 
-void Host::served(Line line, OpId, Content result) { front_.served(line, std::move(result.bytes)); }
-void Host::refused(Line line, OpId, Reason, Nanos stay_away, bool no_retry) {
-  front_.refused(line, stay_away, no_retry);
+void Host::served(StreamRef line, OpId, Content result) { front_.served(line, std::move(result.bytes)); }
+void Host::refused(StreamRef line, OpId, Reason, Nanos retry_after, bool no_retry) {
+  front_.refused(line, retry_after, no_retry);
 }
-void Host::failed(Line line, OpId, Reason) { front_.failed(line); }
-void Host::penalize(Line line) { front_.penalize(line); }
+void Host::failed(StreamRef line, OpId, Reason) { front_.failed(line); }
+void Host::penalize(StreamRef line) { front_.penalize(line); }
 
 void Host::start(OpId id, OpTypeId type, const Content& body, StartNo number) {
   const std::uint64_t question = interpreter_.next_question();
@@ -276,50 +276,50 @@
 
 void Host::call(OpId id, Nanos time_out, const Content& body) {
   records_.call(id, time_out, body.bytes, [this, id](Outcome outcome, std::string reply) {
-    tape_.call_over(now(), id, outcome, Content(std::move(reply)));
+    tape_.call_finished(now(), id, outcome, Content(std::move(reply)));
   });
 }
-void Host::give_up_call(OpId id) { records_.give_up(id); }
+void Host::cancel_call(OpId id) { records_.give_up(id); }
 
 void Host::health(bool good) {
   front_.health(good);
   announce_.accepting(good);
 }
-void Host::tell_callers(double value) { front_.feedback(value); }
-void Host::idle_close(Nanos after) { front_.idle_close(after); }
+void Host::notify_callers(double value) { front_.feedback(value); }
+void Host::set_idle_timeout(Nanos after) { front_.set_idle_timeout(after); }
 void Host::note(const char* kind, std::string_view words) {
   cometshift::note(kind, "%.*s", static_cast<int>(words.size()), words.data());
 }
 
-void Host::timing(Timing what, Nanos time) {
+void Host::set_timing(Timing what, Nanos time) {
   switch (what) {
-  case Timing::report:
+  case Timing::report_interval:
     return announce_.report_every(time);
-  case Timing::report_wait:
+  case Timing::report_timeout:
     return announce_.wait_for_reply(time);
-  case Timing::link_again:
-    return interpreter_.link_again(time);
-  case Timing::link_silent:
+  case Timing::link_reconnect_delay:
+    return interpreter_.link_reconnect_delay(time);
+  case Timing::link_silence_timeout:
     return interpreter_.silent_for(time);
-  case Timing::link_leave:
+  case Timing::link_handover_timeout:
     return interpreter_.leave_within(time);
-  case Timing::leave_to_end:
-    return front_.leave_to_end(time);
-  case Timing::silent_close:
-    return front_.silent_close(time);
-  case Timing::first_word:
-    return front_.first_word(time);
-  case Timing::unread:
-    return front_.unread(time);
-  case Timing::accept_again:
-    return front_.accept_again(time);
-  case Timing::settle_stray:
+  case Timing::connection_drain_delay:
+    return front_.connection_drain_delay(time);
+  case Timing::silent_connection_timeout:
+    return front_.silent_connection_timeout(time);
+  case Timing::frame_timeout:
+    return front_.frame_timeout(time);
+  case Timing::write_stall_timeout:
+    return front_.write_stall_timeout(time);
+  case Timing::accept_retry_delay:
+    return front_.accept_retry_delay(time);
+  case Timing::orphan_query_delay:
     return; // the core's own
   }
 }
 
-void Host::when_full(std::span<const Eviction> order, int penalties) {
-  front_.when_full({order.begin(), order.end()}, penalties);
+void Host::set_eviction_order(std::span<const Eviction> order, int max_invalid_ops) {
+  front_.set_eviction_order({order.begin(), order.end()}, max_invalid_ops);
 }
 
 void Host::stop_accepting() { stopped_accepting_ = true; }
--- a/node/host.hpp
+++ b/node/host.hpp
@@ -22,49 +22,49 @@
 
 namespace cometshift {
 
-class Host final : Orders, Front::Taker, Interpreter::Taker {
+class Host final : Actions, Front::Handler, InterpreterLink::Handler {
  public:
   // As read by configuration.hpp and operator.hpp. With the paths that they were read from, a hang-up signal
   // reads both again, and takes both or neither.
-  explicit Host(const Given& given, std::string path = {}, const Given& operators = {},
+  explicit Host(const Settings& given, std::string path = {}, const Settings& operators = {},
                 std::string operator_path = {});
   void serve(); // returns once a drain is over; SIGTERM and SIGINT begin one
   bool poll();  // what is ready, without waiting, for a loop of another's; false once a drain is over
   void stop();  // drain now, as at the signal
   // Go over to the addresses of the one, and to what the other says of log and recording; all else stays as
   // it is.
-  void reload(const Given& given, const Given& operators = {});
+  void reload(const Settings& given, const Settings& operators = {});
 
  private:
   // The core's orders.
-  void served(Line line, OpId op, Content result) override;
-  void refused(Line line, OpId op, Reason why, Nanos stay_away, bool no_retry) override;
-  void failed(Line line, OpId op, Reason why) override;
-  void penalize(Line line) override;
+  void served(StreamRef line, OpId op, Content result) override;
+  void refused(StreamRef line, OpId op, Reason why, Nanos retry_after, bool no_retry) override;
+  void failed(StreamRef line, OpId op, Reason why) override;
+  void penalize(StreamRef line) override;
   void start(OpId op, OpTypeId type, const Content& body, StartNo number) override;
   void resume(OpId op, const Content& reply) override;
   void call(OpId op, Nanos time_out, const Content& body) override;
-  void give_up_call(OpId op) override;
+  void cancel_call(OpId op) override;
   void health(bool good) override;
-  void tell_callers(double value) override;
-  void idle_close(Nanos after) override;
-  void timing(Timing what, Nanos time) override;
-  void when_full(std::span<const Eviction> order, int penalties) override;
+  void notify_callers(double value) override;
+  void set_idle_timeout(Nanos after) override;
+  void set_timing(Timing what, Nanos time) override;
+  void set_eviction_order(std::span<const Eviction> order, int max_invalid_ops) override;
   void stop_accepting() override;
   void note(const char* kind, std::string_view words) override;
 
   // What the sockets bring.
-  void op_came(Line line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door, Nanos limit,
-               double held_kb, double rank, std::string_view mark, std::string_view subject,
-               std::string_view body) override;
-  void line_lost(Line line) override;
+  void op_received(StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
+                   Nanos received_at, Nanos limit, double held_kb, double rank, std::string_view mark,
+                   std::string_view subject, std::string_view body) override;
+  void stream_lost(StreamRef line) override;
   void machine_up(Nanos since) override;
   void caught_up(std::uint64_t heard) override;
   void link_down() override;
   void run_over(OpId id, Outcome outcome, Nanos lag, std::string result) override;
   void call_wanted(OpId id, std::string body) override;
   void gauges(std::span<const double> values) override;
-  void not_carried_out(OpId id, std::string_view command) override;
+  void command_rejected(OpId id, std::string_view command) override;
 
   Nanos now();
   void take_ready();
@@ -75,7 +75,7 @@
   bool over() const;
   void await_hang_up();
   void await_question();
-  void take(const Given& operators);
+  void take(const Settings& operators);
 
   asio::io_context io_;
   asio::signal_set signals_;
@@ -83,7 +83,7 @@
   asio::signal_set questions_; // SIGUSR1, where there is a fleet: what stands is told in the log
   std::string path_;           // of the configuration; empty: not told
   std::string operator_path_;
-  Given operators_; // as last taken
+  Settings operators_; // as last taken
   asio::steady_timer timer_;
   Front::Names names_;
   Hasher digest_;
@@ -101,7 +101,7 @@
   bool stopped_accepting_ = false;
 
   Front front_;
-  Interpreter interpreter_;
+  InterpreterLink interpreter_;
   Records records_;
   Announce announce_;
   Tape tape_; // hands on to the core what happens, and to this what the core orders
--- a/node/interpreter.cpp
+++ b/node/interpreter.cpp
@@ -79,8 +79,8 @@
   return true;
 }
 
-Interpreter::Interpreter(asio::io_context& io, const std::string& address, std::size_t most_unwritten,
-                         Taker& taker)
+InterpreterLink::InterpreterLink(asio::io_context& io, const std::string& address, std::size_t most_unwritten,
+                                 Handler& taker)
     : io_(io), address_(endpoint_of(address)), socket_(io), again_(io), silence_(io),
       most_unwritten_(most_unwritten), taker_(taker), in_(most_line + simdjson::SIMDJSON_PADDING) {
   asio::post(io_, [this] { connect(); });
@@ -88,12 +88,12 @@
 
 // ---- the link
 
-void Interpreter::down() {
+void InterpreterLink::down() {
   if (!std::exchange(up_, false)) return;
   taker_.link_down();
 }
 
-void Interpreter::connect() {
+void InterpreterLink::connect() {
   const std::uint64_t link = ++link_;
   down();
   open_ = waiting_room_ = leaving_ = reading_ = heard_ = banner_ = false;
@@ -119,7 +119,7 @@
 
 // Against a link that is none: a connection that is never made, or one whose other side is gone without a
 // word or never speaks. It is made anew; what runs goes on meanwhile, and all notices come again.
-void Interpreter::watch() {
+void InterpreterLink::watch() {
   if (silent_for_ <= 0) return;
   looked_ = asked_;
   silence_.expires_after(std::chrono::nanoseconds(silent_for_));
@@ -136,7 +136,7 @@
 // What has been sent is not to get lost between two addresses: nothing more goes out on the old link, and an
 // answer to one more question there proves that the rest is read. Where none comes, the link is made all the
 // same, as after a break.
-void Interpreter::move_to(const std::string& address) {
+void InterpreterLink::move_to(const std::string& address) {
   const asio::ip::tcp::endpoint to = endpoint_of(address);
   if (to == address_) return;
   address_ = to;
@@ -152,7 +152,7 @@
 }
 
 // What was written and not read there is lost; the host says what of it may be sent again.
-void Interpreter::broken(const char* why) {
+void InterpreterLink::broken(const char* why) {
   if (!said_down_) note("interpreter", "link down: %s", why);
   said_down_ = true;
   down();
@@ -169,7 +169,7 @@
 
 // ---- notices
 
-void Interpreter::await_bytes() {
+void InterpreterLink::await_bytes() {
   if (std::exchange(reading_, true)) return;
   socket_.async_wait(asio::socket_base::wait_read, [this, link = link_](asio::error_code error) {
     if (link != link_) return;
@@ -179,7 +179,7 @@
   });
 }
 
-void Interpreter::readable() {
+void InterpreterLink::readable() {
   const std::uint64_t link = link_;
   for (int turn = 0; turn < reads_a_turn; ++turn) {
     asio::error_code error;
@@ -206,18 +206,18 @@
 
 // Against a notice that was lost or spoilt on the way: a new link brings it again. Once; then it is passed
 // over.
-bool Interpreter::once_more(std::uint64_t after) {
+bool InterpreterLink::once_more(std::uint64_t after) {
   if (retried_ == after) return false;
   retried_ = last_ = after;
   broken("a notice is missing or can't be read");
   return true;
 }
 
-void Interpreter::unreadable(std::uint64_t number, const char* what) {
+void InterpreterLink::unreadable(std::uint64_t number, const char* what) {
   if (number == 0 || !once_more(number - 1)) note("notice", "passed over, %s", what);
 }
 
-void Interpreter::line(const char* at, std::size_t size) {
+void InterpreterLink::line(const char* at, std::size_t size) {
   element all;
   object o;
   if (parser_.parse(at, size).get(all) != simdjson::SUCCESS || all.get(o) != simdjson::SUCCESS)
@@ -277,7 +277,7 @@
     taker_.machine_up(span_ms(o, "wall_ms"));
     question();
   } else if (action == "ERROR") {
-    if (id_in(o, id)) taker_.not_carried_out(id, word(o, "code"));
+    if (id_in(o, id)) taker_.command_rejected(id, word(o, "code"));
   } else if (action != "TRACE") {
     note("notice", "passed over, an unknown kind");
   }
@@ -285,20 +285,20 @@
 
 // ---- commands
 
-void Interpreter::command(std::string_view action, OpId id) {
+void InterpreterLink::command(std::string_view action, OpId id) {
   out_ += "{\"action\":\"";
   out_ += action;
   out_ += "\",\"uid\":\"";
   put_hex(out_, id.raw);
   out_ += '"';
 }
-void Interpreter::content(std::string_view bytes) {
+void InterpreterLink::content(std::string_view bytes) {
   out_ += ",\"content\":\"";
   put_base64(out_, bytes);
   out_ += "\"}\n";
 }
 
-void Interpreter::run(OpId id, std::string_view op_type, std::string_view body) {
+void InterpreterLink::run(OpId id, std::string_view op_type, std::string_view body) {
   command("APPLY", id);
   out_ += ",\"lane\":\"";
   for (const char c : op_type) {
@@ -309,22 +309,22 @@
   content(body);
 }
 
-void Interpreter::resume(OpId id, std::string_view reply) {
+void InterpreterLink::resume(OpId id, std::string_view reply) {
   command("RESOLVE", id);
   content(reply);
 }
 
-bool Interpreter::ask_gauges() {
+bool InterpreterLink::ask_gauges() {
   if (!up_ || asked_ != answered_) return false;
   question();
   return true;
 }
 
-void Interpreter::question() {
+void InterpreterLink::question() {
   out_ += "{\"action\":\"TOP\",\"echo\":\"" + std::to_string(++asked_) + "\"}\n";
 }
 
-void Interpreter::flush() {
+void InterpreterLink::flush() {
   if (waiting_room_ && out_.size() - written_ > most_unwritten_) return broken("it does not read");
   while (open_ && !waiting_room_ && written_ < out_.size()) {
     asio::error_code error;
--- a/node/interpreter.hpp
+++ b/node/interpreter.hpp
@@ -17,22 +17,23 @@
 
 namespace cometshift {
 
-class Interpreter {
+class InterpreterLink {
  public:
   // What comes in. Views hold until the call returns.
-  class Taker {
+  class Handler {
    public:
-    virtual ~Taker() = default;
+    virtual ~Handler() = default;
     virtual void machine_up(Nanos since) = 0;
     virtual void caught_up(std::uint64_t heard) = 0; // the link works and all notices so far are read
     virtual void link_down() {}                      // commands are not taken until it is caught up again
     virtual void run_over(OpId id, Outcome outcome, Nanos lag, std::string result) = 0;
     virtual void call_wanted(OpId id, std::string body) = 0;
     virtual void gauges(std::span<const double> values) = 0;
-    virtual void not_carried_out(OpId id, std::string_view command) = 0;
+    virtual void command_rejected(OpId id, std::string_view command) = 0;
   };
 
-  Interpreter(asio::io_context& io, const std::string& address, std::size_t most_unwritten, Taker& taker);
+  InterpreterLink(asio::io_context& io, const std::string& address, std::size_t most_unwritten,
+                  Handler& taker);
 
   bool up() const { return up_; }
   // Only while up. What is sent before the question of a number is known to be read once that is answered.
@@ -45,7 +46,7 @@
   // Goes over to another address of the same interpreter, once all commands so far are known to be read.
   void move_to(const std::string& address);
 
-  void link_again(Nanos rest) { rest_ = rest; }
+  void link_reconnect_delay(Nanos rest) { rest_ = rest; }
   void leave_within(Nanos time) { leave_within_ = time; }
   void silent_for(Nanos time) { silent_for_ = time; }
   void flush();
@@ -70,7 +71,7 @@
   asio::steady_timer again_;
   asio::steady_timer silence_;
   std::size_t most_unwritten_; // bytes: a link that takes so little is made anew
-  Taker& taker_;
+  Handler& taker_;
   simdjson::dom::parser parser_;
   std::vector<char> in_;
   std::size_t filled_ = 0;
--- a/node/member.cpp
+++ b/node/member.cpp
@@ -24,7 +24,7 @@
   return static_cast<Nanos>(at.tv_sec) * 1000 * ms + at.tv_nsec;
 }
 // One that goes on while the machine sleeps, and one that is never slewed; nobody sets either.
-CarefulClock started() { return {reading(CLOCK_BOOTTIME), reading(CLOCK_MONOTONIC_RAW)}; }
+LeaseClock started() { return {reading(CLOCK_BOOTTIME), reading(CLOCK_MONOTONIC_RAW)}; }
 double unix_ms() {
   return static_cast<double>(std::chrono::duration_cast<std::chrono::milliseconds>(
                                  std::chrono::system_clock::now().time_since_epoch())
@@ -43,7 +43,7 @@
   std::vector<MemberId> others;
   VoterList voters;
 };
-Listed listed_in(const Given& fleet) {
+Listed listed_in(const Settings& fleet) {
   Listed listed;
   const MemberId self{static_cast<std::uint32_t>(number(fleet, "self", 0))};
   listed.voters.epoch = Epoch{static_cast<std::uint64_t>(number(fleet, "epoch", 1))};
@@ -59,7 +59,7 @@
   return listed;
 }
 // All but who votes, which may be changed under a member that serves.
-Given without_voters(Given fleet) {
+Settings without_voters(Settings fleet) {
   std::erase_if(fleet, [](const auto& entry) {
     return entry.first == "epoch" || entry.first.ends_with(".voter") ||
            entry.first.ends_with(".previous_voter");
@@ -67,23 +67,23 @@
   return fleet;
 }
 // For how long what was granted under a list before may last, by a clock that may be as wrong as is allowed.
-Nanos settle_time(const Given& fleet) {
+Nanos settle_time(const Settings& fleet) {
   const double drift = number(fleet, "drift", 0);
   return static_cast<Nanos>(number(fleet, "longest_term_ns", 0) * (1 + drift) / (1 - drift)) + 1;
 }
 // For the modules, by their names.
-Given figures_in(const Given& fleet) {
-  Given figures{{"leases.term", number(fleet, "term_ns", 0)},
-                {"leases.longest_term", number(fleet, "longest_term_ns", 0)},
-                {"leases.drift", number(fleet, "drift", 0)},
-                {"leases.most_terms", number(fleet, "most_terms", 0)},
-                {"leases.most", number(fleet, "most_leases", 0)},
-                {"leases.first_token", unix_ms()},
-                {"peers.beat", number(fleet, "beat_ns", 0)},
-                {"peers.silent", number(fleet, "silent_ns", 0)},
-                {"peers.rest_least", number(fleet, "rest_least_ns", 0)},
-                {"peers.rest_most", number(fleet, "rest_most_ns", 0)},
-                {"peers.most_words", 4 * number(fleet, "most_leases", 0)}};
+Settings figures_in(const Settings& fleet) {
+  Settings figures{{"leases.term", number(fleet, "term_ns", 0)},
+                   {"leases.longest_term", number(fleet, "longest_term_ns", 0)},
+                   {"leases.drift", number(fleet, "drift", 0)},
+                   {"leases.most_terms", number(fleet, "most_terms", 0)},
+                   {"leases.most", number(fleet, "most_leases", 0)},
+                   {"leases.first_token", unix_ms()},
+                   {"peers.beat", number(fleet, "beat_ns", 0)},
+                   {"peers.silent", number(fleet, "silent_ns", 0)},
+                   {"peers.rest_least", number(fleet, "rest_least_ns", 0)},
+                   {"peers.rest_most", number(fleet, "rest_most_ns", 0)},
+                   {"peers.most_words", 4 * number(fleet, "most_leases", 0)}};
   // The next holder waits out what a target that can't refuse may still be doing for the one before.
   double longest_act = 0;
   for (int t = 0; fleet.contains("task." + std::to_string(t) + ".name"); ++t) {
@@ -101,7 +101,7 @@
   figures["leases.longest_act"] = longest_act;
   return figures;
 }
-std::vector<Links::Tcp::endpoint> targets_in(const Given& fleet) {
+std::vector<Links::Tcp::endpoint> targets_in(const Settings& fleet) {
   std::vector<Links::Tcp::endpoint> targets;
   for (int t = 0; fleet.contains("task." + std::to_string(t) + ".name"); ++t)
     targets.push_back(endpoint_of(text(fleet, "task." + std::to_string(t) + ".call", "")));
@@ -111,7 +111,7 @@
 
 } // namespace
 
-Member::Member(asio::io_context& io, const Given& fleet)
+Member::Member(asio::io_context& io, const Settings& fleet)
     : io_(io), timer_(io),
       clock_(started()), self_{text(fleet, "name", ""),
                                MemberId{static_cast<std::uint32_t>(number(fleet, "self", 0))}, MemberId{},
@@ -132,11 +132,11 @@
 
 Nanos Member::now() {
   clock_.take(reading(CLOCK_BOOTTIME), reading(CLOCK_MONOTONIC_RAW));
-  if (const bool apart = clock_.apart() > clocks_apart; apart != said_apart_) {
+  if (const bool apart = clock_.divergence() > clocks_apart; apart != said_apart_) {
     said_apart_ = apart;
     apart ? warn("fleet",
                  "this machine's clocks differ by %lld ms in a second: it slept, or one of them is wrong",
-                 static_cast<long long>(clock_.apart() / ms))
+                 static_cast<long long>(clock_.divergence() / ms))
           : note("fleet", "this machine's clocks agree again");
   }
   return clock_.early();
@@ -164,7 +164,7 @@
     }
     look_at_voters();
     const Nanos at = now();
-    leases_.count(static_cast<std::uint64_t>(unix_ms()));
+    leases_.raise_token_counter(static_cast<std::uint64_t>(unix_ms()));
     leases_.due(at);
     tasks_.due(at);
     peers_.due(at);
@@ -176,7 +176,7 @@
 
 // ---- who votes
 
-void Member::reload(const Given& fleet) {
+void Member::reload(const Settings& fleet) {
   if (fleet == fleet_) return;
   if (without_voters(fleet) != without_voters(fleet_))
     note("reload", "what the operator file says of the fleet beside its voters is taken at the next start");
@@ -188,9 +188,9 @@
 
 // A list on file that can't be taken yet is tried again; what has changed is told to all.
 void Member::look_at_voters() {
-  voters_.passed(granted_now());
+  voters_.advance_time(granted_now());
   if (on_file_.epoch > voters_.on_file()) {
-    const std::string_view why = voters_.take(granted_now(), on_file_);
+    const std::string_view why = voters_.apply_file(granted_now(), on_file_);
     if (why.empty()) {
       note("voters", "epoch %llu is on file and taken, %zu voters%s",
            static_cast<unsigned long long>(on_file_.epoch.raw), on_file_.voters.size(),
@@ -212,12 +212,12 @@
   told_ = voters_.list();
   told_on_file_ = voters_.on_file();
   told_joint_ = voters_.joint();
-  peers_.tell(Peers::Slot::telling, "", voters_word());
+  peers_.enqueue_all(Peers::MessageClass::update, "", voters_word());
 }
-std::string Member::voters_word() const { return words::voters(voters_.on_file(), voters_.list()); }
+std::string Member::voters_word() const { return peer_codec::voters(voters_.on_file(), voters_.list()); }
 void Member::voters(MemberId from, Epoch on_file, const VoterList& list) {
-  voters_.heard(granted_now(), from, on_file);
-  voters_.learnt(granted_now(), list);
+  voters_.file_epoch_received(granted_now(), from, on_file);
+  voters_.list_received(granted_now(), list);
 }
 
 void Member::arm() {
@@ -239,7 +239,7 @@
   if (leave_by_ >= 0) return;
   const Nanos at = touched();
   Nanos longest = 0;
-  for (const Tasks::Standing& task : tasks_.standing())
+  for (const Tasks::Status& task : tasks_.status())
     if (task.running) longest = std::max(longest, task.limit);
   leave_by_ = at + longest + time_to_leave;
   tasks_.leave(at);
@@ -249,39 +249,40 @@
 
 bool Member::gone() {
   if (leave_by_ < 0) return false;
-  return now() >= leave_by_ || (own_.empty() && leases_.standing().empty() && peers_.all_said());
+  return now() >= leave_by_ || (own_.empty() && leases_.status().empty() && peers_.all_sent());
 }
 
 // ---- the links
 
 void Member::connected(MemberId to) {
   peers_.connected(touched(), to);
-  peers_.say(to, Peers::Slot::telling, "", voters_word());
+  peers_.enqueue(to, Peers::MessageClass::update, "", voters_word());
 }
 void Member::written(MemberId to) { peers_.written(touched(), to); }
 void Member::broken(MemberId to) { peers_.broken(touched(), to); }
-bool Member::letter(const words::Speaker& speaker, std::string_view payload) {
+bool Member::message(const peer_codec::Sender& sender, std::string_view payload) {
   touched();
-  return words::read_letter(payload, speaker, *this);
+  return peer_codec::decode_message(payload, sender, *this);
 }
-void Member::remark(std::string_view words) { note("peers", "%.*s", cut(words), words.data()); }
+void Member::log_event(std::string_view words) { note("peers", "%.*s", cut(words), words.data()); }
 
 void Member::dial(MemberId to) { links_.dial(to); }
-void Member::hang_up(MemberId to) { links_.hang_up(to); }
+void Member::disconnect(MemberId to) { links_.disconnect(to); }
 void Member::send(MemberId to, std::string frame) { links_.send(to, std::move(frame)); }
-void Member::news(MemberId of, Hearing before, Hearing now) {
-  const std::string_view was = word_of(before), is = word_of(now);
+void Member::peer_state_changed(MemberId of, PeerState before, PeerState now) {
+  const std::string_view was = to_text(before), is = to_text(now);
   note("peers", "member %u: %.*s (%.*s before)", of.raw, cut(is), is.data(), cut(was), was.data());
 }
-void Member::doubled(MemberId number) {
+void Member::duplicate_member(MemberId number) {
   warn("peers", "two members live under the number %u: give one of them another", number.raw);
 }
 
 // ---- what others say
 
-bool Member::letter(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
-                    Incarnation heard_of, bool leaving, const words::Rhythm& rhythm) {
-  return peers_.heard(now(), from, of, number, heard, heard_of, leaving, rhythm);
+bool Member::message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
+                     Incarnation acked_incarnation, bool leaving,
+                     const peer_codec::HeartbeatTerms& heartbeat) {
+  return peers_.received(now(), from, of, number, heard, acked_incarnation, leaving, heartbeat);
 }
 void Member::asked(MemberId from, Incarnation of, Epoch epoch, std::string_view lease, AskNo number,
                    Token token, Nanos term) {
@@ -298,28 +299,31 @@
   leases_.refused(now(), from, to, lease, number, seen, left);
 }
 void Member::done(MemberId, std::string_view task, Token token, Nanos ago) {
-  tasks_.heard_done(now(), task, token, ago);
+  tasks_.completed_elsewhere(now(), task, token, ago);
 }
 
 // ---- what the leases order
 
 void Member::ask(MemberId voter, Epoch epoch, std::string_view lease, AskNo number, Token token, Nanos term) {
   if (voter != self_.from)
-    return void(peers_.say(voter, Peers::Slot::asking, lease, words::ask(epoch, lease, number, token, term)));
+    return void(peers_.enqueue(voter, Peers::MessageClass::request, lease,
+                               peer_codec::ask(epoch, lease, number, token, term)));
   to_self([this, epoch, lease = std::string(lease), number, token, term] {
     leases_.asked(granted_now(), self_.from, self_.incarnation, epoch, lease, number, token, term);
   });
 }
 void Member::release(MemberId voter, std::string_view lease, AskNo number) {
   if (voter != self_.from)
-    return void(peers_.say(voter, Peers::Slot::asking, lease, words::release(lease, number)));
+    return void(
+        peers_.enqueue(voter, Peers::MessageClass::request, lease, peer_codec::release(lease, number)));
   to_self([this, lease = std::string(lease), number] {
     leases_.released(granted_now(), self_.from, self_.incarnation, lease, number);
   });
 }
 void Member::grant(MemberId to, Incarnation of, std::string_view lease, AskNo number, bool wanted) {
   if (to != self_.from)
-    return void(peers_.say(to, Peers::Slot::answering, lease, words::grant(of, lease, number, wanted)));
+    return void(peers_.enqueue(to, Peers::MessageClass::response, lease,
+                               peer_codec::grant(of, lease, number, wanted)));
   to_self([this, of, lease = std::string(lease), number, wanted] {
     leases_.granted(now(), self_.from, of, lease, number, wanted);
   });
@@ -327,7 +331,8 @@
 void Member::refuse(MemberId to, Incarnation of, std::string_view lease, AskNo number, Token seen,
                     Nanos left) {
   if (to != self_.from)
-    return void(peers_.say(to, Peers::Slot::answering, lease, words::refuse(of, lease, number, seen, left)));
+    return void(peers_.enqueue(to, Peers::MessageClass::response, lease,
+                               peer_codec::refuse(of, lease, number, seen, left)));
   to_self([this, of, lease = std::string(lease), number, seen, left] {
     leases_.refused(now(), self_.from, of, lease, number, seen, left);
   });
@@ -342,10 +347,10 @@
        static_cast<unsigned long long>(token.raw), static_cast<long long>((from - at) / ms),
        static_cast<long long>((until - at) / ms));
 }
-void Member::lost(std::string_view lease, Token token, LostWhy why) {
+void Member::lost(std::string_view lease, Token token, LossReason why) {
   tasks_.lost(lease);
   holding_.erase(std::string(lease));
-  const std::string_view because = word_of(why);
+  const std::string_view because = to_text(why);
   note("lease", "%.*s no longer held, token %llx: %.*s", cut(lease), lease.data(),
        static_cast<unsigned long long>(token.raw), cut(because), because.data());
 }
@@ -360,15 +365,15 @@
   calls_.call(
       CallId{task.raw}, targets_[task.raw], limit, head, {}, greater_token,
       [this, task, token](HttpCalls::End end, HttpReply& reply) {
-        TaskEnd as = end == HttpCalls::End::unsent ? TaskEnd::failed : TaskEnd::unknown;
+        TaskOutcome as = end == HttpCalls::End::unsent ? TaskOutcome::failed : TaskOutcome::unknown;
         std::int64_t seen = 0;
         if (end == HttpCalls::End::whole) {
-          as = reply.status() / 100 == 2 ? TaskEnd::done : TaskEnd::failed;
+          as = reply.status() / 100 == 2 ? TaskOutcome::done : TaskOutcome::failed;
           if (reply.status() == 409 && frames::read_whole(reply.header(), seen) && seen > 0)
-            as = TaskEnd::refused;
+            as = TaskOutcome::refused;
         }
-        if (as != TaskEnd::done) {
-          const std::string_view how = word_of(as);
+        if (as != TaskOutcome::done) {
+          const std::string_view how = to_text(as);
           note("task", "%s: %.*s, token %llx", tasks_.name(task).c_str(), cut(how), how.data(),
                static_cast<unsigned long long>(token.raw));
         }
@@ -377,10 +382,11 @@
       // Against a stop since it was begun: what is not held any more is not done.
       [this, task, token] { return leases_.may_act(now(), tasks_.name(task), 0) == token; });
 }
-void Member::tell_done(TaskId task, Token token) {
-  peers_.tell(Peers::Slot::telling, tasks_.name(task), words::done(tasks_.name(task), token, 0));
+void Member::notify_done(TaskId task, Token token) {
+  peers_.enqueue_all(Peers::MessageClass::update, tasks_.name(task),
+                     peer_codec::done(tasks_.name(task), token, 0));
 }
-void Member::resting(TaskId task, Nanos rest) {
+void Member::released_after_failures(TaskId task, Nanos rest) {
   warn("task", "%s: fails here, another member may try for %lld ms", tasks_.name(task).c_str(),
        static_cast<long long>(rest / ms));
 }
@@ -395,7 +401,7 @@
   note("status", "voters of epoch %llu%s, on file %llu", static_cast<unsigned long long>(voters_.epoch().raw),
        voters_.joint() ? ", with those before it" : ", settled",
        static_cast<unsigned long long>(voters_.on_file().raw));
-  for (const Leases::Standing& lease : leases_.standing()) {
+  for (const Leases::Status& lease : leases_.status()) {
     if (lease.token.raw != 0)
       note("status of leases", "%s: held for %lld ms, %lld ms left, token %llx", lease.lease.c_str(),
            static_cast<long long>((at - lease.since) / ms), static_cast<long long>((lease.until - at) / ms),
@@ -403,18 +409,18 @@
     else
       note("status of leases", "%s: not held here, %d rounds of asking", lease.lease.c_str(), lease.rounds);
   }
-  for (const Peers::Standing& peer : peers_.standing()) {
-    const std::string_view hearing = word_of(peer.hearing);
+  for (const Peers::Status& peer : peers_.status()) {
+    const std::string_view peer_state = to_text(peer.peer_state);
     std::string stretched; // only where it is not as the operator file has it
-    if (peer.patience != peers_.silent())
-      stretched = ", silent after " + std::to_string(peer.patience / ms) + " ms";
+    if (peer.unresponsive_timeout != peers_.min_unresponsive_timeout())
+      stretched = ", silent after " + std::to_string(peer.unresponsive_timeout / ms) + " ms";
     note("status of peers", "member %u: %.*s, heard %lld ms ago%s, %zu words wait, %llu letters, %llu dials",
-         peer.member.raw, cut(hearing), hearing.data(),
-         peer.heard_at < 0 ? -1 : static_cast<long long>((at - peer.heard_at) / ms), stretched.c_str(),
-         peer.waiting, static_cast<unsigned long long>(peer.letters),
+         peer.member.raw, cut(peer_state), peer_state.data(),
+         peer.last_received_at < 0 ? -1 : static_cast<long long>((at - peer.last_received_at) / ms),
+         stretched.c_str(), peer.waiting, static_cast<unsigned long long>(peer.messages),
          static_cast<unsigned long long>(peer.dials));
   }
-  for (const Tasks::Standing& task : tasks_.standing())
+  for (const Tasks::Status& task : tasks_.status())
     note("status of tasks",
          "%s: %s, done last %lld ms ago, here %llu begun, %llu done, %llu failed, %llu refused",
          task.name.c_str(), task.running ? "under way" : "at rest",
--- a/node/member.hpp
+++ b/node/member.hpp
@@ -20,13 +20,13 @@
 
 namespace cometshift {
 
-class Member final : Links::Taker, PeerOrders, LeaseOrders, TaskOrders, words::Listener {
+class Member final : Links::Handler, PeerActions, LeaseActions, TaskActions, peer_codec::Listener {
  public:
   // `fleet`: the operator file's part "fleet.", as operator.hpp has it. Throws std::invalid_argument.
-  Member(asio::io_context& io, const Given& fleet);
+  Member(asio::io_context& io, const Settings& fleet);
 
   // What the operator file says now: another list of voters is taken, all else at the next start.
-  void reload(const Given& fleet);
+  void reload(const Settings& fleet);
   void turn(); // what is due, and what there is to say; at the end of each turn of the loop
   void leave();
   bool gone();          // nothing is held, and all has been said; or the time for it is over
@@ -37,17 +37,18 @@
   void connected(MemberId to) override;
   void written(MemberId to) override;
   void broken(MemberId to) override;
-  bool letter(const words::Speaker& speaker, std::string_view payload) override;
-  void remark(std::string_view words) override;
+  bool message(const peer_codec::Sender& sender, std::string_view payload) override;
+  void log_event(std::string_view words) override;
   // Peers
   void dial(MemberId to) override;
-  void hang_up(MemberId to) override;
+  void disconnect(MemberId to) override;
   void send(MemberId to, std::string frame) override;
-  void news(MemberId of, Hearing before, Hearing now) override;
-  void doubled(MemberId number) override;
+  void peer_state_changed(MemberId of, PeerState before, PeerState now) override;
+  void duplicate_member(MemberId number) override;
   // Words of others
-  bool letter(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard, Incarnation heard_of,
-              bool leaving, const words::Rhythm& rhythm) override;
+  bool message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
+               Incarnation acked_incarnation, bool leaving,
+               const peer_codec::HeartbeatTerms& heartbeat) override;
   void voters(MemberId from, Epoch on_file, const VoterList& list) override;
   void asked(MemberId from, Incarnation of, Epoch epoch, std::string_view lease, AskNo number, Token token,
              Nanos term) override;
@@ -64,11 +65,11 @@
   void refuse(MemberId to, Incarnation of, std::string_view lease, AskNo number, Token seen,
               Nanos left) override;
   void held(std::string_view lease, Token token, Nanos from, Nanos until) override;
-  void lost(std::string_view lease, Token token, LostWhy why) override;
+  void lost(std::string_view lease, Token token, LossReason why) override;
   // Tasks
   void begin(TaskId task, Token token, Nanos limit) override;
-  void tell_done(TaskId task, Token token) override;
-  void resting(TaskId task, Nanos rest) override;
+  void notify_done(TaskId task, Token token) override;
+  void released_after_failures(TaskId task, Nanos rest) override;
 
   Nanos now();         // of who holds
   Nanos granted_now(); // of who granted
@@ -82,14 +83,14 @@
   asio::steady_timer timer_;
   Nanos armed_ = -1;
   bool touched_ = true; // since the last turn
-  CarefulClock clock_;
+  LeaseClock clock_;
   bool said_apart_ = false;
-  words::Speaker self_;
+  peer_codec::Sender self_;
   std::vector<MemberId> others_;
   std::vector<Links::Tcp::endpoint> targets_; // of the tasks
   std::deque<std::function<void()>> own_; // what this member says to itself, as a voter and as one who asks
   std::map<std::string, Token, std::less<>> holding_; // told in the log already
-  Given fleet_;                                       // as last taken
+  Settings fleet_;                                    // as last taken
   VoterList on_file_, told_;                          // as the file has it; as the others were told it
   Epoch told_on_file_{};
   bool told_joint_ = false;
--- a/operator/checker.cpp
+++ b/operator/checker.cpp
@@ -142,7 +142,7 @@
   return false;
 }
 
-void Checker::take(Given& given, const Key& key, const Value& value, const std::string& ours) {
+void Checker::take(Settings& given, const Key& key, const Value& value, const std::string& ours) {
   double figure = 0;
   switch (key.sort) {
   case Sort::flag:
--- a/operator/checker.hpp
+++ b/operator/checker.hpp
@@ -44,17 +44,17 @@
   // A part of something, as "20%".
   bool percent(const std::string& name, const Value& value, double least, double most, double& into);
   // A value by its sort, under the key's name in the map.
-  void take(Given& given, const Key& key, const Value& value) { take(given, key, value, key.ours); }
-  void take(Given& given, const Key& key, const Value& value, const std::string& ours);
+  void take(Settings& given, const Key& key, const Value& value) { take(given, key, value, key.ours); }
+  void take(Settings& given, const Key& key, const Value& value, const std::string& ours);
   // The children of a node that takes keys only: each at most once, with one value; others are left to
   // `more`, which says whether it knows them. `keys` are those of the node.
   template <class More>
-  void take_all(Given& given, const Node& node, const std::vector<Key>& keys, const std::string& before,
+  void take_all(Settings& given, const Node& node, const std::vector<Key>& keys, const std::string& before,
                 const std::vector<std::string>& more_names, More more);
 };
 
 template <class More>
-void Checker::take_all(Given& given, const Node& node, const std::vector<Key>& keys,
+void Checker::take_all(Settings& given, const Node& node, const std::vector<Key>& keys,
                        const std::string& before, const std::vector<std::string>& more_names, More more) {
   std::vector<std::pair<std::string, Place>> seen;
   for (const Node& child : node.children) {
--- a/operator/fleet_part.cpp
+++ b/operator/fleet_part.cpp
@@ -34,7 +34,7 @@
 
 struct Part {
   Checker& checker;
-  Given& given;
+  Settings& given;
   std::map<double, std::string> members; // by number, where they stand in the map
   std::set<std::string> addresses;
   struct List {
@@ -157,7 +157,7 @@
 
 } // namespace
 
-void take_fleet(Checker& checker, Given& given, const Node& node, const std::vector<Key>& own) {
+void take_fleet(Checker& checker, Settings& given, const Node& node, const std::vector<Key>& own) {
   Part part{checker, given, {}, {}, {}, {}, {}};
   given["fleet.on"] = 1.0;
   checker.take_all(given, node, own, "", {"member", "voters", "previous-voters", "task"},
--- a/operator/operator.cpp
+++ b/operator/operator.cpp
@@ -59,7 +59,7 @@
 }
 
 // One pool: its name, then what it takes and how it stands. `number` counts them.
-void take_pool(Checker& checker, Given& given, const Node& node, std::size_t number,
+void take_pool(Checker& checker, Settings& given, const Node& node, std::size_t number,
                std::set<std::string>& names, double& floors) {
   const std::string at = "pool." + std::to_string(number) + ".";
   const auto* name =
@@ -119,7 +119,7 @@
 }
 
 // Of the fleet, or of all else: without its node nothing is said of a fleet.
-void put_defaults(Given& given, bool of_fleet) {
+void put_defaults(Settings& given, bool of_fleet) {
   Checker checker;
   for (const Key& key : keys()) {
     if ((std::string_view(key.node) == "fleet") != of_fleet) continue;
@@ -140,14 +140,14 @@
 }
 
 // What goes with what, once each is right by itself.
-void look_at_recording(Checker& checker, const Given& given, const Node& node) {
+void look_at_recording(Checker& checker, const Settings& given, const Node& node) {
   if (number(given, "recording.on", 0) != 0 && text(given, "recording.folder", "").empty())
     checker.wrong(node.at, "recording: on, and no folder is told");
   if (number(given, "recording.segment_bytes", 0) * 2 > number(given, "recording.total_bytes", 0))
     checker.wrong(node.at, "recording: total-size is under two segments of segment-size");
 }
 
-void take_node(Checker& checker, Given& given, const Node& node) {
+void take_node(Checker& checker, Settings& given, const Node& node) {
   std::vector<Key> own;
   for (const Key& key : keys())
     if (node.name == key.node) own.push_back(key);
@@ -172,12 +172,12 @@
 
 } // namespace
 
-Given operator_in(std::string_view document, const std::string& file) {
+Settings operator_in(std::string_view document, const std::string& file) {
   return operator_of(kdl::parse(document, file), file);
 }
 
-Given operator_of(const std::vector<Node>& nodes, const std::string& file) {
-  Given given;
+Settings operator_of(const std::vector<Node>& nodes, const std::string& file) {
+  Settings given;
   put_defaults(given, false);
   Checker checker;
   std::map<std::string, Place> nodes_seen;
@@ -207,15 +207,15 @@
   throw kdl::Wrong(all);
 }
 
-Given read_operator(const std::string& path) {
+Settings read_operator(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   if (!in) throw std::invalid_argument("operator file " + path + ": can't be read");
   const std::string all{std::istreambuf_iterator<char>(in), {}};
   return operator_in(all, path);
 }
 
-Given part_of(const Given& given, std::string_view before) {
-  Given part;
+Settings part_of(const Settings& given, std::string_view before) {
+  Settings part;
   for (auto at = given.lower_bound(before); at != given.end() && at->first.starts_with(before); ++at)
     part[at->first.substr(before.size())] = at->second;
   return part;
--- a/peers/control_codec.cpp
+++ b/peers/control_codec.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <limits>
 
-namespace cometshift::control_words {
+namespace cometshift::control_codec {
 
 namespace {
 
@@ -37,11 +37,11 @@
 }
 void put(wire::Entry& out, const Record& record) {
   put(out, record.entry);
-  out.set_writer_of(record.of.raw);
+  out.set_writer_of(record.writer_incarnation.raw);
   out.set_put(record.put.raw);
 }
 Record record_of(const wire::Entry& in) {
-  return {entry_of(in), Incarnation{in.writer_of()}, PutNo{in.put()}};
+  return {entry_of(in), Incarnation{in.writer_of()}, PutNumber{in.put()}};
 }
 template <class Wire>
 std::vector<Record> records_of(const Wire& in) {
@@ -88,7 +88,7 @@
     out.mutable_prepare()->set_round(round);
   });
 }
-std::string promise(Incarnation to, Token token, std::uint32_t round, const LogStanding& standing) {
+std::string promise(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing) {
   return word(to, [&](wire::Control& out) {
     wire::Promise& one = *out.mutable_promise();
     one.set_token(token.raw);
@@ -98,7 +98,7 @@
     for (const auto& [version, roster] : standing.rosters) {
       wire::Roster& told = *one.add_roster();
       put(*told.mutable_version(), version);
-      told.set_text(text_of(roster));
+      told.set_text(format_roster(roster));
     }
   });
 }
@@ -112,7 +112,7 @@
   return word({}, [&](wire::Control& out) {
     wire::Append& one = *out.mutable_append();
     one.set_token(append.token.raw);
-    one.set_mark(append.mark);
+    one.set_mark(append.sequence);
     put(*one.mutable_log_from(), append.log_from);
     put(*one.mutable_previous(), append.previous);
     put(*one.mutable_committed(), append.committed);
@@ -147,11 +147,11 @@
     put(*one.mutable_floor(), chunk.floor);
     put(*one.mutable_committed(), chunk.committed);
     one.set_last(chunk.last);
-    one.set_no_way(chunk.no_way);
+    one.set_no_way(chunk.unavailable);
     for (const Record& record : chunk.records) put(*one.add_record(), record);
   });
 }
-std::string pass(Incarnation to, Token token, const PassedPut& passed) {
+std::string pass(Incarnation to, Token token, const ForwardedPut& passed) {
   return word(to, [&](wire::Control& out) {
     wire::Pass& one = *out.mutable_pass();
     one.set_token(token.raw);
@@ -163,7 +163,7 @@
     if (passed.expected) put(*one.mutable_expected(), *passed.expected);
   });
 }
-std::string answer(Incarnation to, Token token, PutNo number, PutEnd end, Version version,
+std::string answer(Incarnation to, Token token, PutNumber number, PutOutcome end, Version version,
                    std::string_view why) {
   return word(to, [&](wire::Control& out) {
     wire::Answer& one = *out.mutable_answer();
@@ -207,14 +207,14 @@
 
 // ---- a server
 
-std::string follow(FollowNo number, bool primary, const Position& at, const std::vector<ScopeHeld>& scopes,
-                   std::string_view zone) {
+std::string follow(AttachmentNumber number, bool primary, const Position& at,
+                   const std::vector<FollowedScope>& scopes, std::string_view zone) {
   return word({}, [&](wire::Control& out) {
     wire::Follow& one = *out.mutable_follow();
     one.set_number(number.raw);
     one.set_primary(primary);
     put(*one.mutable_at(), at);
-    for (const ScopeHeld& held : scopes) {
+    for (const FollowedScope& held : scopes) {
       wire::Scope& scope = *one.add_scope();
       scope.set_scope(held.scope);
       scope.set_digest(held.digest);
@@ -223,13 +223,13 @@
     one.set_zone(text(zone));
   });
 }
-std::string have(FollowNo number, const Position& at) {
+std::string have(AttachmentNumber number, const Position& at) {
   return word({}, [&](wire::Control& out) {
     out.mutable_have()->set_number(number.raw);
     put(*out.mutable_have()->mutable_at(), at);
   });
 }
-std::string compare(FollowNo number, Version at, const std::vector<std::uint64_t>& digests) {
+std::string compare(AttachmentNumber number, Version at, const std::vector<std::uint64_t>& digests) {
   return word({}, [&](wire::Control& out) {
     wire::Compare& one = *out.mutable_compare();
     one.set_number(number.raw);
@@ -237,14 +237,14 @@
     for (const std::uint64_t digest : digests) one.add_digest(digest);
   });
 }
-std::string unfollow(FollowNo number) {
+std::string unfollow(AttachmentNumber number) {
   return word({}, [&](wire::Control& out) { out.mutable_unfollow()->set_number(number.raw); });
 }
 
 // ---- and back
 
-std::string delta(Incarnation to, FollowNo number, Version from, Version upto, Version last, Nanos age,
-                  const std::vector<const Entry*>& entries) {
+std::string delta(Incarnation to, AttachmentNumber number, Version from, Version upto, Version last,
+                  Nanos age, const std::vector<const Entry*>& entries) {
   return word(to, [&](wire::Control& out) {
     wire::Delta& one = *out.mutable_delta();
     one.set_number(number.raw);
@@ -255,8 +255,9 @@
     for (const Entry* entry : entries) put(*one.add_entry(), *entry);
   });
 }
-std::string renewal(Incarnation to, FollowNo number, Version at, const std::vector<std::uint16_t>& scopes,
-                    Version from, Version upto, Version last, const std::vector<const Entry*>& entries) {
+std::string renewal(Incarnation to, AttachmentNumber number, Version at,
+                    const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version last,
+                    const std::vector<const Entry*>& entries) {
   return word(to, [&](wire::Control& out) {
     wire::Renewal& one = *out.mutable_renewal();
     one.set_number(number.raw);
@@ -268,7 +269,7 @@
     for (const Entry* entry : entries) put(*one.add_entry(), *entry);
   });
 }
-std::string beat(Incarnation to, FollowNo number, Version committed, Nanos age) {
+std::string beat(Incarnation to, AttachmentNumber number, Version committed, Nanos age) {
   return word(to, [&](wire::Control& out) {
     wire::Beat& one = *out.mutable_beat();
     one.set_number(number.raw);
@@ -276,16 +277,16 @@
     one.set_age(age);
   });
 }
-std::string rest(Incarnation to, FollowNo number, Nanos rest) {
+std::string rest(Incarnation to, AttachmentNumber number, Nanos rest) {
   return word(to, [&](wire::Control& out) {
     out.mutable_rest()->set_number(number.raw);
     out.mutable_rest()->set_rest(static_cast<std::uint64_t>(std::max<Nanos>(rest, 0)));
   });
 }
-std::string elsewhere(Incarnation to, FollowNo number) {
+std::string elsewhere(Incarnation to, AttachmentNumber number) {
   return word(to, [&](wire::Control& out) { out.mutable_elsewhere()->set_number(number.raw); });
 }
-std::string again(Incarnation to, FollowNo number) {
+std::string again(Incarnation to, AttachmentNumber number) {
   return word(to, [&](wire::Control& out) { out.mutable_again()->set_number(number.raw); });
 }
 
@@ -301,9 +302,9 @@
     return true;
   case wire::Control::kPromise: {
     const wire::Promise& one = in.promise();
-    LogStanding standing{version_of(one.last()), version_of(one.committed()), {}};
+    LogStatus standing{version_of(one.last()), version_of(one.committed()), {}};
     for (const wire::Roster& told : one.roster()) {
-      std::optional<Roster> roster = roster_in(told.text());
+      std::optional<Roster> roster = parse_roster(told.text());
       if (!roster) return false;
       standing.rosters.emplace_back(version_of(told.version()), std::move(*roster));
     }
@@ -340,22 +341,23 @@
     chunk.floor = version_of(one.floor());
     chunk.committed = version_of(one.committed());
     chunk.last = one.last();
-    chunk.no_way = one.no_way();
+    chunk.unavailable = one.no_way();
     chunk.records = records_of(one);
     listener.chunked(to, chunk);
     return true;
   }
   case wire::Control::kPass: {
     const wire::Pass& one = in.pass();
-    PassedPut passed{PutNo{one.number()}, PutNo{one.oldest()}, one.key(), one.value(), one.deleted(), {}};
+    ForwardedPut passed{
+        PutNumber{one.number()}, PutNumber{one.oldest()}, one.key(), one.value(), one.deleted(), {}};
     if (one.has_expected()) passed.expected = version_of(one.expected());
     listener.passed(to, Token{one.token()}, passed);
     return true;
   }
   case wire::Control::kAnswer: {
     const wire::Answer& one = in.answer();
-    if (one.end() > static_cast<std::uint32_t>(PutEnd::unknown)) return false;
-    listener.answered(to, Token{one.token()}, PutNo{one.put()}, static_cast<PutEnd>(one.end()),
+    if (one.end() > static_cast<std::uint32_t>(PutOutcome::unknown)) return false;
+    listener.answered(to, Token{one.token()}, PutNumber{one.put()}, static_cast<PutOutcome>(one.end()),
                       version_of(one.version()), one.why());
     return true;
   }
@@ -365,7 +367,7 @@
     for (const wire::Member& member : one.record()) {
       if (member.presence() > static_cast<std::uint32_t>(Presence::gone)) return false;
       records.push_back({MemberId{member.member()}, Incarnation{member.incarnation()},
-                         FollowNo{member.attached()}, member.address(), member.zone(), member.since(),
+                         AttachmentNumber{member.attached()}, member.address(), member.zone(), member.since(),
                          static_cast<Presence>(member.presence()), PartNo{member.number()}});
     }
     listener.part(PartNo{one.from()}, PartNo{one.upto()}, PartNo{one.last()}, one.digest(), records);
@@ -376,21 +378,21 @@
     return true;
   case wire::Control::kFollow: {
     const wire::Follow& one = in.follow();
-    std::vector<ScopeHeld> scopes;
+    std::vector<FollowedScope> scopes;
     for (const wire::Scope& scope : one.scope())
       scopes.push_back({scope.scope(), scope.digest(), scope.held()});
-    listener.follow(FollowNo{one.number()}, one.primary(), position_of(one.at()), scopes, one.zone());
+    listener.follow(AttachmentNumber{one.number()}, one.primary(), position_of(one.at()), scopes, one.zone());
     return true;
   }
   case wire::Control::kHave:
-    listener.have(FollowNo{in.have().number()}, position_of(in.have().at()));
+    listener.have(AttachmentNumber{in.have().number()}, position_of(in.have().at()));
     return true;
   case wire::Control::kCompare:
-    listener.compare(FollowNo{in.compare().number()}, version_of(in.compare().at()),
+    listener.compare(AttachmentNumber{in.compare().number()}, version_of(in.compare().at()),
                      {in.compare().digest().begin(), in.compare().digest().end()});
     return true;
   case wire::Control::kUnfollow:
-    listener.unfollow(FollowNo{in.unfollow().number()});
+    listener.unfollow(AttachmentNumber{in.unfollow().number()});
     return true;
   default:
     return false;
@@ -404,7 +406,7 @@
   switch (in.what_case()) {
   case wire::Control::kDelta: {
     const wire::Delta& one = in.delta();
-    listener.delta(to, FollowNo{one.number()}, version_of(one.from()), version_of(one.upto()),
+    listener.delta(to, AttachmentNumber{one.number()}, version_of(one.from()), version_of(one.upto()),
                    version_of(one.last()), one.age(), entries_of(one));
     return true;
   }
@@ -412,28 +414,29 @@
     const wire::Renewal& one = in.renewal();
     std::vector<std::uint16_t> scopes;
     for (const std::uint32_t scope : one.scope()) {
-      if (scope >= most_scopes) return false;
+      if (scope >= max_scopes) return false;
       scopes.push_back(static_cast<std::uint16_t>(scope));
     }
-    listener.renewal(to, FollowNo{one.number()}, version_of(one.at()), scopes, version_of(one.from()),
+    listener.renewal(to, AttachmentNumber{one.number()}, version_of(one.at()), scopes, version_of(one.from()),
                      version_of(one.upto()), version_of(one.last()), entries_of(one));
     return true;
   }
   case wire::Control::kBeat:
-    listener.beat(to, FollowNo{in.beat().number()}, version_of(in.beat().committed()), in.beat().age());
+    listener.beat(to, AttachmentNumber{in.beat().number()}, version_of(in.beat().committed()),
+                  in.beat().age());
     return true;
   case wire::Control::kRest:
-    listener.rest(to, FollowNo{in.rest().number()}, span_of(in.rest().rest()));
+    listener.rest(to, AttachmentNumber{in.rest().number()}, span_of(in.rest().rest()));
     return true;
   case wire::Control::kElsewhere:
-    listener.elsewhere(to, FollowNo{in.elsewhere().number()});
+    listener.elsewhere(to, AttachmentNumber{in.elsewhere().number()});
     return true;
   case wire::Control::kAgain:
-    listener.again(to, FollowNo{in.again().number()});
+    listener.again(to, AttachmentNumber{in.again().number()});
     return true;
   default:
     return false;
   }
 }
 
-} // namespace cometshift::control_words
+} // namespace cometshift::control_codec
--- a/peers/control_follower.hpp
+++ b/peers/control_follower.hpp
@@ -13,51 +13,55 @@
 
 namespace cometshift {
 
-class ControlFollowerOrders {
+class ControlFollowerActions {
  public:
-  virtual ~ControlFollowerOrders() = default;
+  virtual ~ControlFollowerActions() = default;
   virtual void dial(MemberId to) = 0;
-  virtual void hang_up(MemberId to) = 0;
+  virtual void disconnect(MemberId to) = 0;
   virtual void send(MemberId to, std::string frame) = 0;
-  // As FollowerOrders has them.
+  // As FollowerActions has them.
   virtual std::string check(const Entry& entry) = 0;
   virtual void refused(const Entry& entry, std::string_view why) = 0;
-  virtual void taken(Version version, const std::vector<const Entry*>& changed) = 0;
-  virtual void left(MemberId control, LeftWhy why) = 0;
-  virtual void doubled(MemberId number) = 0;
+  virtual void applied(Version version, const std::vector<const Entry*>& changed) = 0;
+  virtual void left(MemberId control, LeaveReason why) = 0;
+  virtual void duplicate_member(MemberId number) = 0;
 };
 
-class ControlFollower final : PeerOrders, FollowerOrders, words::Listener, control_words::FollowerListener {
+class ControlFollower final : PeerActions,
+                              FollowerActions,
+                              peer_codec::Listener,
+                              control_codec::FollowerListener {
  public:
-  ControlFollower(Nanos now, const words::Speaker& self, const Follower::Place& place,
+  ControlFollower(Nanos now, const peer_codec::Sender& self, const Follower::Location& place,
                   const std::vector<Follower::Control>& controls, std::vector<std::string> scopes,
-                  const Given& figures, std::uint64_t seed, ControlFollowerOrders& orders);
+                  const Settings& figures, std::uint64_t seed, ControlFollowerActions& orders);
   ControlFollower(const ControlFollower&) = delete;
   ControlFollower& operator=(const ControlFollower&) = delete;
 
   void connected(Nanos now, MemberId to) { peers_.connected(now_ = now, to); }
   void written(Nanos now, MemberId to) { peers_.written(now_ = now, to); }
   void broken(Nanos now, MemberId to) { peers_.broken(now_ = now, to); }
-  bool letter(Nanos now, const words::Speaker& speaker, std::string_view payload);
+  bool message(Nanos now, const peer_codec::Sender& sender, std::string_view payload);
 
   std::string_view set_scopes(Nanos now, std::vector<std::string> scopes);
   void turn(Nanos now);
   Nanos next_wake() const; // -1: none
   void leave(Nanos now) { peers_.leave(now_ = now); }
-  bool all_said() const { return peers_.all_said(); }
+  bool all_sent() const { return peers_.all_sent(); }
 
   const Follower& follower() const { return follower_; }
   const Peers& peers() const { return peers_; }
 
  private:
   // The link
-  void dial(MemberId to) override { orders_.dial(to); }
-  void hang_up(MemberId to) override { orders_.hang_up(to); }
-  void send(MemberId to, std::string frame) override { orders_.send(to, std::move(frame)); }
-  void news(MemberId of, Hearing before, Hearing now) override;
-  void doubled(MemberId number) override { orders_.doubled(number); }
-  bool letter(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard, Incarnation heard_of,
-              bool leaving, const words::Rhythm& rhythm) override;
+  void dial(MemberId to) override { actions_.dial(to); }
+  void disconnect(MemberId to) override { actions_.disconnect(to); }
+  void send(MemberId to, std::string frame) override { actions_.send(to, std::move(frame)); }
+  void peer_state_changed(MemberId of, PeerState before, PeerState now) override;
+  void duplicate_member(MemberId number) override { actions_.duplicate_member(number); }
+  bool message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
+               Incarnation acked_incarnation, bool leaving,
+               const peer_codec::HeartbeatTerms& heartbeat) override;
   void voters(MemberId, Epoch, const VoterList&) override {}
   void asked(MemberId, Incarnation, Epoch, std::string_view, AskNo, Token, Nanos) override {}
   void released(MemberId, Incarnation, std::string_view, AskNo) override {}
@@ -66,32 +70,33 @@
   void done(MemberId, std::string_view, Token, Nanos) override {}
   void control(MemberId from, Incarnation of, std::string_view bytes) override;
   // To control members
-  void follow(MemberId to, FollowNo number, bool primary, const Position& at,
-              const std::vector<ScopeHeld>& scopes) override;
-  void have(MemberId to, FollowNo number, const Position& at) override;
-  void compare(MemberId to, FollowNo number, Version at, const std::vector<std::uint64_t>& digests) override;
-  void unfollow(MemberId to, FollowNo number) override;
+  void follow(MemberId to, AttachmentNumber number, bool primary, const Position& at,
+              const std::vector<FollowedScope>& scopes) override;
+  void have(MemberId to, AttachmentNumber number, const Position& at) override;
+  void compare(MemberId to, AttachmentNumber number, Version at,
+               const std::vector<std::uint64_t>& digests) override;
+  void unfollow(MemberId to, AttachmentNumber number) override;
   // To the server
-  std::string check(const Entry& entry) override { return orders_.check(entry); }
-  void refused(const Entry& entry, std::string_view why) override { orders_.refused(entry, why); }
-  void taken(Version version, const std::vector<const Entry*>& changed) override {
-    orders_.taken(version, changed);
+  std::string check(const Entry& entry) override { return actions_.check(entry); }
+  void refused(const Entry& entry, std::string_view why) override { actions_.refused(entry, why); }
+  void applied(Version version, const std::vector<const Entry*>& changed) override {
+    actions_.applied(version, changed);
   }
-  void left(MemberId member, LeftWhy why) override { orders_.left(member, why); }
+  void left(MemberId member, LeaveReason why) override { actions_.left(member, why); }
   // From control members
-  void delta(Incarnation to, FollowNo number, Version from, Version upto, Version last, Nanos age,
+  void delta(Incarnation to, AttachmentNumber number, Version from, Version upto, Version last, Nanos age,
              const std::vector<Entry>& entries) override;
-  void renewal(Incarnation to, FollowNo number, Version at, const std::vector<std::uint16_t>& scopes,
+  void renewal(Incarnation to, AttachmentNumber number, Version at, const std::vector<std::uint16_t>& scopes,
                Version from, Version upto, Version last, const std::vector<Entry>& entries) override;
-  void beat(Incarnation to, FollowNo number, Version committed, Nanos age) override;
-  void rest(Incarnation to, FollowNo number, Nanos rest) override;
-  void elsewhere(Incarnation to, FollowNo number) override;
-  void again(Incarnation to, FollowNo number) override;
+  void beat(Incarnation to, AttachmentNumber number, Version committed, Nanos age) override;
+  void rest(Incarnation to, AttachmentNumber number, Nanos rest) override;
+  void elsewhere(Incarnation to, AttachmentNumber number) override;
+  void again(Incarnation to, AttachmentNumber number) override;
 
   void say(MemberId to, std::string_view about, std::string word);
   void keep_lines();
 
-  ControlFollowerOrders& orders_;
+  ControlFollowerActions& actions_;
   std::string zone_;
   Nanos now_;
   MemberId from_{}; // who speaks, while a word is taken
--- a/peers/control_member.cpp
+++ b/peers/control_member.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t most_strangers = 256; // beside those that follow: a zone's return, some ms of it
 
 // For how long what was granted may last, by a clock as wrong as is allowed.
-Nanos settle_time(const Given& figures) {
+Nanos settle_time(const Settings& figures) {
   const double drift = number(figures, "leases.drift", 0);
   return static_cast<Nanos>(number(figures, "leases.longest_term", 0) * (1 + drift) / (1 - drift)) + 1;
 }
@@ -29,8 +29,8 @@
 
 // A change is in force everywhere within 4 s: a beat of half a second tells a server by its second line that
 // its first has fallen behind, a second is then waited for it, and the rest is room for the turn.
-Given control_figures(bool control) {
-  Given figures{
+Settings default_control_settings(bool control) {
+  Settings figures{
       {"control.beat", 500 * ms},
       {"control.silent", 2'000 * ms},
       {"control.behind", 1'000 * ms},
@@ -89,11 +89,11 @@
   return figures;
 }
 
-ControlMember::ControlMember(const Moment& at, const words::Speaker& self,
+ControlMember::ControlMember(const ClockReadings& at, const peer_codec::Sender& self,
                              const std::vector<MemberId>& controls, const std::set<MemberId>& voters,
-                             const Given& figures, std::uint64_t seed, ControlMemberOrders& orders)
-    : orders_(orders), self_(self), controls_(controls.begin(), controls.end()), at_(at),
-      behind_(static_cast<Nanos>(needed(figures, "control.behind", 1 * ms))),
+                             const Settings& figures, std::uint64_t seed, ControlMemberActions& orders)
+    : actions_(orders), self_(self), controls_(controls.begin(), controls.end()), at_(at),
+      behind_(static_cast<Nanos>(required_number(figures, "control.behind", 1 * ms))),
       voters_(at.late, self.from, list_of(voters), settle_time(figures)),
       leases_(at.late, self.from, self.incarnation, voters_, figures, seed, *this),
       replica_(at.early, self.from, self.incarnation, controls_, voters, figures, *this),
@@ -102,53 +102,55 @@
       peers_(at.early, self, without(controls, self.from), voters_, figures, seed + 2, *this) {
   for (const MemberId one : controls)
     if (one != self.from) peers_.keep(at.early, one, true);
-  if (voters.contains(self.from)) leases_.want(at.early, lease_of_writer);
+  if (voters.contains(self.from)) leases_.acquire(at.early, lease_of_writer);
 }
 
 // ---- the lines
 
-void ControlMember::connected(const Moment& at, MemberId to) { peers_.connected((at_ = at).early, to); }
-void ControlMember::written(const Moment& at, MemberId to) { peers_.written((at_ = at).early, to); }
-void ControlMember::broken(const Moment& at, MemberId to) { peers_.broken((at_ = at).early, to); }
+void ControlMember::connected(const ClockReadings& at, MemberId to) {
+  peers_.connected((at_ = at).early, to);
+}
+void ControlMember::written(const ClockReadings& at, MemberId to) { peers_.written((at_ = at).early, to); }
+void ControlMember::broken(const ClockReadings& at, MemberId to) { peers_.broken((at_ = at).early, to); }
 
-bool ControlMember::welcome(const Moment& at, const words::Speaker& speaker) {
+bool ControlMember::accept_unlisted(const ClockReadings& at, const peer_codec::Sender& sender) {
   at_ = at;
-  if (speaker.from == self_.from || speaker.listen.empty()) return false;
-  if (is_control(speaker.from)) return true;
+  if (sender.from == self_.from || sender.listen.empty()) return false;
+  if (is_control(sender.from)) return true;
   // Against any number of those that come, say who they are and follow nothing.
-  while (strangers_.size() >= most_strangers ||
-         (!strangers_.empty() && !peers_.add(at.early, speaker.from))) {
+  while (strangers_.size() >= most_strangers || (!strangers_.empty() && !peers_.add(at.early, sender.from))) {
     const MemberId first = strangers_.front();
     strangers_.pop_front();
-    if (!attached_.contains(first) && first != speaker.from) let_go(first);
+    if (!attached_.contains(first) && first != sender.from) let_go(first);
   }
-  if (!peers_.add(at.early, speaker.from)) return false;
-  if (!attached_.contains(speaker.from)) strangers_.push_back(speaker.from);
-  std::string& address = addresses_[speaker.from];
-  if (address != speaker.listen) orders_.listed(speaker.from, address = speaker.listen);
+  if (!peers_.add(at.early, sender.from)) return false;
+  if (!attached_.contains(sender.from)) strangers_.push_back(sender.from);
+  std::string& address = addresses_[sender.from];
+  if (address != sender.listen) actions_.listed(sender.from, address = sender.listen);
   return true;
 }
 void ControlMember::let_go(MemberId member) {
   attached_.erase(member);
   peers_.remove(at_.early, member);
-  if (addresses_.erase(member) > 0) orders_.unlisted(member);
+  if (addresses_.erase(member) > 0) actions_.unlisted(member);
 }
 
-bool ControlMember::letter(const Moment& at, const words::Speaker& speaker, std::string_view payload) {
+bool ControlMember::message(const ClockReadings& at, const peer_codec::Sender& sender,
+                            std::string_view payload) {
   at_ = at;
-  speaks_at_ = speaker.listen;
-  return words::read_letter(payload, speaker, *this);
+  speaks_at_ = sender.listen;
+  return peer_codec::decode_message(payload, sender, *this);
 }
 
-PutNo ControlMember::put(const Moment& at, std::string key, std::string value, bool deleted,
-                         std::optional<Version> expected) {
+PutNumber ControlMember::put(const ClockReadings& at, std::string key, std::string value, bool deleted,
+                             std::optional<Version> expected) {
   at_ = at;
   return replica_.put(at.early, std::move(key), std::move(value), deleted, expected);
 }
 
 // ---- a turn
 
-void ControlMember::turn(const Moment& at) {
+void ControlMember::turn(const ClockReadings& at) {
   at_ = at;
   for (;;) {
     while (!own_.empty()) {
@@ -156,7 +158,7 @@
       own_.pop_front();
       what();
     }
-    leases_.count(at.unix_ms);
+    leases_.raise_token_counter(at.unix_ms);
     leases_.due(at.early);
     look_at_holding();
     replica_.due(at.early);
@@ -169,9 +171,9 @@
   peers_.flush(at.early);
 }
 void ControlMember::look_at_state() {
-  if (replica_.ready() == feed_.is_blank())
-    feed_.is_blank() ? feed_.ready(at_.early) : feed_.blank(at_.early);
-  if (replica_.writes(at_.early)) feed_.current(at_.early);
+  if (replica_.ready() == feed_.is_inactive())
+    feed_.is_inactive() ? feed_.activate(at_.early) : feed_.deactivate(at_.early);
+  if (replica_.is_writer(at_.early)) feed_.confirm_current(at_.early);
 }
 Nanos ControlMember::next_wake() const {
   Nanos next = holding_.token == Token{} ? -1 : holding_.from;
@@ -180,7 +182,7 @@
     if (at >= 0 && (next < 0 || at < next)) next = at;
   return next;
 }
-void ControlMember::leave(const Moment& at) {
+void ControlMember::leave(const ClockReadings& at) {
   at_ = at;
   leases_.leave(at.early);
   peers_.leave(at.early);
@@ -188,16 +190,18 @@
 
 // ---- the link
 
-void ControlMember::news(MemberId of, Hearing before, Hearing now) {
-  if (is_control(of)) return orders_.news(of, before, now);
-  if (now != Hearing::silent && now != Hearing::left) return;
+void ControlMember::peer_state_changed(MemberId of, PeerState before, PeerState now) {
+  if (is_control(of)) return actions_.peer_state_changed(of, before, now);
+  if (now != PeerState::unresponsive && now != PeerState::left) return;
   to_self([this, of] {
     if (attached_.erase(of) > 0) peers_.keep(at_.early, of, false);
   });
 }
-bool ControlMember::letter(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
-                           Incarnation heard_of, bool leaving, const words::Rhythm& rhythm) {
-  if (!peers_.heard(at_.early, from, of, number, heard, heard_of, leaving, rhythm)) return false;
+bool ControlMember::message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
+                            Incarnation acked_incarnation, bool leaving,
+                            const peer_codec::HeartbeatTerms& heartbeat) {
+  if (!peers_.received(at_.early, from, of, number, heard, acked_incarnation, leaving, heartbeat))
+    return false;
   from_ = from;
   of_ = of;
   if (!is_control(from))
@@ -207,10 +211,10 @@
 void ControlMember::control(MemberId from, Incarnation of, std::string_view bytes) {
   from_ = from;
   of_ = of;
-  control_words::read(bytes, *this);
+  control_codec::read(bytes, *this);
 }
 void ControlMember::say(MemberId to, std::string_view about, std::string word) {
-  peers_.say(to, Peers::Slot::control, about, words::control(word));
+  peers_.enqueue(to, Peers::MessageClass::control, about, peer_codec::control(word));
 }
 
 // ---- leases
@@ -233,21 +237,24 @@
 void ControlMember::ask(MemberId voter, Epoch epoch, std::string_view lease, AskNo number, Token token,
                         Nanos term) {
   if (voter != self_.from)
-    return void(peers_.say(voter, Peers::Slot::asking, lease, words::ask(epoch, lease, number, token, term)));
+    return void(peers_.enqueue(voter, Peers::MessageClass::request, lease,
+                               peer_codec::ask(epoch, lease, number, token, term)));
   to_self([this, epoch, lease = std::string(lease), number, token, term] {
     leases_.asked(at_.late, self_.from, self_.incarnation, epoch, lease, number, token, term);
   });
 }
 void ControlMember::release(MemberId voter, std::string_view lease, AskNo number) {
   if (voter != self_.from)
-    return void(peers_.say(voter, Peers::Slot::asking, lease, words::release(lease, number)));
+    return void(
+        peers_.enqueue(voter, Peers::MessageClass::request, lease, peer_codec::release(lease, number)));
   to_self([this, lease = std::string(lease), number] {
     leases_.released(at_.late, self_.from, self_.incarnation, lease, number);
   });
 }
 void ControlMember::grant(MemberId to, Incarnation of, std::string_view lease, AskNo number, bool wanted) {
   if (to != self_.from)
-    return void(peers_.say(to, Peers::Slot::answering, lease, words::grant(of, lease, number, wanted)));
+    return void(peers_.enqueue(to, Peers::MessageClass::response, lease,
+                               peer_codec::grant(of, lease, number, wanted)));
   to_self([this, of, lease = std::string(lease), number, wanted] {
     leases_.granted(at_.early, self_.from, of, lease, number, wanted);
   });
@@ -255,7 +262,8 @@
 void ControlMember::refuse(MemberId to, Incarnation of, std::string_view lease, AskNo number, Token seen,
                            Nanos left) {
   if (to != self_.from)
-    return void(peers_.say(to, Peers::Slot::answering, lease, words::refuse(of, lease, number, seen, left)));
+    return void(peers_.enqueue(to, Peers::MessageClass::response, lease,
+                               peer_codec::refuse(of, lease, number, seen, left)));
   to_self([this, of, lease = std::string(lease), number, seen, left] {
     leases_.refused(at_.early, self_.from, of, lease, number, seen, left);
   });
@@ -268,54 +276,55 @@
 void ControlMember::look_at_holding() {
   if (holding_.token == Token{} || holding_.from > at_.early) return;
   const Holding begun = std::exchange(holding_, {});
-  replica_.held(at_.early, begun.token, begun.until);
+  replica_.lease_held(at_.early, begun.token, begun.until);
 }
-void ControlMember::lost(std::string_view, Token token, LostWhy) {
+void ControlMember::lost(std::string_view, Token token, LossReason) {
   if (holding_.token == token) holding_ = {};
-  replica_.lost(at_.early, token);
+  replica_.lease_lost(at_.early, token);
 }
 
 // ---- the one order
 
 void ControlMember::prepare(MemberId to, Token token, std::uint32_t round) {
-  say(to, "prepare", control_words::prepare(token, round));
+  say(to, "prepare", control_codec::prepare(token, round));
 }
 void ControlMember::promise(MemberId to, Incarnation of, Token token, std::uint32_t round,
-                            const LogStanding& standing) {
-  say(to, "promise", control_words::promise(of, token, round, standing));
+                            const LogStatus& standing) {
+  say(to, "promise", control_codec::promise(of, token, round, standing));
 }
 void ControlMember::refuse(MemberId to, Incarnation of, Token token, Token seen) {
-  say(to, "refuse", control_words::refuse(of, token, seen));
+  say(to, "refuse", control_codec::refuse(of, token, seen));
 }
 void ControlMember::append(MemberId to, const Append& append) {
-  say(to, append.records.empty() ? "append" : about("append", append.mark), control_words::append(append));
+  say(to, append.records.empty() ? "append" : about("append", append.sequence),
+      control_codec::append(append));
 }
 void ControlMember::appended(MemberId to, Incarnation of, Token token, std::uint64_t mark, Version matched,
                              bool gap) {
-  say(to, "appended", control_words::appended(of, token, mark, matched, gap));
+  say(to, "appended", control_codec::appended(of, token, mark, matched, gap));
 }
 void ControlMember::fetch(MemberId to, Token token, Version base, Version cursor, Token since) {
-  say(to, "fetch", control_words::fetch(token, base, cursor, since));
+  say(to, "fetch", control_codec::fetch(token, base, cursor, since));
 }
 void ControlMember::chunk(MemberId to, Incarnation of, const Chunk& chunk) {
-  say(to, about("chunk", chunk.from.number), control_words::chunk(of, chunk));
+  say(to, about("chunk", chunk.from.number), control_codec::chunk(of, chunk));
 }
-void ControlMember::pass(MemberId to, Incarnation of, Token token, const PassedPut& put) {
-  say(to, about("pass", put.number.raw), control_words::pass(of, token, put));
+void ControlMember::pass(MemberId to, Incarnation of, Token token, const ForwardedPut& put) {
+  say(to, about("pass", put.number.raw), control_codec::pass(of, token, put));
 }
-void ControlMember::answer(MemberId to, Incarnation of, Token token, PutNo put, PutEnd end, Version version,
-                           std::string_view why) {
-  say(to, about("answer", put.raw), control_words::answer(of, token, put, end, version, why));
+void ControlMember::answer(MemberId to, Incarnation of, Token token, PutNumber put, PutOutcome end,
+                           Version version, std::string_view why) {
+  say(to, about("answer", put.raw), control_codec::answer(of, token, put, end, version, why));
 }
 void ControlMember::committed(const Record& record) {
   feed_.committed(at_.early, record.entry);
-  orders_.committed(record);
+  actions_.committed(record);
 }
 void ControlMember::replaced() {
-  if (!feed_.is_blank()) feed_.blank(at_.early); // what it told of it is not so any more
+  if (!feed_.is_inactive()) feed_.deactivate(at_.early); // what it told of it is not so any more
 }
-void ControlMember::ended(PutNo put, PutEnd end, Version version, std::string_view why) {
-  orders_.ended(put, end, version, why);
+void ControlMember::ended(PutNumber put, PutOutcome end, Version version, std::string_view why) {
+  actions_.ended(put, end, version, why);
 }
 void ControlMember::superseded(Token, Token seen) {
   to_self([this, seen] { leases_.refused_by_target(at_.early, lease_of_writer, seen); });
@@ -323,7 +332,7 @@
 void ControlMember::prepared(Token token, std::uint32_t round) {
   if (is_control(from_)) replica_.prepared(at_.early, from_, of_, token, round);
 }
-void ControlMember::promised(Incarnation to, Token token, std::uint32_t round, const LogStanding& standing) {
+void ControlMember::promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing) {
   if (is_control(from_)) replica_.promised(at_.early, from_, of_, to, token, round, standing);
 }
 void ControlMember::refused(Incarnation to, Token token, Token seen) {
@@ -332,9 +341,9 @@
 void ControlMember::appending(const Append& append) {
   if (!is_control(from_)) return;
   replica_.appending(at_.early, from_, of_, append);
-  if (replica_.ready() && replica_.standing().heard_at == at_.early &&
+  if (replica_.ready() && replica_.status().last_received_at == at_.early &&
       replica_.committed() >= append.committed)
-    feed_.current(at_.early);
+    feed_.confirm_current(at_.early);
 }
 void ControlMember::appended(Incarnation to, Token token, std::uint64_t mark, Version matched, bool gap) {
   if (is_control(from_)) replica_.appended(at_.early, from_, of_, to, token, mark, matched, gap);
@@ -345,39 +354,39 @@
 void ControlMember::chunked(Incarnation to, const Chunk& chunk) {
   if (is_control(from_)) replica_.chunked(at_.early, from_, of_, to, chunk);
 }
-void ControlMember::passed(Incarnation to, Token token, const PassedPut& put) {
+void ControlMember::passed(Incarnation to, Token token, const ForwardedPut& put) {
   if (is_control(from_)) replica_.passed(at_.early, from_, of_, to, token, put);
 }
-void ControlMember::answered(Incarnation to, Token token, PutNo put, PutEnd end, Version version,
+void ControlMember::answered(Incarnation to, Token token, PutNumber put, PutOutcome end, Version version,
                              std::string_view why) {
   if (is_control(from_)) replica_.answered(at_.early, from_, of_, to, token, put, end, version, why);
 }
 
 // ---- what is given out
 
-void ControlMember::delta(MemberId to, Incarnation of, FollowNo number, Version from, Version upto,
+void ControlMember::delta(MemberId to, Incarnation of, AttachmentNumber number, Version from, Version upto,
                           Version last, Nanos age, const std::vector<const Entry*>& entries) {
-  say(to, "part", control_words::delta(of, number, from, upto, last, age, entries));
+  say(to, "part", control_codec::delta(of, number, from, upto, last, age, entries));
 }
-void ControlMember::renewal(MemberId to, Incarnation of, FollowNo number, Version at,
+void ControlMember::renewal(MemberId to, Incarnation of, AttachmentNumber number, Version at,
                             const std::vector<std::uint16_t>& scopes, Version from, Version upto,
                             Version last, const std::vector<const Entry*>& entries) {
-  say(to, "part", control_words::renewal(of, number, at, scopes, from, upto, last, entries));
+  say(to, "part", control_codec::renewal(of, number, at, scopes, from, upto, last, entries));
 }
-void ControlMember::beat(MemberId to, Incarnation of, FollowNo number, Version committed, Nanos age) {
-  say(to, "beat", control_words::beat(of, number, committed, age));
+void ControlMember::beat(MemberId to, Incarnation of, AttachmentNumber number, Version committed, Nanos age) {
+  say(to, "beat", control_codec::beat(of, number, committed, age));
 }
-void ControlMember::rest(MemberId to, Incarnation of, FollowNo number, Nanos rest) {
-  say(to, "rest", control_words::rest(of, number, rest));
+void ControlMember::rest(MemberId to, Incarnation of, AttachmentNumber number, Nanos rest) {
+  say(to, "rest", control_codec::rest(of, number, rest));
 }
-void ControlMember::elsewhere(MemberId to, Incarnation of, FollowNo number) {
-  say(to, "elsewhere", control_words::elsewhere(of, number));
+void ControlMember::elsewhere(MemberId to, Incarnation of, AttachmentNumber number) {
+  say(to, "elsewhere", control_codec::elsewhere(of, number));
 }
-void ControlMember::again(MemberId to, Incarnation of, FollowNo number) {
-  say(to, "elsewhere", control_words::again(of, number));
+void ControlMember::again(MemberId to, Incarnation of, AttachmentNumber number) {
+  say(to, "elsewhere", control_codec::again(of, number));
 }
-void ControlMember::follow(FollowNo number, bool primary, const Position& at,
-                           const std::vector<ScopeHeld>& scopes, std::string_view zone) {
+void ControlMember::follow(AttachmentNumber number, bool primary, const Position& at,
+                           const std::vector<FollowedScope>& scopes, std::string_view zone) {
   if (is_control(from_)) return;
   if (attached_.insert(from_).second) {
     std::erase(strangers_, from_);
@@ -393,13 +402,13 @@
   directory_.attached(at_.early, record);
   feed_.follow(at_.early, from_, of_, number, primary, at, scopes);
 }
-void ControlMember::have(FollowNo number, const Position& at) {
+void ControlMember::have(AttachmentNumber number, const Position& at) {
   if (!is_control(from_)) feed_.have(at_.early, from_, of_, number, at);
 }
-void ControlMember::compare(FollowNo number, Version at, const std::vector<std::uint64_t>& digests) {
+void ControlMember::compare(AttachmentNumber number, Version at, const std::vector<std::uint64_t>& digests) {
   if (!is_control(from_)) feed_.compare(at_.early, from_, of_, number, at, digests);
 }
-void ControlMember::unfollow(FollowNo number) {
+void ControlMember::unfollow(AttachmentNumber number) {
   if (is_control(from_)) return;
   feed_.unfollow(at_.early, from_, of_, number);
   directory_.detached(at_.early, from_, of_);
@@ -411,13 +420,13 @@
 
 void ControlMember::part(MemberId to, PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
                          const std::vector<const MemberRecord*>& records) {
-  say(to, "members", control_words::part(from, upto, last, digest, records));
+  say(to, "members", control_codec::part(from, upto, last, digest, records));
 }
 void ControlMember::have(MemberId to, Incarnation owner, PartNo upto) {
-  say(to, "members held", control_words::part_held(owner, upto));
+  say(to, "members held", control_codec::part_held(owner, upto));
 }
 void ControlMember::news(const MemberRecord& member, Presence before) {
-  orders_.presence(member, before);
+  actions_.presence(member, before);
   if (member.presence == Presence::gone)
     to_self([this, gone = member.member] {
       if (!attached_.contains(gone)) let_go(gone);
--- a/peers/control_member.hpp
+++ b/peers/control_member.hpp
@@ -18,7 +18,7 @@
 
 namespace cometshift {
 
-struct Moment {
+struct ClockReadings {
   Nanos early;           // of who holds: never ahead of the truth by more than the drift
   Nanos late;            // of who granted
   std::uint64_t unix_ms; // as shown, for people and for tokens to rise over starts
@@ -26,55 +26,56 @@
 
 // All figures of control and of its link, as they are unless the operator file says otherwise; `control`: of
 // a control member, else of a server.
-Given control_figures(bool control);
+Settings default_control_settings(bool control);
 
-class ControlMemberOrders {
+class ControlMemberActions {
  public:
-  virtual ~ControlMemberOrders() = default;
+  virtual ~ControlMemberActions() = default;
   virtual void dial(MemberId to) = 0;
-  virtual void hang_up(MemberId to) = 0;
+  virtual void disconnect(MemberId to) = 0;
   virtual void send(MemberId to, std::string frame) = 0;
   // A server is known from now on, by that address; is forgotten.
   virtual void listed(MemberId member, std::string_view address) = 0;
   virtual void unlisted(MemberId member) = 0;
-  virtual std::string why_not(const Entry& entry) = 0; // as the writer; empty: it can be written
-  virtual void ended(PutNo put, PutEnd end, Version version, std::string_view why) = 0;
+  virtual std::string rejection_reason(const Entry& entry) = 0; // as the writer; empty: it can be written
+  virtual void ended(PutNumber put, PutOutcome end, Version version, std::string_view why) = 0;
   virtual void committed(const Record& record) = 0;
   virtual void began(Token token, bool after_loss) = 0;
   virtual void stepped_down(Token token) = 0;
-  virtual void news(MemberId of, Hearing before, Hearing now) = 0; // of control members
+  virtual void peer_state_changed(MemberId of, PeerState before, PeerState now) = 0; // of control members
   virtual void presence(const MemberRecord& member, Presence before) = 0;
-  virtual void doubled(MemberId number) = 0;
+  virtual void duplicate_member(MemberId number) = 0;
 };
 
-class ControlMember final : PeerOrders,
-                            LeaseOrders,
-                            ReplicaOrders,
-                            FeedOrders,
-                            DirectoryOrders,
-                            words::Listener,
-                            control_words::ControlListener {
+class ControlMember final : PeerActions,
+                            LeaseActions,
+                            ReplicaActions,
+                            FeedActions,
+                            DirectoryActions,
+                            peer_codec::Listener,
+                            control_codec::ControlListener {
  public:
-  ControlMember(const Moment& at, const words::Speaker& self, const std::vector<MemberId>& controls,
-                const std::set<MemberId>& voters, const Given& figures, std::uint64_t seed,
-                ControlMemberOrders& orders);
+  ControlMember(const ClockReadings& at, const peer_codec::Sender& self,
+                const std::vector<MemberId>& controls, const std::set<MemberId>& voters,
+                const Settings& figures, std::uint64_t seed, ControlMemberActions& orders);
   ControlMember(const ControlMember&) = delete;
   ControlMember& operator=(const ControlMember&) = delete;
 
   // ---- the lines
-  void connected(const Moment& at, MemberId to);
-  void written(const Moment& at, MemberId to);
-  void broken(const Moment& at, MemberId to);
-  bool welcome(const Moment& at, const words::Speaker& speaker); // false: no room, or it says no address
-  bool letter(const Moment& at, const words::Speaker& speaker, std::string_view payload);
+  void connected(const ClockReadings& at, MemberId to);
+  void written(const ClockReadings& at, MemberId to);
+  void broken(const ClockReadings& at, MemberId to);
+  bool accept_unlisted(const ClockReadings& at,
+                       const peer_codec::Sender& sender); // false: no room, or it says no address
+  bool message(const ClockReadings& at, const peer_codec::Sender& sender, std::string_view payload);
 
   // ---- the operator's; as Replica::put
-  PutNo put(const Moment& at, std::string key, std::string value, bool deleted,
-            std::optional<Version> expected);
+  PutNumber put(const ClockReadings& at, std::string key, std::string value, bool deleted,
+                std::optional<Version> expected);
 
-  void turn(const Moment& at);
+  void turn(const ClockReadings& at);
   Nanos next_wake() const; // of the early clock; -1: none
-  void leave(const Moment& at);
+  void leave(const ClockReadings& at);
 
   const Leases& leases() const { return leases_; }
   const Replica& replica() const { return replica_; }
@@ -84,14 +85,15 @@
 
  private:
   // The link
-  void dial(MemberId to) override { orders_.dial(to); }
-  void hang_up(MemberId to) override { orders_.hang_up(to); }
-  void send(MemberId to, std::string frame) override { orders_.send(to, std::move(frame)); }
-  void news(MemberId of, Hearing before, Hearing now) override;
-  void doubled(MemberId number) override { orders_.doubled(number); }
+  void dial(MemberId to) override { actions_.dial(to); }
+  void disconnect(MemberId to) override { actions_.disconnect(to); }
+  void send(MemberId to, std::string frame) override { actions_.send(to, std::move(frame)); }
+  void peer_state_changed(MemberId of, PeerState before, PeerState now) override;
+  void duplicate_member(MemberId number) override { actions_.duplicate_member(number); }
   // Words of the link and of leases
-  bool letter(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard, Incarnation heard_of,
-              bool leaving, const words::Rhythm& rhythm) override;
+  bool message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
+               Incarnation acked_incarnation, bool leaving,
+               const peer_codec::HeartbeatTerms& heartbeat) override;
   void voters(MemberId, Epoch, const VoterList&) override {} // they are those that the files name
   void asked(MemberId from, Incarnation of, Epoch epoch, std::string_view lease, AskNo number, Token token,
              Nanos term) override;
@@ -109,38 +111,38 @@
   void refuse(MemberId to, Incarnation of, std::string_view lease, AskNo number, Token seen,
               Nanos left) override;
   void held(std::string_view lease, Token token, Nanos from, Nanos until) override;
-  void lost(std::string_view lease, Token token, LostWhy why) override;
+  void lost(std::string_view lease, Token token, LossReason why) override;
   // The one order: to others
   void prepare(MemberId to, Token token, std::uint32_t round) override;
   void promise(MemberId to, Incarnation of, Token token, std::uint32_t round,
-               const LogStanding& standing) override;
+               const LogStatus& standing) override;
   void refuse(MemberId to, Incarnation of, Token token, Token seen) override;
   void append(MemberId to, const Append& append) override;
   void appended(MemberId to, Incarnation of, Token token, std::uint64_t mark, Version matched,
                 bool gap) override;
   void fetch(MemberId to, Token token, Version base, Version cursor, Token since) override;
   void chunk(MemberId to, Incarnation of, const Chunk& chunk) override;
-  void pass(MemberId to, Incarnation of, Token token, const PassedPut& put) override;
-  void answer(MemberId to, Incarnation of, Token token, PutNo put, PutEnd end, Version version,
+  void pass(MemberId to, Incarnation of, Token token, const ForwardedPut& put) override;
+  void answer(MemberId to, Incarnation of, Token token, PutNumber put, PutOutcome end, Version version,
               std::string_view why) override;
   // ... and here
-  std::string why_not(const Entry& entry) override { return orders_.why_not(entry); }
+  std::string rejection_reason(const Entry& entry) override { return actions_.rejection_reason(entry); }
   void committed(const Record& record) override;
   void replaced() override;
-  void ended(PutNo put, PutEnd end, Version version, std::string_view why) override;
-  void began(Token token, bool after_loss) override { orders_.began(token, after_loss); }
-  void stepped_down(Token token) override { orders_.stepped_down(token); }
+  void ended(PutNumber put, PutOutcome end, Version version, std::string_view why) override;
+  void began(Token token, bool after_loss) override { actions_.began(token, after_loss); }
+  void stepped_down(Token token) override { actions_.stepped_down(token); }
   void superseded(Token token, Token seen) override;
   // What is given out
-  void delta(MemberId to, Incarnation of, FollowNo number, Version from, Version upto, Version last,
+  void delta(MemberId to, Incarnation of, AttachmentNumber number, Version from, Version upto, Version last,
              Nanos age, const std::vector<const Entry*>& entries) override;
-  void renewal(MemberId to, Incarnation of, FollowNo number, Version at,
+  void renewal(MemberId to, Incarnation of, AttachmentNumber number, Version at,
                const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version last,
                const std::vector<const Entry*>& entries) override;
-  void beat(MemberId to, Incarnation of, FollowNo number, Version committed, Nanos age) override;
-  void rest(MemberId to, Incarnation of, FollowNo number, Nanos rest) override;
-  void elsewhere(MemberId to, Incarnation of, FollowNo number) override;
-  void again(MemberId to, Incarnation of, FollowNo number) override;
+  void beat(MemberId to, Incarnation of, AttachmentNumber number, Version committed, Nanos age) override;
+  void rest(MemberId to, Incarnation of, AttachmentNumber number, Nanos rest) override;
+  void elsewhere(MemberId to, Incarnation of, AttachmentNumber number) override;
+  void again(MemberId to, Incarnation of, AttachmentNumber number) override;
   // Who is there
   void part(MemberId to, PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
             const std::vector<const MemberRecord*>& records) override;
@@ -148,23 +150,23 @@
   void news(const MemberRecord& member, Presence before) override;
   // Words of control members and of servers
   void prepared(Token token, std::uint32_t round) override;
-  void promised(Incarnation to, Token token, std::uint32_t round, const LogStanding& standing) override;
+  void promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing) override;
   void refused(Incarnation to, Token token, Token seen) override;
   void appending(const Append& append) override;
   void appended(Incarnation to, Token token, std::uint64_t mark, Version matched, bool gap) override;
   void fetched(Token token, Version base, Version cursor, Token since) override;
   void chunked(Incarnation to, const Chunk& chunk) override;
-  void passed(Incarnation to, Token token, const PassedPut& put) override;
-  void answered(Incarnation to, Token token, PutNo put, PutEnd end, Version version,
+  void passed(Incarnation to, Token token, const ForwardedPut& put) override;
+  void answered(Incarnation to, Token token, PutNumber put, PutOutcome end, Version version,
                 std::string_view why) override;
   void part(PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
             const std::vector<MemberRecord>& records) override;
   void part_held(Incarnation owner, PartNo upto) override;
-  void follow(FollowNo number, bool primary, const Position& at, const std::vector<ScopeHeld>& scopes,
-              std::string_view zone) override;
-  void have(FollowNo number, const Position& at) override;
-  void compare(FollowNo number, Version at, const std::vector<std::uint64_t>& digests) override;
-  void unfollow(FollowNo number) override;
+  void follow(AttachmentNumber number, bool primary, const Position& at,
+              const std::vector<FollowedScope>& scopes, std::string_view zone) override;
+  void have(AttachmentNumber number, const Position& at) override;
+  void compare(AttachmentNumber number, Version at, const std::vector<std::uint64_t>& digests) override;
+  void unfollow(AttachmentNumber number) override;
 
   bool is_control(MemberId member) const { return controls_.contains(member); }
   void say(MemberId to, std::string_view about, std::string word);
@@ -173,10 +175,10 @@
   void look_at_holding();
   void let_go(MemberId member);
 
-  ControlMemberOrders& orders_;
-  words::Speaker self_;
+  ControlMemberActions& actions_;
+  peer_codec::Sender self_;
   std::set<MemberId> controls_;
-  Moment at_;
+  ClockReadings at_;
   Nanos behind_;            // for longer it gives nothing out
   Nanos behind_since_ = -1; // that the writer has committed more than is here; -1: it is level
   MemberId from_{};         // who speaks, while a word is taken
--- a/peers/links.cpp
+++ b/peers/links.cpp
@@ -13,15 +13,15 @@
 
 constexpr std::size_t more_incoming = 8;      // than two for each member: one that is going, one that comes
 constexpr std::chrono::seconds first_word{2}; // in which a connection has to say who it is
-constexpr std::chrono::milliseconds accept_again{100}; // where no descriptor is free
-constexpr std::size_t read_at_once = 16 * 1024;        // bytes: others have their turn between
+constexpr std::chrono::milliseconds accept_retry_delay{100}; // where no descriptor is free
+constexpr std::size_t read_at_once = 16 * 1024;              // bytes: others have their turn between
 constexpr int sent_ahead =
-    32 * 1024; // bytes that the system may hold of letters: what is old there is of no use
+    32 * 1024; // bytes that the system may hold of messages: what is old there is of no use
 
 } // namespace
 
-Links::Links(asio::io_context& io, Tcp::endpoint listen, words::Speaker self,
-             std::map<MemberId, Tcp::endpoint> others, Taker& taker)
+Links::Links(asio::io_context& io, Tcp::endpoint listen, peer_codec::Sender self,
+             std::map<MemberId, Tcp::endpoint> others, Handler& taker)
     : io_(io), acceptor_(io), retry_(io), self_(std::move(self)), others_(std::move(others)), taker_(taker),
       some_(read_at_once, '\0') {
   try {
@@ -62,7 +62,7 @@
 
 void Links::remove(MemberId member) {
   if (others_.erase(member) == 0) return;
-  hang_up(member);
+  disconnect(member);
   const auto at = by_speaker_.find(member);
   if (at == by_speaker_.end()) return;
   for (const std::uint64_t number : std::set(at->second)) end(std::shared_ptr(incoming_.at(number)), nullptr);
@@ -79,7 +79,7 @@
     acceptor_.accept(socket, error);
     if (error == asio::error::would_block) return accept();
     if (error && error != asio::error::connection_aborted) {
-      retry_.expires_after(accept_again);
+      retry_.expires_after(accept_retry_delay);
       retry_.async_wait([this](asio::error_code stopped) {
         if (!stopped) accept();
       });
@@ -111,11 +111,11 @@
 void Links::end(const std::shared_ptr<Incoming>& one, const char* why) {
   if (incoming_.erase(one->number) == 0) return;
   by_heard_.erase({one->heard, one->number});
-  if (const auto at = by_speaker_.find(one->speaker.from); one->known && at != by_speaker_.end()) {
+  if (const auto at = by_speaker_.find(one->sender.from); one->known && at != by_speaker_.end()) {
     at->second.erase(one->number);
     if (at->second.empty()) by_speaker_.erase(at);
   }
-  if (why) taker_.remark(std::string("a connection closed: ") + why);
+  if (why) taker_.log_event(std::string("a connection closed: ") + why);
   asio::error_code ignored;
   one->socket.close(ignored);
   one->timer.cancel();
@@ -126,14 +126,14 @@
 // A member that dials anew speaks there: what still lies in an earlier connection of it is old.
 void Links::replace(const Incoming& by) {
   std::vector<std::shared_ptr<Incoming>> before;
-  for (const std::uint64_t number : by_speaker_[by.speaker.from])
-    if (const auto& one = incoming_.at(number); one->speaker.incarnation == by.speaker.incarnation)
+  for (const std::uint64_t number : by_speaker_[by.sender.from])
+    if (const auto& one = incoming_.at(number); one->sender.incarnation == by.sender.incarnation)
       before.push_back(one);
   for (const auto& one : before) end(one, nullptr);
-  by_speaker_[by.speaker.from].insert(by.number);
+  by_speaker_[by.sender.from].insert(by.number);
 }
 
-// Most are idle: what is read of any of them passes through one place, and each keeps what is no letter yet.
+// Most are idle: what is read of any of them passes through one place, and each keeps what is no message yet.
 void Links::read(const std::shared_ptr<Incoming>& one) {
   one->socket.async_wait(Tcp::socket::wait_read, [this, one](asio::error_code error) {
     if (closed_ || !incoming_.contains(one->number)) return;
@@ -155,25 +155,26 @@
 bool Links::parse(Incoming& one, const char*& why) {
   const std::string_view all = one.in;
   std::size_t from = 0;
-  while (all.size() - from >= frames::head_size) {
-    const std::uint32_t length = frames::number_at(all.data() + from, 4);
-    if (!frames::possible(length) || length + 4 > words::most_letter) return why = "no letter", false;
+  while (all.size() - from >= frames::header_size) {
+    const std::uint32_t length = frames::read_le(all.data() + from, 4);
+    if (!frames::is_valid_length(length) || length + 4 > peer_codec::most_letter)
+      return why = "no letter", false;
     if (all.size() - from < length + 4) break;
     const auto type = static_cast<std::uint8_t>(all[from + 4]);
-    const std::string_view payload = all.substr(from + frames::head_size, length + 4 - frames::head_size);
+    const std::string_view payload = all.substr(from + frames::header_size, length + 4 - frames::header_size);
     from += length + 4;
     if (!one.known) {
-      if (type != frames::peer_hello || !words::read_hello(payload, one.speaker))
+      if (type != frames::peer_hello || !peer_codec::decode_hello(payload, one.sender))
         return why = "it says nothing that can be read", false;
-      if (one.speaker.fleet != self_.fleet) return why = "of another fleet", false;
-      if (one.speaker.to != self_.from) return why = "for another member", false;
-      if (!others_.contains(one.speaker.from) &&
-          !(taker_.welcome(one.speaker) && others_.contains(one.speaker.from)))
+      if (one.sender.fleet != self_.fleet) return why = "of another fleet", false;
+      if (one.sender.to != self_.from) return why = "for another member", false;
+      if (!others_.contains(one.sender.from) &&
+          !(taker_.accept_unlisted(one.sender) && others_.contains(one.sender.from)))
         return why = "of no member that is listed", false;
       one.known = true;
       one.timer.cancel();
       replace(one);
-    } else if (type != frames::peer_letter || !taker_.letter(one.speaker, payload)) {
+    } else if (type != frames::peer_message || !taker_.message(one.sender, payload)) {
       return why = "a letter that can't be read", false;
     }
     if (!incoming_.contains(one.number)) return false; // closed or removed meanwhile
@@ -206,9 +207,9 @@
     asio::error_code ignored;
     held->socket.set_option(Tcp::no_delay(true), ignored);
     held->socket.set_option(asio::socket_base::send_buffer_size(sent_ahead), ignored);
-    words::Speaker speaker = self_;
-    speaker.to = to;
-    held->frame = words::hello(speaker);
+    peer_codec::Sender sender = self_;
+    sender.to = to;
+    held->frame = peer_codec::hello(sender);
     asio::async_write(held->socket, asio::buffer(held->frame),
                       [this, to, held](asio::error_code failed, std::size_t) {
                         if (!current(to, held)) return;
@@ -229,7 +230,7 @@
                                });
 }
 
-void Links::hang_up(MemberId to) {
+void Links::disconnect(MemberId to) {
   const auto at = outgoing_.find(to);
   if (at == outgoing_.end()) return;
   asio::error_code ignored;
--- a/peers/links.hpp
+++ b/peers/links.hpp
@@ -1,9 +1,9 @@
 // The sockets between the servers of a fleet: a listener for those that others dial, and at most one
 // connection out to each member. Owns them and every byte not yet read or written; decides nothing
-// (peers.hpp does). What names another fleet, another member or nobody, or speaks no letters, is closed.
+// (peers.hpp does). What names another fleet, another member or nobody, or speaks no messages, is closed.
 //
 // Bounds: connections in, two for each member and some, of which the one that was silent longest makes room;
-// of each at most one letter is kept; in one turn one read of each. Errors: the constructor throws
+// of each at most one message is kept; in one turn one read of each. Errors: the constructor throws
 // std::invalid_argument where the address can't be listened on.
 #pragma once
 
@@ -24,23 +24,23 @@
 
 class Links {
  public:
-  class Taker {
+  class Handler {
    public:
-    virtual ~Taker() = default;
+    virtual ~Handler() = default;
     virtual void connected(MemberId to) = 0;
     virtual void written(MemberId to) = 0;
     virtual void broken(MemberId to) = 0;
-    // The payload of a letter's frame; the view holds until the call returns. False: it is none, and its
+    // The payload of a message's frame; the view holds until the call returns. False: it is none, and its
     // connection ends.
-    virtual bool letter(const words::Speaker& speaker, std::string_view payload) = 0;
+    virtual bool message(const peer_codec::Sender& sender, std::string_view payload) = 0;
     // One of this fleet that is not listed wants to speak. True: it was listed meanwhile by `add`.
-    virtual bool welcome(const words::Speaker&) { return false; }
-    virtual void remark(std::string_view words) = 0; // for the log
+    virtual bool accept_unlisted(const peer_codec::Sender&) { return false; }
+    virtual void log_event(std::string_view words) = 0; // for the log
   };
   using Tcp = asio::ip::tcp;
 
-  Links(asio::io_context& io, Tcp::endpoint listen, words::Speaker self,
-        std::map<MemberId, Tcp::endpoint> others, Taker& taker);
+  Links(asio::io_context& io, Tcp::endpoint listen, peer_codec::Sender self,
+        std::map<MemberId, Tcp::endpoint> others, Handler& taker);
   ~Links();
 
   // Who else is listed, while this one lives. Another endpoint of one that is listed serves from the next
@@ -49,7 +49,7 @@
   void remove(MemberId member); // hangs up, and hears it no more; nothing of it follows
 
   void dial(MemberId to); // nothing where it is not listed
-  void hang_up(MemberId to);
+  void disconnect(MemberId to);
   void send(MemberId to, std::string frame);
   void close(); // everything, for good
 
@@ -67,7 +67,7 @@
     Tcp::socket socket;
     asio::steady_timer timer; // for its first word
     std::string in;
-    words::Speaker speaker;
+    peer_codec::Sender sender;
     std::uint64_t number = 0;
     bool known = false;      // it has said who it is
     std::uint64_t heard = 0; // by order: the one that was heard last has the greatest
@@ -89,9 +89,9 @@
   asio::io_context& io_;
   Tcp::acceptor acceptor_;
   asio::steady_timer retry_;
-  words::Speaker self_;
+  peer_codec::Sender self_;
   std::map<MemberId, Tcp::endpoint> others_;
-  Taker& taker_;
+  Handler& taker_;
   std::map<MemberId, Held> outgoing_;
   std::map<std::uint64_t, std::shared_ptr<Incoming>> incoming_; // by number
   std::set<std::pair<std::uint64_t, std::uint64_t>> by_heard_;  // with their numbers
--- a/peers/peer_codec.hpp
+++ b/peers/peer_codec.hpp
@@ -10,35 +10,36 @@
 #include <string>
 #include <string_view>
 
-namespace cometshift::words {
+namespace cometshift::peer_codec {
 
 constexpr std::uint32_t layout = 1;
-constexpr std::size_t most_letter = 64 * 1024; // bytes of a frame; what is larger is no letter
+constexpr std::size_t most_letter = 64 * 1024; // bytes of a frame; what is larger is no message
 constexpr std::size_t most_word = 256;         // bytes, the longest name included
 constexpr std::size_t most_control = 8 * 1024; // bytes of one that `control` takes
 constexpr std::size_t control_head = 3;        // bytes that it adds to the longest
 
 // Who speaks on a connection, told first.
-struct Speaker {
+struct Sender {
   std::string fleet;
   MemberId from, to;
   Incarnation incarnation;
   std::string listen = {}; // where it can be dialled, if it says so: an address as the files have it
 };
 
-// How often the writer of a letter writes, and wants to be written to where nothing else is to be said. Whole
-// ms, rounded up.
-struct Rhythm {
-  Nanos next_in = 0;   // another letter follows within this; 0: of a build that knows of no rhythm
+// How often the writer of a message writes, and wants to be written to where nothing else is to be said.
+// Whole ms, rounded up.
+struct HeartbeatTerms {
+  Nanos next_in = 0;   // another message follows within this; 0: of a build that knows of no rhythm
   Nanos rarely = 0;    // one each so often is enough; 0: as the figures have it
   bool lonely = false; // it hears no voter, and asks for a line back
 };
 
 // Whole frames.
-std::string hello(const Speaker& speaker);
-std::string letter(const Speaker& speaker, std::uint64_t number, std::uint64_t heard, Incarnation heard_of,
-                   bool leaving, std::string_view said, const Rhythm& rhythm = {});
-// Parts of a letter, to be put behind each other.
+std::string hello(const Sender& sender);
+std::string message(const Sender& sender, std::uint64_t number, std::uint64_t heard,
+                    Incarnation acked_incarnation, bool leaving, std::string_view said,
+                    const HeartbeatTerms& heartbeat = {});
+// Parts of a message, to be put behind each other.
 std::string ask(Epoch epoch, std::string_view lease, AskNo number, Token token, Nanos term);
 std::string release(std::string_view lease, AskNo number);
 std::string grant(Incarnation to, std::string_view lease, AskNo number, bool wanted);
@@ -50,13 +51,13 @@
 // Whether such a part is answered at once: an ask or a word of control; a release is only told.
 bool wants_answer(std::string_view part);
 
-// What a letter says, in the order of the kinds. The views hold until the call returns.
+// What a message says, in the order of the kinds. The views hold until the call returns.
 class Listener {
  public:
   virtual ~Listener() = default;
   // First. False: nothing in it is to be taken.
-  virtual bool letter(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
-                      Incarnation heard_of, bool leaving, const Rhythm& rhythm) = 0;
+  virtual bool message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
+                       Incarnation acked_incarnation, bool leaving, const HeartbeatTerms& heartbeat) = 0;
   virtual void voters(MemberId from, Epoch on_file, const VoterList& list) = 0; // before all other words
   virtual void asked(MemberId from, Incarnation of, Epoch epoch, std::string_view lease, AskNo number,
                      Token token, Nanos term) = 0;
@@ -69,7 +70,7 @@
 };
 
 // Payloads of frames. False: they can't be read, or not by this build.
-bool read_hello(std::string_view payload, Speaker& into);
-bool read_letter(std::string_view payload, const Speaker& speaker, Listener& listener);
+bool decode_hello(std::string_view payload, Sender& into);
+bool decode_message(std::string_view payload, const Sender& sender, Listener& listener);
 
-} // namespace cometshift::words
+} // namespace cometshift::peer_codec
