--- a/peers/peers.cpp
+++ b/peers/peers.cpp
@@ -10,58 +10,60 @@
 namespace {
 
 constexpr Nanos ms = 1'000'000;
-constexpr std::size_t letter_room = words::most_letter / 2; // bytes of words in one: several are read a turn
-constexpr std::size_t kept_incarnations = 4;                // of a number: more than two mean a storm
-constexpr std::size_t most_unanswered = 64;                 // letters remembered: the first matters, and that
-                                                            // answers to later ones are known
+constexpr std::size_t letter_room =
+    peer_codec::most_letter / 2;             // bytes of words in one: several are read a turn
+constexpr std::size_t kept_incarnations = 4; // of a number: more than two mean a storm
+constexpr std::size_t most_unanswered = 64;  // messages remembered: the first matters, and that
+                                             // answers to later ones are known
 constexpr Nanos forget_silences = 40; // a voter stops dialling a member that was silent so many times as long
                                       // as `peers.silent`: gone for good, or it will be heard again
 constexpr Nanos lonely_silences = 4;  // without a voter, until all others are asked
 constexpr int most_doublings = 16;
-constexpr double steady_members = 20; // that get the whole beat, at 500 ms 40 letters a second in all: under
+constexpr double steady_members = 20; // that get the whole beat, at 500 ms 40 messages a second in all: under
                                       // 4 KB with TCP/IP's 40 bytes; with more members each gets fewer
-constexpr Nanos most_span = 600'000 * ms; // that a letter may promise or ask for: against a figure that was
+constexpr Nanos most_span = 600'000 * ms; // that a message may promise or ask for: against a figure that was
                                           // never meant, after which nobody would be missed
 constexpr std::size_t lonely_asks = 3;    // others that a member without voters asks at a time: four times as
                                           // many know a list after each round
 constexpr Nanos ask_silences = 2;         // a round's time: some round trips, and a dial back
 constexpr std::size_t most_answered = 8;  // lonely ones that are dialled for it, at a time
-const std::pair first_control{Peers::Slot::control, std::string()};
+const std::pair first_control{Peers::MessageClass::control, std::string()};
 
 Nanos whole_ms(Nanos span) { return (span + ms - 1) / ms * ms; }
 
 } // namespace
 
-std::string_view word_of(Hearing hearing) {
-  switch (hearing) {
-  case Hearing::unknown:
+std::string_view to_text(PeerState peer_state) {
+  switch (peer_state) {
+  case PeerState::unknown:
     return "not heard yet";
-  case Hearing::well:
+  case PeerState::reachable:
     return "well";
-  case Hearing::deaf:
+  case PeerState::one_way:
     return "does not hear us";
-  case Hearing::silent:
+  case PeerState::unresponsive:
     return "silent";
-  case Hearing::left:
+  case PeerState::left:
     return "left";
   }
   return "?";
 }
 
-Peers::Peers(Nanos now, words::Speaker self, std::vector<MemberId> others, const Voters& voters,
-             const Given& figures, std::uint64_t seed, PeerOrders& orders)
-    : orders_(orders), self_(std::move(self)), chance_(seed), voters_(voters), voters_seen_(voters.all()),
-      grants_seen_(voters.grants(self_.from)), now_(now) {
-  beat_ = static_cast<Nanos>(needed(figures, "peers.beat", static_cast<double>(ms)));
-  silent_ = static_cast<Nanos>(needed(figures, "peers.silent", 2 * static_cast<double>(beat_)));
-  rest_least_ = static_cast<Nanos>(needed(figures, "peers.rest_least", static_cast<double>(ms)));
-  rest_most_ = static_cast<Nanos>(needed(figures, "peers.rest_most", static_cast<double>(rest_least_)));
-  most_words_ = static_cast<std::size_t>(needed(figures, "peers.most_words", 1));
+Peers::Peers(Nanos now, peer_codec::Sender self, std::vector<MemberId> others, const Voters& voters,
+             const Settings& figures, std::uint64_t seed, PeerActions& orders)
+    : actions_(orders), self_(std::move(self)), chance_(seed), voters_(voters), voters_seen_(voters.all()),
+      grants_seen_(voters.may_grant(self_.from)), now_(now) {
+  beat_ = static_cast<Nanos>(required_number(figures, "peers.beat", static_cast<double>(ms)));
+  silent_ = static_cast<Nanos>(required_number(figures, "peers.silent", 2 * static_cast<double>(beat_)));
+  rest_least_ = static_cast<Nanos>(required_number(figures, "peers.rest_least", static_cast<double>(ms)));
+  rest_most_ =
+      static_cast<Nanos>(required_number(figures, "peers.rest_most", static_cast<double>(rest_least_)));
+  most_words_ = static_cast<std::size_t>(required_number(figures, "peers.most_words", 1));
   const auto or_else = [&](const char* name, double least, double otherwise) {
-    return figures.contains(name) ? needed(figures, name, least) : otherwise;
+    return figures.contains(name) ? required_number(figures, name, least) : otherwise;
   };
   most_bytes_ = static_cast<std::size_t>(
-      or_else("peers.most_waiting_bytes", 1, static_cast<double>(most_words_ * 2 * words::most_word)));
+      or_else("peers.most_waiting_bytes", 1, static_cast<double>(most_words_ * 2 * peer_codec::most_word)));
   most_beats_ = or_else("peers.most_beats", 0.1, steady_members * 1e9 / static_cast<double>(beat_));
   by_choice_ = or_else("peers.by_choice", 0, 0) != 0;
   std::erase(others, self_.from);
@@ -90,7 +92,7 @@
   const auto at = fellows_.find(member);
   if (at == fellows_.end()) return;
   Fellow& fellow = at->second;
-  if (fellow.line != Line::none) orders_.hang_up(member);
+  if (fellow.line != Line::none) actions_.disconnect(member);
   lines_ -= fellow.stands;
   sending_ -= fellow.sends;
   hearing_ -= fellow.heard;
@@ -116,15 +118,16 @@
 
 // Against a list of voters that are all gone: others may know of a newer one.
 bool Peers::deserted(Nanos now) const {
-  return !by_choice_ && !voters_.grants(self_.from) && now >= deserted_at_;
+  return !by_choice_ && !voters_.may_grant(self_.from) && now >= deserted_at_;
 }
 
 bool Peers::wanted(Nanos now, MemberId of, const Fellow& fellow) const {
   if (fellow.kept) return true;
   if (by_choice_) return false;
-  if (voters_.votes(of) || asked_.contains(of) || now < fellow.answer_until) return true;
-  return voters_.grants(self_.from) && fellow.heard_at >= 0 && fellow.hearing != Hearing::left &&
-         now - fellow.heard_at < std::max(forget_silences * silent_, patience(fellow));
+  if (voters_.is_voter(of) || asked_.contains(of) || now < fellow.answer_until) return true;
+  return voters_.may_grant(self_.from) && fellow.last_received_at >= 0 &&
+         fellow.peer_state != PeerState::left &&
+         now - fellow.last_received_at < std::max(forget_silences * silent_, unresponsive_timeout(fellow));
 }
 
 // A few by chance, others each time; all where they are no more than that.
@@ -137,12 +140,12 @@
   ask_at_ = -1;
   if (others <= lonely_asks) {
     for (const MemberId member : numbers_)
-      if (!voters_.votes(member)) asked_.insert(member);
+      if (!voters_.is_voter(member)) asked_.insert(member);
   } else {
     const bool anew = others >= 2 * lonely_asks;
     while (asked_.size() < lonely_asks) {
       const MemberId drawn = numbers_[chance_.next() % numbers_.size()];
-      if (!voters_.votes(drawn) && !(anew && before.contains(drawn))) asked_.insert(drawn);
+      if (!voters_.is_voter(drawn) && !(anew && before.contains(drawn))) asked_.insert(drawn);
     }
     // Spread, against a whole fleet that asks at one moment.
     ask_at_ =
@@ -153,7 +156,7 @@
 
 // The list is the caller's, and changes under this module.
 void Peers::look_at_voters() {
-  const bool grants = voters_.grants(self_.from);
+  const bool grants = voters_.may_grant(self_.from);
   if (grants != grants_seen_)
     touched_.insert(numbers_.begin(), numbers_.end());
   else if (voters_.all() != voters_seen_)
@@ -167,10 +170,11 @@
 
 // ---- what is to be said
 
-bool Peers::say(MemberId to, Slot slot, std::string_view about, std::string word) {
+bool Peers::enqueue(MemberId to, MessageClass slot, std::string_view about, std::string word) {
   const auto at = fellows_.find(to);
   if (at == fellows_.end()) return false;
-  if (word.size() > (slot == Slot::control ? words::most_control + words::control_head : words::most_word))
+  if (word.size() > (slot == MessageClass::control ? peer_codec::most_control + peer_codec::control_head
+                                                   : peer_codec::most_word))
     return false;
   Fellow& fellow = at->second;
   const auto [found, fresh] = fellow.words.try_emplace(Fellow::Matter{slot, std::string(about)});
@@ -186,8 +190,8 @@
   return true;
 }
 
-void Peers::tell(Slot slot, std::string_view about, const std::string& word) {
-  for (const MemberId member : wanted_) say(member, slot, about, word);
+void Peers::enqueue_all(MessageClass slot, std::string_view about, const std::string& word) {
+  for (const MemberId member : wanted_) enqueue(member, slot, about, word);
 }
 
 std::size_t Peers::room(MemberId to) const {
@@ -198,8 +202,8 @@
 
 void Peers::let_go(Fellow& fellow, bool stale_only) {
   std::erase_if(fellow.words, [&](const auto& entry) {
-    const Slot slot = entry.first.first;
-    if (stale_only && slot != Slot::telling && slot != Slot::control) return false;
+    const MessageClass slot = entry.first.first;
+    if (stale_only && slot != MessageClass::update && slot != MessageClass::control) return false;
     fellow.bytes -= entry.first.second.size() + entry.second.size();
     return true;
   });
@@ -214,7 +218,7 @@
   }
 }
 
-bool Peers::all_said() const { return sending_ == 0 && ready_.empty(); }
+bool Peers::all_sent() const { return sending_ == 0 && ready_.empty(); }
 
 // ---- connections
 
@@ -265,14 +269,14 @@
 
 void Peers::end(Nanos now, MemberId of, Fellow& fellow) {
   if (fellow.line == Line::none) return;
-  orders_.hang_up(of);
+  actions_.disconnect(of);
   down(now, fellow);
 }
 
 // ---- what is heard
 
-bool Peers::heard(Nanos now, MemberId from, Incarnation of, std::uint64_t number, std::uint64_t echo,
-                  Incarnation echo_of, bool leaving, const words::Rhythm& rhythm) {
+bool Peers::received(Nanos now, MemberId from, Incarnation of, std::uint64_t number, std::uint64_t echo,
+                     Incarnation echo_of, bool leaving, const peer_codec::HeartbeatTerms& heartbeat) {
   now_ = now;
   const auto at = fellows_.find(from);
   if (at == fellows_.end()) return false;
@@ -288,21 +292,23 @@
           break;
         }
   } else if (of != fellow.newest && now - fellow.newest_at > silent_ && !fellow.told_doubled) {
-    fellow.told_doubled = true; // letters of a life before don't come that late by a connection
-    orders_.doubled(from);
+    fellow.told_doubled = true; // messages of a life before don't come that late by a connection
+    actions_.duplicate_member(from);
   }
   std::uint64_t& known = fellow.last.find(of)->second;
-  if (number <= known) return false; // against a letter that comes twice, or after a later one
+  if (number <= known) return false; // against a message that comes twice, or after a later one
   known = number;
   if (of != fellow.newest) return true; // its words count, what it says of the link is another's
-  fellow.heard_at = now;
+  fellow.last_received_at = now;
   fellow.asked_at = -1;
-  fellow.rhythm = {std::min(rhythm.next_in, most_span), std::min(rhythm.rarely, most_span), rhythm.lonely};
-  if (voters_.votes(from))
-    deserted_at_ = std::max(deserted_at_, now + std::max(lonely_silences * silent_, patience(fellow)));
-  if (rhythm.lonely && (answered_.size() < most_answered || answered_.contains(from))) {
+  fellow.heartbeat = {std::min(heartbeat.next_in, most_span), std::min(heartbeat.rarely, most_span),
+                      heartbeat.lonely};
+  if (voters_.is_voter(from))
+    deserted_at_ =
+        std::max(deserted_at_, now + std::max(lonely_silences * silent_, unresponsive_timeout(fellow)));
+  if (heartbeat.lonely && (answered_.size() < most_answered || answered_.contains(from))) {
     answered_.insert(from);
-    fellow.answer_until = now + patience(fellow);
+    fellow.answer_until = now + unresponsive_timeout(fellow);
   } else {
     answered_.erase(from);
     fellow.answer_until = -1;
@@ -319,14 +325,14 @@
     if (fellow.missed_since < 0) fellow.missed_since = fellow.unanswered.front().second;
     touched_.insert(from);
   }
-  if (leaving && fellow.hearing != Hearing::left) {
-    orders_.news(from, fellow.hearing, Hearing::left);
-    fellow.hearing = Hearing::left;
+  if (leaving && fellow.peer_state != PeerState::left) {
+    actions_.peer_state_changed(from, fellow.peer_state, PeerState::left);
+    fellow.peer_state = PeerState::left;
   } else if (!leaving) {
-    if (fellow.hearing == Hearing::left || fellow.hearing == Hearing::unknown ||
-        fellow.hearing == Hearing::silent) {
-      orders_.news(from, fellow.hearing, Hearing::well);
-      fellow.hearing = Hearing::well;
+    if (fellow.peer_state == PeerState::left || fellow.peer_state == PeerState::unknown ||
+        fellow.peer_state == PeerState::unresponsive) {
+      actions_.peer_state_changed(from, fellow.peer_state, PeerState::reachable);
+      fellow.peer_state = PeerState::reachable;
       fellow.missed_since = -1;
       fellow.unheard = false;                            // of the time before it left
       if (fellow.line == Line::none) fellow.again = now; // it is there again: no rest is needed
@@ -338,34 +344,34 @@
 }
 
 // Silence is judged by what was promised: so many times as long as is waited for a beat by the figures.
-Nanos Peers::patience(const Fellow& fellow) const {
-  if (fellow.rhythm.next_in <= beat_) return silent_;
+Nanos Peers::unresponsive_timeout(const Fellow& fellow) const {
+  if (fellow.heartbeat.next_in <= beat_) return silent_;
   const double beats = static_cast<double>(silent_) / static_cast<double>(beat_);
-  return static_cast<Nanos>(static_cast<double>(fellow.rhythm.next_in) * beats);
+  return static_cast<Nanos>(static_cast<double>(fellow.heartbeat.next_in) * beats);
 }
 
-// Deaf: it is heard, and the first letter that it has not answered is too old. Silent comes before: who is
+// Deaf: it is heard, and the first message that it has not answered is too old. Silent comes before: who is
 // not heard can't answer.
 void Peers::judge(Nanos now, MemberId of, Fellow& fellow) {
-  if (fellow.hearing == Hearing::unknown || fellow.hearing == Hearing::left) return;
-  Hearing next = Hearing::well;
-  const Nanos most = patience(fellow);
+  if (fellow.peer_state == PeerState::unknown || fellow.peer_state == PeerState::left) return;
+  PeerState next = PeerState::reachable;
+  const Nanos most = unresponsive_timeout(fellow);
   const bool unanswered = (!fellow.unanswered.empty() && now - fellow.unanswered.front().second >= most) ||
                           (fellow.missed_since >= 0 && now - fellow.missed_since >= most);
   const bool unreached = fellow.is_wanted && fellow.line == Line::none && now - fellow.since >= silent_;
-  if (now - fellow.heard_at >= most)
-    next = Hearing::silent;
+  if (now - fellow.last_received_at >= most)
+    next = PeerState::unresponsive;
   else if (wanted(now, of, fellow) && (unanswered || unreached || fellow.unheard))
-    next = Hearing::deaf;
-  fellow.unheard = next == Hearing::deaf; // until it answers something
-  if (next == fellow.hearing) return;
-  orders_.news(of, fellow.hearing, next);
-  fellow.hearing = next;
+    next = PeerState::one_way;
+  fellow.unheard = next == PeerState::one_way; // until it answers something
+  if (next == fellow.peer_state) return;
+  actions_.peer_state_changed(of, fellow.peer_state, next);
+  fellow.peer_state = next;
 }
 
-Hearing Peers::hearing(MemberId of) const {
+PeerState Peers::peer_state(MemberId of) const {
   const auto at = fellows_.find(of);
-  return at == fellows_.end() ? Hearing::unknown : at->second.hearing;
+  return at == fellows_.end() ? PeerState::unknown : at->second.peer_state;
 }
 
 // ---- time
@@ -378,11 +384,12 @@
 Nanos Peers::wake_of(MemberId of, const Fellow& fellow) const {
   Nanos next = -1;
   const auto also = [&next](Nanos at) { next = next < 0 ? at : std::min(next, at); };
-  const Nanos most = patience(fellow);
+  const Nanos most = unresponsive_timeout(fellow);
   const bool want = wanted(now_, of, fellow);
-  const bool may_be_deaf = want && fellow.hearing == Hearing::well;
+  const bool may_be_deaf = want && fellow.peer_state == PeerState::reachable;
   if (may_be_deaf && fellow.missed_since >= 0) also(fellow.missed_since + most);
-  if (fellow.hearing == Hearing::well || fellow.hearing == Hearing::deaf) also(fellow.heard_at + most);
+  if (fellow.peer_state == PeerState::reachable || fellow.peer_state == PeerState::one_way)
+    also(fellow.last_received_at + most);
   if (now_ < fellow.answer_until) also(fellow.answer_until);
   if (fellow.asked_at >= 0) also(fellow.asked_at + silent_);
   switch (fellow.line) {
@@ -405,7 +412,7 @@
 
 // Whatever was changed of a member: it is found again where it is waited for, and nobody else is looked at.
 void Peers::file(MemberId member, Fellow& fellow) {
-  ++costs_.looked;
+  ++costs_.peers_examined;
   const auto count = [](std::size_t& all, bool& counted, bool now) {
     all += now;
     all -= counted;
@@ -413,7 +420,8 @@
   };
   count(lines_, fellow.stands, fellow.line == Line::up || fellow.line == Line::sending);
   count(sending_, fellow.sends, fellow.line == Line::sending);
-  count(hearing_, fellow.heard, fellow.hearing == Hearing::well || fellow.hearing == Hearing::deaf);
+  count(hearing_, fellow.heard,
+        fellow.peer_state == PeerState::reachable || fellow.peer_state == PeerState::one_way);
   if (const bool ready = fellow.line == Line::up && !fellow.words.empty(); ready != fellow.ready) {
     if (ready)
       ready_.insert(member);
@@ -438,7 +446,7 @@
 
 Nanos Peers::next_wake() const {
   Nanos next = wakes_.empty() ? -1 : wakes_.begin()->first;
-  if (!by_choice_ && !voters_.grants(self_.from))
+  if (!by_choice_ && !voters_.may_grant(self_.from))
     if (const Nanos at = lonely_ ? ask_at_ : deserted_at_; at >= 0 && (next < 0 || at < next)) next = at;
   return next;
 }
@@ -465,7 +473,7 @@
   const bool stuck =
       (fellow.line == Line::dialling || fellow.line == Line::sending) && now - fellow.since >= silent_;
   const bool unanswered = fellow.line == Line::up && !fellow.unanswered.empty() &&
-                          now - fellow.unanswered.front().second >= patience(fellow);
+                          now - fellow.unanswered.front().second >= unresponsive_timeout(fellow);
   // Against a line that TCP still sends again on, with rests of minutes: neither silence nor deafness says it
   // soon of one that promised little.
   const bool stalled = (fellow.line == Line::up || fellow.line == Line::sending) &&
@@ -483,7 +491,7 @@
       fellow.since = now;
       ++fellow.dials;
       ++costs_.dials;
-      orders_.dial(member);
+      actions_.dial(member);
     }
   }
   file(member, fellow);
@@ -501,7 +509,7 @@
 }
 
 // On behind what went out last, and round: no matter waits for ever behind those before it. The other slots
-// go before those of control, and leave them half of a letter.
+// go before those of control, and leave them half of a message.
 std::string Peers::next_words(Fellow& fellow, bool& asks) {
   std::string said;
   const auto put = [&](bool control, Fellow::Matter& said_to, std::size_t room) {
@@ -513,8 +521,9 @@
       if (first == last) return;
       if (next == last) next = first;
       if (said.size() + next->second.size() > room) return;
-      const Slot slot = next->first.first;
-      const bool wants = (slot == Slot::asking || slot == Slot::control) && words::wants_answer(next->second);
+      const MessageClass slot = next->first.first;
+      const bool wants = (slot == MessageClass::request || slot == MessageClass::control) &&
+                         peer_codec::wants_answer(next->second);
       said += next->second;
       said_to = next->first;
       asks = asks || wants;
@@ -522,7 +531,7 @@
       next = fellow.words.erase(next);
     }
   };
-  const bool controls = !fellow.words.empty() && fellow.words.rbegin()->first.first == Slot::control;
+  const bool controls = !fellow.words.empty() && fellow.words.rbegin()->first.first == MessageClass::control;
   put(false, fellow.said_to, controls ? letter_room / 2 : letter_room);
   if (controls) put(true, fellow.control_to, letter_room);
   return said;
@@ -535,30 +544,32 @@
   const Incarnation of = fellow.newest;
   const auto last = fellow.last.find(of);
   ++fellow.number;
-  ++fellow.letters;
+  ++fellow.messages;
   if (fellow.unanswered.size() >= most_unanswered) fellow.unanswered.pop_back();
   fellow.unanswered.emplace_back(fellow.number, now);
   // Who promises nothing knows of no promise, and would take a rarer beat for silence.
-  const Nanos own = beat(), next = fellow.rhythm.next_in > 0 ? std::max(own, fellow.rhythm.rarely) : beat_;
-  const words::Rhythm rhythm{whole_ms(next), own > beat_ ? whole_ms(own) : 0, lonely_};
+  const Nanos own = beat(),
+              next = fellow.heartbeat.next_in > 0 ? std::max(own, fellow.heartbeat.rarely) : beat_;
+  const peer_codec::HeartbeatTerms heartbeat{whole_ms(next), own > beat_ ? whole_ms(own) : 0, lonely_};
   fellow.next_beat = now + next;
   fellow.line = Line::sending;
   fellow.since = now;
   file(to, fellow);
-  words::Speaker speaker = self_;
-  speaker.to = to;
-  std::string frame = words::letter(speaker, fellow.number, last == fellow.last.end() ? 0 : last->second, of,
-                                    leaving_, said, rhythm);
-  ++costs_.letters;
+  peer_codec::Sender sender = self_;
+  sender.to = to;
+  std::string frame = peer_codec::message(sender, fellow.number, last == fellow.last.end() ? 0 : last->second,
+                                          of, leaving_, said, heartbeat);
+  ++costs_.messages;
   costs_.bytes += frame.size();
-  orders_.send(to, std::move(frame));
+  actions_.send(to, std::move(frame));
 }
 
-std::vector<Peers::Standing> Peers::standing() const {
-  std::vector<Standing> all;
+std::vector<Peers::Status> Peers::status() const {
+  std::vector<Status> all;
   for (const auto& [member, fellow] : fellows_)
-    all.push_back({member, fellow.hearing, fellow.newest, fellow.heard_at, fellow.words.size(),
-                   fellow.letters, fellow.dropped, fellow.dials, patience(fellow), fellow.is_wanted});
+    all.push_back({member, fellow.peer_state, fellow.newest, fellow.last_received_at, fellow.words.size(),
+                   fellow.messages, fellow.dropped, fellow.dials, unresponsive_timeout(fellow),
+                   fellow.is_wanted});
   return all;
 }
 
--- a/peers/peers.hpp
+++ b/peers/peers.hpp
@@ -4,9 +4,9 @@
 //
 // A connection goes one way: each member dials those to whom it speaks, and listens on those that others
 // dial. So each way between two members fails by itself, and is known to: what a member says has the number
-// of the last letter that it heard, by which the other knows whether it is heard.
+// of the last message that it heard, by which the other knows whether it is heard.
 //
-// Bounds: one letter at a time is under way to a member; what waits stands in slots, where the newest word
+// Bounds: one message at a time is under way to a member; what waits stands in slots, where the newest word
 // about a matter replaces the one before, at most `peers.most_words` of them and `peers.most_waiting_bytes`;
 // a mute, slow or half-closed member costs that and no more. Members known: `peers.most_members`. Beats sent
 // in a second, to all together: `peers.most_beats`; with more lines each gets fewer, and is told so. A wake
@@ -28,35 +28,35 @@
 namespace cometshift {
 
 // What this member thinks of another.
-enum class Hearing {
-  unknown, // nothing was heard yet
-  well,    // both hear each other, as far as is known
-  deaf,    // it is heard, and does not hear this member
-  silent,  // not heard for too long: stopped, slow, dead or cut off, which can't be told from here
-  left     // it said that it goes
+enum class PeerState {
+  unknown,      // nothing was heard yet
+  reachable,    // both hear each other, as far as is known
+  one_way,      // it is heard, and does not hear this member
+  unresponsive, // not heard for too long: stopped, slow, dead or cut off, which can't be told from here
+  left          // it said that it goes
 };
-std::string_view word_of(Hearing hearing);
+std::string_view to_text(PeerState peer_state);
 
-class PeerOrders {
+class PeerActions {
  public:
-  virtual ~PeerOrders() = default;
-  virtual void dial(MemberId to) = 0;    // ends by `connected` or `broken`
-  virtual void hang_up(MemberId to) = 0; // nothing of that connection follows
+  virtual ~PeerActions() = default;
+  virtual void dial(MemberId to) = 0;       // ends by `connected` or `broken`
+  virtual void disconnect(MemberId to) = 0; // nothing of that connection follows
   // One frame; ends by `written` or `broken`.
   virtual void send(MemberId to, std::string frame) = 0;
-  virtual void news(MemberId of, Hearing before, Hearing now) = 0;
-  virtual void doubled(MemberId number) = 0; // two members live under one number
+  virtual void peer_state_changed(MemberId of, PeerState before, PeerState now) = 0;
+  virtual void duplicate_member(MemberId number) = 0; // two members live under one number
 };
 
 class Peers {
  public:
   // What a word is about; one of a slot and a matter waits, the newest. Words of `control` may be larger, and
-  // never keep those of the other slots waiting for more than a letter. Of `telling` and `control`, none
+  // never keep those of the other slots waiting for more than a message. Of `update` and `control`, none
   // outlives its line.
-  enum class Slot : std::uint8_t { asking, answering, telling, control };
+  enum class MessageClass : std::uint8_t { request, response, update, control };
 
   // `figures`, spans in ns:
-  // - peers.beat: a letter goes out at least so often
+  // - peers.beat: a message goes out at least so often
   // - peers.silent: after so long without a word a member counts as silent, or as deaf without an answer;
   //   over two beats
   // - peers.rest_least, peers.rest_most: between tries to connect, doubled with each that comes to nothing
@@ -68,8 +68,8 @@
   // - peers.most_members: others that are known; else as many as are handed in here
   // - peers.by_choice: 1: connections are kept to those alone that `keep` names; else also to the voters,
   //   by a voter to all it hears, and, where no voter is heard, to a few others at a time, by turns
-  Peers(Nanos now, words::Speaker self, std::vector<MemberId> others, const Voters& voters,
-        const Given& figures, std::uint64_t seed, PeerOrders& orders);
+  Peers(Nanos now, peer_codec::Sender self, std::vector<MemberId> others, const Voters& voters,
+        const Settings& figures, std::uint64_t seed, PeerActions& orders);
 
   // Who else there is, while this member lives. False: it is this member itself, or there is no room.
   bool add(Nanos now, MemberId member);    // true and nothing else where it is known already
@@ -83,46 +83,47 @@
   const std::set<MemberId>& wanted() const { return wanted_; } // as the last turn found
   bool up(MemberId to) const;                                  // a line to it stands
 
-  // To be said with the next letter. False: no room, too long, or nobody of that number.
-  bool say(MemberId to, Slot slot, std::string_view about, std::string word);
-  void tell(Slot slot, std::string_view about, const std::string& word); // to all to whom a line is wanted
-  std::size_t room(MemberId to) const; // bytes that `say` still takes, a word's matter included
-  void leave(Nanos now);               // says so; what waits is still said
-  bool all_said() const;               // to all that can be reached
+  // To be said with the next message. False: no room, too long, or nobody of that number.
+  bool enqueue(MemberId to, MessageClass slot, std::string_view about, std::string word);
+  void enqueue_all(MessageClass slot, std::string_view about,
+                   const std::string& word); // to all to whom a line is wanted
+  std::size_t room(MemberId to) const;       // bytes that `say` still takes, a word's matter included
+  void leave(Nanos now);                     // says so; what waits is still said
+  bool all_sent() const;                     // to all that can be reached
 
   void connected(Nanos now, MemberId to);
   void written(Nanos now, MemberId to);
   void broken(Nanos now, MemberId to);
-  // A letter came: true if what it says is to be taken, false if it came before.
-  bool heard(Nanos now, MemberId from, Incarnation of, std::uint64_t number, std::uint64_t echo,
-             Incarnation echo_of, bool leaving, const words::Rhythm& rhythm = {});
+  // A message came: true if what it says is to be taken, false if it came before.
+  bool received(Nanos now, MemberId from, Incarnation of, std::uint64_t number, std::uint64_t echo,
+                Incarnation echo_of, bool leaving, const peer_codec::HeartbeatTerms& heartbeat = {});
 
   Nanos next_wake() const; // -1: none
   void due(Nanos now);
   void flush(Nanos now); // sends what there is to say; at the end of a turn
 
-  struct Standing {
+  struct Status {
     MemberId member;
-    Hearing hearing = Hearing::unknown;
+    PeerState peer_state = PeerState::unknown;
     Incarnation incarnation;
-    Nanos heard_at = -1;
+    Nanos last_received_at = -1;
     std::size_t waiting = 0; // words
-    std::uint64_t letters = 0, dropped = 0, dials = 0;
-    Nanos patience = 0; // unheard for so long it counts as silent
+    std::uint64_t messages = 0, dropped = 0, dials = 0;
+    Nanos unresponsive_timeout = 0; // unheard for so long it counts as silent
     bool wanted = false;
   };
-  std::vector<Standing> standing() const; // of all: for people
-  Hearing hearing(MemberId of) const;
+  std::vector<Status> status() const; // of all: for people
+  PeerState peer_state(MemberId of) const;
 
-  // What this member has cost since it began: members looked at (by a call or a wake), letters and their
+  // What this member has cost since it began: members looked at (by a call or a wake), messages and their
   // bytes as frames, tries to connect.
   struct Costs {
-    std::uint64_t looked = 0, letters = 0, bytes = 0, dials = 0;
+    std::uint64_t peers_examined = 0, messages = 0, bytes = 0, dials = 0;
   };
   const Costs& costs() const { return costs_; }
-  std::size_t lines() const { return lines_; } // that stand
-  Nanos silent() const { return silent_; }     // by the figures: the least patience
-  Nanos beat() const;                          // as it is now, to those who ask for no rarer one
+  std::size_t lines() const { return lines_; }               // that stand
+  Nanos min_unresponsive_timeout() const { return silent_; } // by the figures: the least patience
+  Nanos beat() const; // as it is now, to those who ask for no rarer one
 
  private:
   enum class Line { none, dialling, up, sending };
@@ -133,26 +134,27 @@
     bool unheard = false; // it was found deaf, and has answered nothing since
     bool kept = false;    // the caller wants a line
     int tries = 0;        // that came to nothing, in a row
-    using Matter = std::pair<Slot, std::string>;
+    using Matter = std::pair<MessageClass, std::string>;
     std::map<Matter, std::string> words;
-    std::size_t bytes = 0;                           // of the words, matters included
-    Matter said_to{}, control_to{Slot::control, {}}; // went out last: the next letter goes on behind them
+    std::size_t bytes = 0; // of the words, matters included
+    Matter said_to{},
+        control_to{MessageClass::control, {}}; // went out last: the next message goes on behind them
     Nanos next_beat = 0;
-    std::uint64_t number = 0; // of the last letter
+    std::uint64_t number = 0; // of the last message
     // Letters that were sent and not answered, by number; of many only the first and the last count.
     std::deque<std::pair<std::uint64_t, Nanos>> unanswered;
     Nanos asked_at = -1;     // a word that wants an answer went out on this line, and nothing was heard since
     bool missed = false;     // it wrote without having heard what went out on this line long before
     Nanos missed_since = -1; // that went out, and it has answered nothing since, on no line
-    Hearing hearing = Hearing::unknown;
-    Nanos heard_at = -1;
-    words::Rhythm rhythm{};  // as it said last
-    Nanos answer_until = -1; // it hears no voter, and asked for a line back
+    PeerState peer_state = PeerState::unknown;
+    Nanos last_received_at = -1;
+    peer_codec::HeartbeatTerms heartbeat{}; // as it said last
+    Nanos answer_until = -1;                // it hears no voter, and asked for a line back
     Incarnation newest{};
     Nanos newest_at = 0;
-    std::map<Incarnation, std::uint64_t> last; // letters, by who wrote them
+    std::map<Incarnation, std::uint64_t> last; // messages, by who wrote them
     bool told_doubled = false;
-    std::uint64_t letters = 0, dropped = 0, dials = 0;
+    std::uint64_t messages = 0, dropped = 0, dials = 0;
     // As it is filed below.
     Nanos wake = -1;
     bool stands = false, sends = false, ready = false, heard = false, is_wanted = false;
@@ -170,12 +172,12 @@
   void end(Nanos now, MemberId of, Fellow& fellow);
   void let_go(Fellow& fellow, bool stale_only);
   std::string next_words(Fellow& fellow, bool& asks);
-  Nanos patience(const Fellow& fellow) const;
+  Nanos unresponsive_timeout(const Fellow& fellow) const;
   Nanos wake_of(MemberId of, const Fellow& fellow) const;
   void file(MemberId member, Fellow& fellow);
 
-  PeerOrders& orders_;
-  words::Speaker self_;
+  PeerActions& actions_;
+  peer_codec::Sender self_;
   Pcg chance_;
   Nanos beat_, silent_, rest_least_, rest_most_;
   std::size_t most_words_, most_bytes_, most_members_;
--- a/pools/capacity.cpp
+++ b/pools/capacity.cpp
@@ -78,7 +78,7 @@
   wanted_ = std::max(0, wanted - 1);
   if (type_id.raw >= types_.size() || on_cores <= 0) return;
   Type& type = types_[type_id.raw];
-  type.recent.note(on_cores);
+  type.recent.record(on_cores);
   type.seen = std::min<float>(type.seen + 1, 1e6f);
   const Nanos usual = type.recent.quantile(0.5);
   // It rises only by runs that had a core each: against a crowd, in which all take longer, becoming the base.
--- a/pools/capacity.hpp
+++ b/pools/capacity.hpp
@@ -33,11 +33,11 @@
   Nanos base(OpTypeId type) const;           // work of one op; 0: none seen
   bool known() const { return known_; }
 
-  template <class Keeper>
-  void remember(Keeper& keeper) {
-    keeper(busy_, estimate_, known_, window_from_, wanted_, wanted_since_, wanted_area_, full_time_, done_,
-           ratio_, last_cut_, last_done_);
-    for (Type& type : types_) keeper(type.base, type.recent, type.seen);
+  template <class Serializer>
+  void serialize(Serializer& serializer) {
+    serializer(busy_, estimate_, known_, window_from_, wanted_, wanted_since_, wanted_area_, full_time_,
+               done_, ratio_, last_cut_, last_done_);
+    for (Type& type : types_) serializer(type.base, type.recent, type.seen);
   }
 
  private:
--- a/pools/pools.cpp
+++ b/pools/pools.cpp
@@ -37,7 +37,7 @@
   return lines;
 }
 // Which of the names a setting lists; empty: all.
-std::vector<bool> chosen(const Given& given, const std::string& setting, const char* list) {
+std::vector<bool> chosen(const Settings& given, const std::string& setting, const char* list) {
   const std::vector<std::string> wanted = lines_of(text(given, setting, ""));
   if (wanted.empty()) return {};
   std::vector<std::string> names;
@@ -51,7 +51,7 @@
   }
   return in;
 }
-double part(const Given& given, const std::string& name, double otherwise) {
+double part(const Settings& given, const std::string& name, double otherwise) {
   const double value = number(given, name, otherwise);
   if (!(value >= 0 && value <= 1)) throw std::invalid_argument(name + ": not a part from 0 to 1");
   return value;
@@ -62,7 +62,7 @@
   if (word == "throughput") return Capacity::By::throughput;
   throw std::invalid_argument("pools.estimator: " + word + " is none of throughput, gradient, additive");
 }
-std::size_t count_of(const Given& given, const char* list) {
+std::size_t count_of(const Settings& given, const char* list) {
   std::size_t n = 0;
   while (given.contains(list + std::to_string(n) + ".name")) ++n;
   return n;
@@ -70,7 +70,7 @@
 
 } // namespace
 
-Pools::Pools(Nanos now, const Given& given)
+Pools::Pools(Nanos now, const Settings& given)
     : capacity_(now, by_word(text(given, "pools.estimator", "throughput")), count_of(given, "op_type.")),
       reserve_part_(part(given, "pools.reserve", 0)), repeats_part_(number(given, "pools.repeats", 0.2)),
       window_(span(given, "pools.window_ns", second)), op_types_(count_of(given, "op_type.")) {
@@ -311,66 +311,66 @@
   if (at != open_.end() && at->second.answered && !at->second.running) open_.erase(at);
 }
 
-std::vector<Pools::Figures> Pools::figures() const {
-  std::vector<Figures> all;
+std::vector<Pools::Stats> Pools::stats() const {
+  std::vector<Stats> all;
   for (const Pool& pool : pools_)
     all.push_back({pool.name, pool.work_a_second / second, pool.protected_a_second / second, pool.came,
                    pool.refused, pool.repeats});
   return all;
 }
 
-template <class Keeper>
-void Pools::remember(Keeper& keeper) {
+template <class Serializer>
+void Pools::serialize(Serializer& serializer) {
   const std::size_t here = pools_.size();
   std::size_t there = here;
-  keeper(there);
+  serializer(there);
   if (there != here) throw std::invalid_argument("snapshot: other pools than the settings'");
   for (Pool& pool : pools_) {
-    keeper(pool.floor_room, pool.ceiling_room, pool.repeats_left, pool.first_a_second, pool.tenant_over,
-           pool.work_a_second, pool.protected_a_second, pool.at, pool.repeat_at, pool.came, pool.refused,
-           pool.repeats);
+    serializer(pool.floor_room, pool.ceiling_room, pool.repeats_left, pool.first_a_second, pool.tenant_over,
+               pool.work_a_second, pool.protected_a_second, pool.at, pool.repeat_at, pool.came, pool.refused,
+               pool.repeats);
     if (pool.tenant_over.size() != quotas_.size())
       throw std::invalid_argument("snapshot: other tenants than the settings'");
   }
-  keeper(capacity_, reserve_, on_cores_);
+  serializer(capacity_, reserve_, on_cores_);
   std::size_t open = open_.size();
-  keeper(open);
+  serializer(open);
   const auto each = [&](Open& op) {
-    keeper(op.pool, op.type, op.tenant, op.work, op.floor, op.reserve, op.on_cores, op.since, op.running,
-           op.answered);
+    serializer(op.pool, op.type, op.tenant, op.work, op.floor, op.reserve, op.on_cores, op.since, op.running,
+               op.answered);
     if (op.pool.raw >= pools_.size()) throw std::invalid_argument("snapshot: an op of no pool");
   };
-  if constexpr (Keeper::reads) {
+  if constexpr (Serializer::reads) {
     open_.clear();
     for (; open > 0; --open) {
       OpId id{};
-      keeper(id);
+      serializer(id);
       each(open_[id]);
     }
   } else {
     for (auto& [id, op] : open_) {
       OpId copy = id;
-      keeper(copy);
+      serializer(copy);
       each(op);
     }
   }
   std::size_t traces = seen_order_.size();
-  keeper(traces);
-  if constexpr (Keeper::reads) {
+  serializer(traces);
+  if constexpr (Serializer::reads) {
     seen_.clear(), seen_order_.clear();
     for (; traces > 0; --traces) {
       Nanos end = 0;
       Digest trace;
-      keeper(end, trace.high, trace.low);
+      serializer(end, trace.high, trace.low);
       seen_order_.emplace_back(end, trace);
       seen_[trace] = end;
     }
   } else {
-    for (auto& [end, trace] : seen_order_) keeper(end, trace.high, trace.low);
+    for (auto& [end, trace] : seen_order_) serializer(end, trace.high, trace.low);
   }
 }
 
-template void Pools::remember(Writer& keeper);
-template void Pools::remember(Reader& keeper);
+template void Pools::serialize(Writer& serializer);
+template void Pools::serialize(Reader& serializer);
 
 } // namespace cometshift
--- a/pools/pools.hpp
+++ b/pools/pools.hpp
@@ -36,8 +36,8 @@
 class Pools {
  public:
   // `given`: the settings, with the pools' among them.
-  Pools(Nanos now, const Given& given);
-  static bool wanted(const Given& given) { return number(given, "pools.on", 0) != 0; }
+  Pools(Nanos now, const Settings& given);
+  static bool wanted(const Settings& given) { return number(given, "pools.on", 0) != 0; }
   static bool is_setting(std::string_view name) {
     return name.starts_with("pools.") || name.starts_with("pool.");
   }
@@ -64,16 +64,16 @@
   void gauges(double busy) { capacity_.busy(busy); }
 
   double capacity() const { return capacity_.cores(); }
-  struct Figures { // of a pool, of late
+  struct Stats { // of a pool, of late
     std::string name;
     double work = 0; // a second, let in, in cores
     double protected_work = 0;
     std::uint64_t came = 0, refused = 0, repeats = 0;
   };
-  std::vector<Figures> figures() const;
+  std::vector<Stats> stats() const;
 
-  template <class Keeper>
-  void remember(Keeper& keeper);
+  template <class Serializer>
+  void serialize(Serializer& serializer);
 
  private:
   // Work that may be given, refilled by time.
@@ -84,9 +84,9 @@
     bool take(double work);
     void give_back(double work);
     Nanos until(double a_second) const; // something can be taken
-    template <class Keeper>
-    void remember(Keeper& keeper) {
-      keeper(level, capacity, at);
+    template <class Serializer>
+    void serialize(Serializer& serializer) {
+      serializer(level, capacity, at);
     }
   };
   struct Pool {
--- a/scale/added_rig.cpp
+++ b/scale/added_rig.cpp
@@ -206,7 +206,7 @@
   }
   payload += body_;
   std::string frame;
-  frames::put_frame(frame, frames::ask, stream, payload);
+  frames::put_frame(frame, frames::request, stream, payload);
   c->open.emplace(stream, op);
   asio::error_code error;
   ops_[op].sent = now();
@@ -231,19 +231,19 @@
 
 bool AddedRig::answers(Connection& c, Nanos at) {
   std::size_t from = 0;
-  while (c.in.size() - from >= frames::head_size) {
-    const std::uint32_t length = frames::number_at(c.in.data() + from, 4);
-    if (!frames::possible(length)) return false;
+  while (c.in.size() - from >= frames::header_size) {
+    const std::uint32_t length = frames::read_le(c.in.data() + from, 4);
+    if (!frames::is_valid_length(length)) return false;
     if (c.in.size() - from < length + 4) break;
     const auto type = static_cast<std::uint8_t>(c.in[from + 4]);
-    const std::uint32_t stream = frames::number_at(c.in.data() + from + 5, 4);
-    if (type == frames::no_more) c.closing = true;
+    const std::uint32_t stream = frames::read_le(c.in.data() + from + 5, 4);
+    if (type == frames::go_away) c.closing = true;
     const auto one = c.open.find(stream);
-    if (type == frames::answer && one != c.open.end() && length > frames::least_length) {
+    if (type == frames::response && one != c.open.end() && length > frames::min_length) {
       Sample& sample = ops_[one->second];
-      const auto code = static_cast<std::uint8_t>(c.in[from + frames::head_size]);
+      const auto code = static_cast<std::uint8_t>(c.in[from + frames::header_size]);
       sample.answered = at;
-      sample.end = code == frames::good      ? Sample::End::acked
+      sample.end = code == frames::ok        ? Sample::End::acked
                    : code == frames::refused ? Sample::End::nacked
                                              : Sample::End::failed;
       c.open.erase(one);
@@ -375,7 +375,7 @@
     const Nanos at = now();
     std::size_t from = 0;
     for (; in.size() - from >= echo_bytes; from += echo_bytes) {
-      const std::size_t echo = frames::number_at(in.data() + from, 4);
+      const std::size_t echo = frames::read_le(in.data() + from, 4);
       if (echo >= echoes_.size()) continue;
       if (back) {
         echoes_[echo].answered = at;
--- a/scale/control_fleet.cpp
+++ b/scale/control_fleet.cpp
@@ -22,7 +22,7 @@
 
 // ---- one control member
 
-class ControlFleet::Control final : public Node, ControlMemberOrders {
+class ControlFleet::Control final : public Node, ControlMemberActions {
  public:
   Control(ControlFleet& fleet, Nanos now, MemberId self, std::uint64_t life)
       : fleet_(fleet), self_{"scale",
@@ -30,18 +30,18 @@
                              {},
                              Incarnation{life << 20 | self.raw},
                              "10.0.0." + std::to_string(self.raw) + ":6100"},
-        member_(fleet.moment(now), self_, fleet.controls_, fleet.voters_, control_figures(true),
+        member_(fleet.moment(now), self_, fleet.controls_, fleet.voters_, default_control_settings(true),
                 fleet.plan_.seed * 7919 + life * 131 + self.raw, *this) {}
 
   ControlMember& member() { return member_; }
   const ControlMember& member() const { return member_; }
 
-  const words::Speaker& speaker() const override { return self_; }
-  bool hello(Nanos now, const words::Speaker& from) override {
-    return member_.welcome(fleet_.moment(now), from);
+  const peer_codec::Sender& sender() const override { return self_; }
+  bool hello(Nanos now, const peer_codec::Sender& from) override {
+    return member_.accept_unlisted(fleet_.moment(now), from);
   }
-  bool letter(Nanos now, const words::Speaker& from, std::string_view payload) override {
-    return member_.letter(fleet_.moment(now), from, payload);
+  bool message(Nanos now, const peer_codec::Sender& from, std::string_view payload) override {
+    return member_.message(fleet_.moment(now), from, payload);
   }
   void connected(Nanos now, MemberId to) override { member_.connected(fleet_.moment(now), to); }
   void written(Nanos now, MemberId to) override { member_.written(fleet_.moment(now), to); }
@@ -51,33 +51,35 @@
 
  private:
   void dial(MemberId to) override { fleet_.network_->dial(self_.from, to); }
-  void hang_up(MemberId to) override { fleet_.network_->hang_up(self_.from, to); }
+  void disconnect(MemberId to) override { fleet_.network_->disconnect(self_.from, to); }
   void send(MemberId to, std::string frame) override {
     fleet_.network_->send(self_.from, to, std::move(frame));
   }
   void listed(MemberId, std::string_view) override {}
   void unlisted(MemberId) override {}
-  std::string why_not(const Entry&) override { return {}; }
-  void ended(PutNo, PutEnd end, Version, std::string_view) override {
-    if (end == PutEnd::unknown) ++fleet_.phase_.unknown;
-    if (end == PutEnd::refused) ++fleet_.phase_.refused;
+  std::string rejection_reason(const Entry&) override { return {}; }
+  void ended(PutNumber, PutOutcome end, Version, std::string_view) override {
+    if (end == PutOutcome::unknown) ++fleet_.phase_.unknown;
+    if (end == PutOutcome::refused) ++fleet_.phase_.refused;
     ++fleet_.loaded_;
   }
   void committed(const Record& record) override { fleet_.committed(record); }
   void began(Token, bool) override {}
   void stepped_down(Token) override {}
-  void news(MemberId, Hearing, Hearing) override {}
+  void peer_state_changed(MemberId, PeerState, PeerState) override {}
   void presence(const MemberRecord&, Presence) override {}
-  void doubled(MemberId number) override { fleet_.wrong("two members under " + std::to_string(number.raw)); }
+  void duplicate_member(MemberId number) override {
+    fleet_.wrong("two members under " + std::to_string(number.raw));
+  }
 
   ControlFleet& fleet_;
-  words::Speaker self_;
+  peer_codec::Sender self_;
   ControlMember member_;
 };
 
 // ---- one server
 
-class ControlFleet::Server final : public Node, ControlFollowerOrders {
+class ControlFleet::Server final : public Node, ControlFollowerActions {
  public:
   Server(ControlFleet& fleet, Nanos now, MemberId self, std::uint64_t life, unsigned which, unsigned zone)
       : number(which), fleet_(fleet), self_{"scale",
@@ -93,10 +95,12 @@
   const unsigned number;
   Version version{};
 
-  const words::Speaker& speaker() const override { return self_; }
-  bool hello(Nanos, const words::Speaker& from) override { return from.from.raw <= fleet_.plan_.controls; }
-  bool letter(Nanos now, const words::Speaker& from, std::string_view payload) override {
-    return follower_.letter(now, from, payload);
+  const peer_codec::Sender& sender() const override { return self_; }
+  bool hello(Nanos, const peer_codec::Sender& from) override {
+    return from.from.raw <= fleet_.plan_.controls;
+  }
+  bool message(Nanos now, const peer_codec::Sender& from, std::string_view payload) override {
+    return follower_.message(now, from, payload);
   }
   void connected(Nanos now, MemberId to) override { follower_.connected(now, to); }
   void written(Nanos now, MemberId to) override { follower_.written(now, to); }
@@ -105,26 +109,26 @@
   Nanos next_wake() const override { return follower_.next_wake(); }
 
  private:
-  static Given figures_of(const ControlFleet& fleet, Nanos now) {
-    Given figures = control_figures(false);
+  static Settings figures_of(const ControlFleet& fleet, Nanos now) {
+    Settings figures = default_control_settings(false);
     figures["control.first_number"] = static_cast<double>(fleet.moment(now).unix_ms);
     return figures;
   }
   void dial(MemberId to) override { fleet_.network_->dial(self_.from, to); }
-  void hang_up(MemberId to) override { fleet_.network_->hang_up(self_.from, to); }
+  void disconnect(MemberId to) override { fleet_.network_->disconnect(self_.from, to); }
   void send(MemberId to, std::string frame) override {
     fleet_.network_->send(self_.from, to, std::move(frame));
   }
   std::string check(const Entry&) override { return {}; }
   void refused(const Entry&, std::string_view) override {}
-  void taken(Version at, const std::vector<const Entry*>& changed) override {
+  void applied(Version at, const std::vector<const Entry*>& changed) override {
     fleet_.taken(*this, at, changed);
   }
-  void left(MemberId, LeftWhy) override {}
-  void doubled(MemberId of) override { fleet_.wrong("two members under " + std::to_string(of.raw)); }
+  void left(MemberId, LeaveReason) override {}
+  void duplicate_member(MemberId of) override { fleet_.wrong("two members under " + std::to_string(of.raw)); }
 
   ControlFleet& fleet_;
-  words::Speaker self_;
+  peer_codec::Sender self_;
   ControlFollower follower_;
 };
 
@@ -162,7 +166,7 @@
     if (region_of(zone) == region) of.push_back(zone);
   return of[turn % of.size()];
 }
-Moment ControlFleet::moment(Nanos now) const {
+ClockReadings ControlFleet::moment(Nanos now) const {
   return {now, now, epoch_ms + static_cast<std::uint64_t>(now / ms)};
 }
 std::unique_ptr<Node> ControlFleet::make(Nanos now, MemberId member, std::uint64_t life) {
@@ -310,7 +314,7 @@
 }
 bool ControlFleet::writes(MemberId one) const {
   return network_->up(one) &&
-         static_cast<Control*>(network_->node(one))->member().replica().writes(network_->now());
+         static_cast<Control*>(network_->node(one))->member().replica().is_writer(network_->now());
 }
 unsigned ControlFleet::behind() const {
   unsigned count = 0;
@@ -327,19 +331,19 @@
     if (follower.version() >= newest_) continue;
     std::string says = "server " + std::to_string(n) + " at " + std::to_string(follower.version().number) +
                        " of " + std::to_string(newest_.number);
-    for (const Follower::Line& line : follower.lines()) {
+    for (const Follower::Attachment& line : follower.attachments()) {
       says += ", line to " + std::to_string(line.member.raw) + (line.primary ? " first" : " second") +
-              (line.heard ? " heard" : " not heard") + " told " + std::to_string(line.committed.number);
+              (line.responded ? " heard" : " not heard") + " told " + std::to_string(line.committed.number);
       if (!network_->up(line.member)) continue;
       const Feed& feed = static_cast<Control*>(network_->node(line.member))->member().feed();
-      says += feed.is_blank() ? " blank" : "";
+      says += feed.is_inactive() ? " blank" : "";
       says += " followers " + std::to_string(feed.followers()) + " renewals " +
-              std::to_string(feed.renewals()) + " in line " + std::to_string(feed.in_line());
+              std::to_string(feed.renewals()) + " in line " + std::to_string(feed.waiting_for_renewal());
     }
     const Follower::Counts& counts = follower.counts();
     return says + "; moves " + std::to_string(counts.moves) + " renewals " + std::to_string(counts.renewals) +
-           " parts " + std::to_string(counts.parts) + " senseless " + std::to_string(counts.senseless) +
-           " foreign " + std::to_string(counts.foreign);
+           " parts " + std::to_string(counts.parts) + " senseless " + std::to_string(counts.invalid) +
+           " foreign " + std::to_string(counts.misaddressed);
   }
   return {};
 }
@@ -353,7 +357,7 @@
     for (const std::string& scope : scopes_of(n)) {
       const auto& should = truth[scope];
       std::size_t found = 0;
-      follower.in(scope, [&](const Entry& entry) {
+      follower.for_each_in(scope, [&](const Entry& entry) {
         const auto at = should.find(entry.key);
         found += at != should.end() && at->second == hash_of(entry);
         return true;
--- a/scale/control_fleet.hpp
+++ b/scale/control_fleet.hpp
@@ -80,7 +80,7 @@
   };
 
   std::unique_ptr<Node> make(Nanos now, MemberId member, std::uint64_t life);
-  Moment moment(Nanos now) const;
+  ClockReadings moment(Nanos now) const;
   std::vector<std::string> scopes_of(unsigned server) const;
   bool writes(MemberId control) const;
   void committed(const Record& record);
--- a/scale/core.cpp
+++ b/scale/core.cpp
@@ -113,7 +113,7 @@
 std::string remembered(Core& core) {
   std::string bytes;
   Writer writer(bytes);
-  core.remember(writer);
+  core.serialize(writer);
   return bytes;
 }
 
@@ -123,7 +123,7 @@
   malloc_trim(0);
   const double heap = heap_bytes(), rss = status_bytes("VmRSS");
   double cpu = cpu_ms(), wall = wall_ms();
-  const Given given = configuration_in(text);
+  const Settings given = parse_configuration(text);
   got.emplace_back("read_ms", cpu_ms() - cpu);
   got.emplace_back("settings_bytes", heap_bytes() - heap);
   got.emplace_back("read_peak_bytes", status_bytes("VmHWM") - rss);
@@ -159,17 +159,17 @@
 
   // A changed configuration as a reload takes it today: all is read and checked, three addresses are taken.
   cpu = cpu_ms(), wall = wall_ms();
-  { const Given again = configuration_in(text); }
+  { const Settings again = parse_configuration(text); }
   got.emplace_back("reload_stall_ms", wall_ms() - wall);
   got.emplace_back("reload_ms", cpu_ms() - cpu);
   // Other settings: nothing takes them in force. A core made anew and told all that the first remembers.
   wall = wall_ms();
   const std::string state = remembered(world.core());
-  Given changed = world.core().given();
+  Settings changed = world.core().settings();
   changed["callers"] = 7.0;
   World other(changed, sizes, seed);
   Reader reader(state);
-  other.core().remember(reader);
+  other.core().serialize(reader);
   got.emplace_back("settings_stall_ms", wall_ms() - wall);
   // Other pools, taken in force.
   if (sizes.tenants <= most_with_pools) {
@@ -181,13 +181,13 @@
 
 // ---- the front: how it finds the tenant of an op
 
-struct Taker final : Front::Taker {
-  std::vector<Line> lines;
-  void op_came(Line line, OpId, OpTypeId, TenantId, CallerId, Nanos, Nanos, double, double, std::string_view,
-               std::string_view, std::string_view) override {
+struct Handler final : Front::Handler {
+  std::vector<StreamRef> lines;
+  void op_received(StreamRef line, OpId, OpTypeId, TenantId, CallerId, Nanos, Nanos, double, double,
+                   std::string_view, std::string_view, std::string_view) override {
     lines.push_back(line);
   }
-  void line_lost(Line) override {}
+  void stream_lost(StreamRef) override {}
 };
 
 std::string ask_frame(std::uint32_t stream, std::uint64_t op, const std::string& tenant) {
@@ -205,7 +205,7 @@
     payload += value;
   }
   std::string out;
-  frames::put_frame(out, frames::ask, stream, payload + std::string(200, 'b'));
+  frames::put_frame(out, frames::request, stream, payload + std::string(200, 'b'));
   return out;
 }
 
@@ -221,9 +221,9 @@
   }
   Front::Names names{{"op-type-0"}, {false}, {}, true};
   for (std::size_t t = 0; t < sizes.tenants; ++t) names.tenants.push_back(tenant_name(t));
-  Taker taker;
+  Handler taker;
   Front front(io, "127.0.0.1:" + std::to_string(port), 24, 1 << 20, std::move(names), taker);
-  front.when_full({}, 8);
+  front.set_eviction_order({}, 8);
   asio::ip::tcp::socket peer(io);
   peer.connect(asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), port));
   Pcg chance(seed);
@@ -372,8 +372,8 @@
   Sizes sizes, alone;
   sizes.callers = callers, sizes.rate = alone.rate = many_a_second, sizes.idle_s = alone.idle_s = 60;
   alone.callers = 1;
-  const Given given = configuration_in(configuration_text(sizes));
-  World world(given, sizes, 1), one(configuration_in(configuration_text(alone)), alone, 1);
+  const Settings given = parse_configuration(configuration_text(sizes));
+  World world(given, sizes, 1), one(parse_configuration(configuration_text(alone)), alone, 1);
   world.run(40 * second), one.run(40 * second);
   got.emplace_back("callers_remembered_about", callers_remembered(world, one));
   world.from_here();
@@ -387,7 +387,7 @@
 void bound_keys(Figures& got) {
   Sizes sizes;
   sizes.memory_mb = 32, sizes.op_types = 2, sizes.rate = 1000;
-  World world(configuration_in(configuration_text(sizes)), sizes, 1);
+  World world(parse_configuration(configuration_text(sizes)), sizes, 1);
   world.run(5 * second); // half are keyed: 2,500 of 4,096
   got.emplace_back("nacked_below", static_cast<double>(world.nacked));
   const std::uint64_t asked = world.asked;
@@ -402,7 +402,7 @@
 void bound_ops(Figures& got) {
   Sizes sizes;
   sizes.memory_mb = 32, sizes.op_types = 2, sizes.rate = 1e-3; // no load beside
-  World world(configuration_in(configuration_text(sizes)), sizes, 1);
+  World world(parse_configuration(configuration_text(sizes)), sizes, 1);
   world.run_time(500 * ms);
   const std::uint64_t most = 48 * 32;
   for (std::uint64_t k = 0; k < most; ++k)
@@ -423,7 +423,7 @@
 void bound_results(Figures& got) {
   Sizes sizes;
   sizes.memory_mb = 32, sizes.op_types = 2, sizes.rate = 100;
-  World world(configuration_in(configuration_text(sizes)), sizes, 1);
+  World world(parse_configuration(configuration_text(sizes)), sizes, 1);
   world.result_bytes(32 * 1024); // 128 of them fill an eighth of 32 MB
   world.run(10 * second);        // 500 keyed ones
   got.emplace_back("acked", static_cast<double>(world.acked));
@@ -441,11 +441,11 @@
 void bound_traces(Figures& got, std::size_t between) {
   Sizes sizes;
   sizes.pools = true, sizes.rate = many_a_second;
-  World world(configuration_in(configuration_text(sizes)), sizes, 1);
+  World world(parse_configuration(configuration_text(sizes)), sizes, 1);
   const auto ask = [&] { world.ask(OpTypeId{0}, CallerId{1}, TenantId{0}, {}, "the same", 0.25); };
   const auto repeats = [&] {
     std::uint64_t all = 0;
-    for (const Pools::Figures& pool : world.core().pools()->figures()) all += pool.repeats;
+    for (const Pools::Stats& pool : world.core().pools()->stats()) all += pool.repeats;
     return all;
   };
   ask();
@@ -459,7 +459,7 @@
 void bound_named(Figures& got, std::size_t tenants) {
   Sizes sizes;
   sizes.tenants = tenants;
-  World world(configuration_in(configuration_text(sizes)), sizes, 1);
+  World world(parse_configuration(configuration_text(sizes)), sizes, 1);
   const double wall = wall_ms();
   world.core().set_pools(world.now(), pools_of(tenants, 10));
   got.emplace_back("pools_stall_ms", wall_ms() - wall);
@@ -469,20 +469,20 @@
 void bound_recording(Figures& got, std::size_t tenants) {
   Sizes sizes;
   sizes.tenants = tenants;
-  struct Silent final : Orders {
-    void served(Line, OpId, Content) override {}
-    void refused(Line, OpId, Reason, Nanos, bool) override {}
-    void failed(Line, OpId, Reason) override {}
-    void penalize(Line) override {}
+  struct Silent final : Actions {
+    void served(StreamRef, OpId, Content) override {}
+    void refused(StreamRef, OpId, Reason, Nanos, bool) override {}
+    void failed(StreamRef, OpId, Reason) override {}
+    void penalize(StreamRef) override {}
     void start(OpId, OpTypeId, const Content&, StartNo) override {}
     void resume(OpId, const Content&) override {}
     void call(OpId, Nanos, const Content&) override {}
-    void give_up_call(OpId) override {}
+    void cancel_call(OpId) override {}
     void health(bool) override {}
-    void tell_callers(double) override {}
-    void idle_close(Nanos) override {}
-    void timing(Timing, Nanos) override {}
-    void when_full(std::span<const Eviction>, int) override {}
+    void notify_callers(double) override {}
+    void set_idle_timeout(Nanos) override {}
+    void set_timing(Timing, Nanos) override {}
+    void set_eviction_order(std::span<const Eviction>, int) override {}
     void stop_accepting() override {}
     void note(const char* kind, std::string_view words) override {
       if (std::string_view(kind) == "recording" && words.find("gap") != words.npos &&
@@ -493,7 +493,7 @@
   } silent;
   Tape tape(silent);
   Nanos now = 1'764'576'000 * second;
-  Core core(now, configuration_in(configuration_text(sizes)), tape);
+  Core core(now, parse_configuration(configuration_text(sizes)), tape);
   tape.bind(core);
   const auto folder = std::filesystem::temp_directory_path() / ("scale-core-" + std::to_string(getpid()));
   std::filesystem::create_directory(folder);
--- a/scale/core_counts.cpp
+++ b/scale/core_counts.cpp
@@ -44,7 +44,7 @@
   const std::string text = configuration_text(sizes);
   Counted got;
   Counts from = counts();
-  const Given given = configuration_in(text);
+  const Settings given = parse_configuration(text);
   Counts more = counts() - from;
   got.read = static_cast<double>(more.steps);
   got.made_bytes = static_cast<double>(more.bytes);
--- a/scale/core_world.cpp
+++ b/scale/core_world.cpp
@@ -57,10 +57,10 @@
   return all;
 }
 
-Given pools_of(std::size_t tenants, std::size_t every) {
-  Given pools{{"pools.on", 1.0},      {"pools.reserve", 0.1}, {"pool.0.name", "first"},
-              {"pool.0.weight", 2.0}, {"pool.0.floor", 0.3},  {"pool.1.name", "second"},
-              {"pool.1.ceiling", 0.9}};
+Settings pools_of(std::size_t tenants, std::size_t every) {
+  Settings pools{{"pools.on", 1.0},      {"pools.reserve", 0.1}, {"pool.0.name", "first"},
+                 {"pool.0.weight", 2.0}, {"pool.0.floor", 0.3},  {"pool.1.name", "second"},
+                 {"pool.1.ceiling", 0.9}};
   if (every == 0) return pools;
   std::string named;
   for (std::size_t t = 0; t < tenants; t += every) named += tenant_name(t) + '\n';
@@ -68,7 +68,7 @@
   return pools;
 }
 
-World::World(const Given& given, const Sizes& sizes, std::uint64_t seed)
+World::World(const Settings& given, const Sizes& sizes, std::uint64_t seed)
     : sizes_(sizes), chance_(seed), now_(begin), next_op_(begin + ms),
       between_(static_cast<Nanos>(second / sizes.rate)) {
   core_ = std::make_unique<Core>(now_, given, *this);
@@ -96,7 +96,7 @@
 }
 void World::settle() {
   if (core_->anything_due(now_)) core_->due(now_);
-  while (core_->unsettled()) core_->settle(now_);
+  while (core_->has_repeats_to_answer()) core_->answer_repeats(now_);
 }
 
 void World::start(OpId op, OpTypeId, const Content&, StartNo) {
@@ -112,12 +112,12 @@
   const std::uint64_t k = ++asked;
   const auto connection =
       static_cast<std::uint64_t>(chance_.unit() * static_cast<double>(sizes_.connections));
-  const Line line{ConnectionId{connection + 1}, StreamId{static_cast<std::uint32_t>(k)}};
+  const StreamRef line{ConnectionId{connection + 1}, StreamId{static_cast<std::uint32_t>(k)}};
   const Digest digest{std::hash<std::string>{}(body), 7};
   Content content(body);
   turn(came, [&] {
-    core_->op_came(now_, line, OpId{k}, type, tenant, caller, now_ - ms, 3600 * ms, 10, rank, mark, {},
-                   std::move(content), digest);
+    core_->op_received(now_, line, OpId{k}, type, tenant, caller, now_ - ms, 3600 * ms, 10, rank, mark, {},
+                       std::move(content), digest);
   });
 }
 
@@ -133,7 +133,7 @@
       const OpId op = ends_.top().second;
       ends_.pop();
       Content result(result_);
-      turn(over, [&] { core_->run_over(now_, op, Outcome::done, 2 * run_time_, std::move(result)); });
+      turn(over, [&] { core_->run_finished(now_, op, Outcome::done, 2 * run_time_, std::move(result)); });
     } else if (wake <= next) {
       const double running = static_cast<double>(ends_.size());
       const double cores = std::ceil(spare_cores * run_s * sizes_.rate) + 2;
--- a/scale/core_world.hpp
+++ b/scale/core_world.hpp
@@ -36,7 +36,7 @@
 std::string configuration_text(const Sizes& sizes);
 std::string tenant_name(std::size_t tenant);
 // Two pools, the first of every tenant whose number is a multiple of `every` by name (0: of all, unnamed).
-Given pools_of(std::size_t tenants, std::size_t every = 0);
+Settings pools_of(std::size_t tenants, std::size_t every = 0);
 
 // What one kind of call into the core came to.
 struct Cost {
@@ -45,9 +45,9 @@
   double wall_ns = 0, longest_ns = 0;
 };
 
-class World final : public Orders {
+class World final : public Actions {
  public:
-  World(const Given& given, const Sizes& sizes, std::uint64_t seed);
+  World(const Settings& given, const Sizes& sizes, std::uint64_t seed);
   // Lets the load go on for a while; what it costs is counted from `from_here`.
   void run(Nanos time);
   void from_here();
@@ -65,19 +65,19 @@
   std::uint64_t asked = 0, acked = 0, nacked = 0, failed_ops = 0, started = 0, no_room = 0;
   Reason last_why = Reason::none;
 
-  void served(Line, OpId, Content) override { ++acked; }
-  void refused(Line, OpId, Reason why, Nanos, bool) override { ++nacked, last_why = why; }
-  void failed(Line, OpId, Reason why) override { ++failed_ops, last_why = why; }
-  void penalize(Line) override {}
+  void served(StreamRef, OpId, Content) override { ++acked; }
+  void refused(StreamRef, OpId, Reason why, Nanos, bool) override { ++nacked, last_why = why; }
+  void failed(StreamRef, OpId, Reason why) override { ++failed_ops, last_why = why; }
+  void penalize(StreamRef) override {}
   void start(OpId op, OpTypeId type, const Content& body, StartNo number) override;
   void resume(OpId, const Content&) override {}
   void call(OpId, Nanos, const Content&) override {}
-  void give_up_call(OpId) override {}
+  void cancel_call(OpId) override {}
   void health(bool) override {}
-  void tell_callers(double) override {}
-  void idle_close(Nanos) override {}
-  void timing(Timing, Nanos) override {}
-  void when_full(std::span<const Eviction>, int) override {}
+  void notify_callers(double) override {}
+  void set_idle_timeout(Nanos) override {}
+  void set_timing(Timing, Nanos) override {}
+  void set_eviction_order(std::span<const Eviction>, int) override {}
   void stop_accepting() override {}
   void note(const char* kind, std::string_view words) override;
 
--- a/scale/hollow.cpp
+++ b/scale/hollow.cpp
@@ -7,7 +7,7 @@
 constexpr Nanos ms = 1'000'000;
 
 // As node/member.cpp: for how long what was granted under a list before may last.
-Nanos settle_time(const Given& figures) {
+Nanos settle_time(const Settings& figures) {
   const double drift = number(figures, "leases.drift", 0);
   return static_cast<Nanos>(number(figures, "leases.longest_term", 0) * (1 + drift) / (1 - drift)) + 1;
 }
@@ -24,7 +24,7 @@
       welcomes_(part.welcomes), voters_(now, self, part.voters, settle_time(part.figures)),
       leases_(now, self, self_.incarnation, voters_, part.figures, self_.incarnation.raw + 1, *this),
       peers_(now, self_, part.others, voters_, part.figures, self_.incarnation.raw + 2, *this) {
-  for (const std::string& lease : part.wishes) leases_.want(now, lease);
+  for (const std::string& lease : part.wishes) leases_.acquire(now, lease);
 }
 
 void Hollow::turn(Nanos now) {
@@ -35,8 +35,8 @@
       own_.pop_front();
       what();
     }
-    voters_.passed(now);
-    leases_.count(static_cast<std::uint64_t>(now / ms));
+    voters_.advance_time(now);
+    leases_.raise_token_counter(static_cast<std::uint64_t>(now / ms));
     leases_.due(now);
     peers_.due(now);
     if (own_.empty()) break;
@@ -54,33 +54,34 @@
 // ---- the network
 
 // As Links does with a member that is not listed.
-bool Hollow::hello(Nanos now, const words::Speaker& from) {
+bool Hollow::hello(Nanos now, const peer_codec::Sender& from) {
   return peers_.knows(from.from) || (welcomes_ && peers_.add(now, from.from));
 }
-bool Hollow::letter(Nanos now, const words::Speaker& from, std::string_view payload) {
+bool Hollow::message(Nanos now, const peer_codec::Sender& from, std::string_view payload) {
   now_ = now;
-  return words::read_letter(payload, from, *this);
+  return peer_codec::decode_message(payload, from, *this);
 }
 void Hollow::connected(Nanos now, MemberId to) {
   peers_.connected(now, to);
-  peers_.say(to, Peers::Slot::telling, "", words::voters(voters_.on_file(), voters_.list()));
+  peers_.enqueue(to, Peers::MessageClass::update, "", peer_codec::voters(voters_.on_file(), voters_.list()));
 }
 void Hollow::written(Nanos now, MemberId to) { peers_.written(now, to); }
 void Hollow::broken(Nanos now, MemberId to) { peers_.broken(now, to); }
 
 void Hollow::dial(MemberId to) { network_.dial(self_.from, to); }
-void Hollow::hang_up(MemberId to) { network_.hang_up(self_.from, to); }
+void Hollow::disconnect(MemberId to) { network_.disconnect(self_.from, to); }
 void Hollow::send(MemberId to, std::string frame) { network_.send(self_.from, to, std::move(frame)); }
 
 // ---- what others say
 
-bool Hollow::letter(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
-                    Incarnation heard_of, bool leaving, const words::Rhythm& rhythm) {
-  return peers_.heard(now_, from, of, number, heard, heard_of, leaving, rhythm);
+bool Hollow::message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
+                     Incarnation acked_incarnation, bool leaving,
+                     const peer_codec::HeartbeatTerms& heartbeat) {
+  return peers_.received(now_, from, of, number, heard, acked_incarnation, leaving, heartbeat);
 }
 void Hollow::voters(MemberId from, Epoch on_file, const VoterList& list) {
-  voters_.heard(now_, from, on_file);
-  voters_.learnt(now_, list);
+  voters_.file_epoch_received(now_, from, on_file);
+  voters_.list_received(now_, list);
 }
 void Hollow::asked(MemberId from, Incarnation of, Epoch epoch, std::string_view lease, AskNo number,
                    Token token, Nanos term) {
@@ -101,21 +102,24 @@
 
 void Hollow::ask(MemberId voter, Epoch epoch, std::string_view lease, AskNo number, Token token, Nanos term) {
   if (voter != self_.from)
-    return void(peers_.say(voter, Peers::Slot::asking, lease, words::ask(epoch, lease, number, token, term)));
+    return void(peers_.enqueue(voter, Peers::MessageClass::request, lease,
+                               peer_codec::ask(epoch, lease, number, token, term)));
   own_.push_back([this, epoch, lease = std::string(lease), number, token, term] {
     leases_.asked(now_, self_.from, self_.incarnation, epoch, lease, number, token, term);
   });
 }
 void Hollow::release(MemberId voter, std::string_view lease, AskNo number) {
   if (voter != self_.from)
-    return void(peers_.say(voter, Peers::Slot::asking, lease, words::release(lease, number)));
+    return void(
+        peers_.enqueue(voter, Peers::MessageClass::request, lease, peer_codec::release(lease, number)));
   own_.push_back([this, lease = std::string(lease), number] {
     leases_.released(now_, self_.from, self_.incarnation, lease, number);
   });
 }
 void Hollow::grant(MemberId to, Incarnation of, std::string_view lease, AskNo number, bool wanted) {
   if (to != self_.from)
-    return void(peers_.say(to, Peers::Slot::answering, lease, words::grant(of, lease, number, wanted)));
+    return void(peers_.enqueue(to, Peers::MessageClass::response, lease,
+                               peer_codec::grant(of, lease, number, wanted)));
   own_.push_back([this, of, lease = std::string(lease), number, wanted] {
     leases_.granted(now_, self_.from, of, lease, number, wanted);
   });
@@ -123,12 +127,13 @@
 void Hollow::refuse(MemberId to, Incarnation of, std::string_view lease, AskNo number, Token seen,
                     Nanos left) {
   if (to != self_.from)
-    return void(peers_.say(to, Peers::Slot::answering, lease, words::refuse(of, lease, number, seen, left)));
+    return void(peers_.enqueue(to, Peers::MessageClass::response, lease,
+                               peer_codec::refuse(of, lease, number, seen, left)));
   own_.push_back([this, of, lease = std::string(lease), number, seen, left] {
     leases_.refused(now_, self_.from, of, lease, number, seen, left);
   });
 }
 void Hollow::held(std::string_view lease, Token, Nanos, Nanos) { holding_.emplace(lease); }
-void Hollow::lost(std::string_view lease, Token, LostWhy) { holding_.erase(std::string(lease)); }
+void Hollow::lost(std::string_view lease, Token, LossReason) { holding_.erase(std::string(lease)); }
 
 } // namespace cometshift::scale
--- a/scale/hollow.hpp
+++ b/scale/hollow.hpp
@@ -14,7 +14,7 @@
 
 namespace cometshift::scale {
 
-class Hollow final : public Node, PeerOrders, LeaseOrders, words::Listener {
+class Hollow final : public Node, PeerActions, LeaseActions, peer_codec::Listener {
  public:
   struct Part {
     Network& network;
@@ -23,7 +23,7 @@
     bool welcomes = false;        // takes who is not listed as one that was learnt, while there is room
     VoterList voters;
     std::vector<std::string> wishes; // leases that it asks for as long as it lives
-    Given figures;                   // leases.*, peers.*
+    Settings figures;                // leases.*, peers.*
     std::uint64_t seed = 0;
   };
   Hollow(Nanos now, MemberId self, std::uint64_t life, const Part& part);
@@ -32,9 +32,9 @@
   const Leases& leases() const { return leases_; }
   std::size_t holds() const { return holding_.size(); } // leases
 
-  const words::Speaker& speaker() const override { return self_; }
-  bool hello(Nanos now, const words::Speaker& from) override;
-  bool letter(Nanos now, const words::Speaker& from, std::string_view payload) override;
+  const peer_codec::Sender& sender() const override { return self_; }
+  bool hello(Nanos now, const peer_codec::Sender& from) override;
+  bool message(Nanos now, const peer_codec::Sender& from, std::string_view payload) override;
   void connected(Nanos now, MemberId to) override;
   void written(Nanos now, MemberId to) override;
   void broken(Nanos now, MemberId to) override;
@@ -44,13 +44,14 @@
  private:
   // Peers
   void dial(MemberId to) override;
-  void hang_up(MemberId to) override;
+  void disconnect(MemberId to) override;
   void send(MemberId to, std::string frame) override;
-  void news(MemberId, Hearing, Hearing) override {}
-  void doubled(MemberId) override {}
+  void peer_state_changed(MemberId, PeerState, PeerState) override {}
+  void duplicate_member(MemberId) override {}
   // Words of others
-  bool letter(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard, Incarnation heard_of,
-              bool leaving, const words::Rhythm& rhythm) override;
+  bool message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
+               Incarnation acked_incarnation, bool leaving,
+               const peer_codec::HeartbeatTerms& heartbeat) override;
   void voters(MemberId from, Epoch on_file, const VoterList& list) override;
   void asked(MemberId from, Incarnation of, Epoch epoch, std::string_view lease, AskNo number, Token token,
              Nanos term) override;
@@ -67,11 +68,11 @@
   void refuse(MemberId to, Incarnation of, std::string_view lease, AskNo number, Token seen,
               Nanos left) override;
   void held(std::string_view lease, Token token, Nanos from, Nanos until) override;
-  void lost(std::string_view lease, Token token, LostWhy why) override;
+  void lost(std::string_view lease, Token token, LossReason why) override;
 
   Network& network_;
   Nanos now_;
-  words::Speaker self_;
+  peer_codec::Sender self_;
   std::deque<std::function<void()>> own_; // what this member says to itself
   std::set<std::string, std::less<>> holding_;
   bool welcomes_;
--- a/scale/link.cpp
+++ b/scale/link.cpp
@@ -158,19 +158,19 @@
         now, member, life,
         Hollow::Part{network_, "hollow", listed(member), true, voters_,
                      wishes == wishes_.end() ? std::vector<std::string>{} : wishes->second,
-                     Given{{"leases.term", term},
-                           {"leases.longest_term", term},
-                           {"leases.drift", drift},
-                           {"leases.most_terms", 0.0},
-                           {"leases.most", most_leases},
-                           {"leases.first_token", static_cast<double>(now / ms)},
-                           {"leases.longest_act", 0.0},
-                           {"peers.beat", beat_s * 1e9},
-                           {"peers.silent", silent_s * 1e9},
-                           {"peers.rest_least", rest_least_s * 1e9},
-                           {"peers.rest_most", rest_most_s * 1e9},
-                           {"peers.most_words", 4 * most_leases},
-                           {"peers.most_members", static_cast<double>(everybody_.size())}},
+                     Settings{{"leases.term", term},
+                              {"leases.longest_term", term},
+                              {"leases.drift", drift},
+                              {"leases.most_terms", 0.0},
+                              {"leases.most", most_leases},
+                              {"leases.first_token", static_cast<double>(now / ms)},
+                              {"leases.longest_act", 0.0},
+                              {"peers.beat", beat_s * 1e9},
+                              {"peers.silent", silent_s * 1e9},
+                              {"peers.rest_least", rest_least_s * 1e9},
+                              {"peers.rest_most", rest_most_s * 1e9},
+                              {"peers.most_words", 4 * most_leases},
+                              {"peers.most_members", static_cast<double>(everybody_.size())}},
                      wanted_.seed + 100 * repeat_});
   }
   void begin(MemberId member) { network_.start(member); }
@@ -219,8 +219,8 @@
       bool well = one != nullptr;
       for (const MemberId voter : voters_.voters)
         if (voter != member && well)
-          well = at(voter) && at(voter)->peers().hearing(member) == Hearing::well &&
-                 one->peers().hearing(voter) == Hearing::well;
+          well = at(voter) && at(voter)->peers().peer_state(member) == PeerState::reachable &&
+                 one->peers().peer_state(voter) == PeerState::reachable;
       if (!well) return unheard_ = (unheard_ + i) % n, false;
     }
     return true;
@@ -241,7 +241,7 @@
     std::uint64_t out_peak = 0, in_peak = 0;
   };
   double looked(MemberId member) const { // -1: it doesn't live
-    return at(member) ? static_cast<double>(at(member)->peers().costs().looked) : -1;
+    return at(member) ? static_cast<double>(at(member)->peers().costs().peers_examined) : -1;
   }
   void open() {
     opened_ = network_.now();
--- a/scale/network.cpp
+++ b/scale/network.cpp
@@ -173,12 +173,12 @@
 
 void Network::dial(MemberId from, MemberId to) {
   std::int64_t* const whose = std::exchange(account, nullptr);
-  orders_.push_back({Kind::connected, index(from), index(to), {}});
+  actions_.push_back({Kind::connected, index(from), index(to), {}});
   account = whose;
 }
-void Network::hang_up(MemberId from, MemberId to) {
+void Network::disconnect(MemberId from, MemberId to) {
   std::int64_t* const whose = std::exchange(account, nullptr);
-  orders_.push_back({Kind::reset, index(from), index(to), {}});
+  actions_.push_back({Kind::reset, index(from), index(to), {}});
   account = whose;
 }
 void Network::send(MemberId from, MemberId to, std::string frame) {
@@ -186,13 +186,13 @@
   const bool apart = frame.capacity() > std::string().capacity();
   if (apart && whose)
     *whose -= static_cast<std::int64_t>(malloc_usable_size(frame.data())); // now the network's
-  orders_.push_back({Kind::arrive, index(from), index(to), std::move(frame)});
+  actions_.push_back({Kind::arrive, index(from), index(to), std::move(frame)});
   account = whose;
 }
 
 void Network::carry_out() {
-  if (orders_.empty()) return;
-  under_way_.swap(orders_);
+  if (actions_.empty()) return;
+  under_way_.swap(actions_);
   for (Order& order : under_way_) {
     if (order.kind == Kind::connected)
       do_dial(order.from, order.to);
@@ -333,10 +333,10 @@
   from.spent.bytes_out += headers;
   const Index speaks = line.from, spoken_to = line.to;
   in(speaks, [this, speaks, spoken_to](Node& node) {
-    words::Speaker speaker = node.speaker();
-    speaker.to = member(spoken_to);
-    send(member(speaks), speaker.to, words::hello(speaker));
-    node.connected(now_, speaker.to);
+    peer_codec::Sender sender = node.sender();
+    sender.to = member(spoken_to);
+    send(member(speaks), sender.to, peer_codec::hello(sender));
+    node.connected(now_, sender.to);
   });
 }
 
@@ -347,7 +347,7 @@
   Line& line = lines_[at];
   if (line.state != Line::State::up) return;
   const bool is_letter =
-      frame.size() >= frames::head_size && static_cast<std::uint8_t>(frame[4]) == frames::peer_letter;
+      frame.size() >= frames::header_size && static_cast<std::uint8_t>(frame[4]) == frames::peer_message;
   if (is_letter) {
     ++seats_[from].spent.letters_out;
     if (line.waiting_bytes + frame.size() > sent_ahead)
@@ -505,16 +505,16 @@
 
 // As Links does with what it read.
 bool Network::take(Index to, Line& line, const std::string& frame) {
-  const std::string_view payload = std::string_view(frame).substr(frames::head_size);
+  const std::string_view payload = std::string_view(frame).substr(frames::header_size);
   Seat& seat = seats_[to];
   if (line.known) {
     ++seat.spent.letters_in;
-    return seat.node->letter(now_, line.speaker, payload);
+    return seat.node->message(now_, line.sender, payload);
   }
-  if (!words::read_hello(payload, line.speaker)) return false;
-  const words::Speaker& self = seat.node->speaker();
-  if (line.speaker.fleet != self.fleet || line.speaker.to != self.from) return false;
-  line.known = seat.node->hello(now_, line.speaker);
+  if (!peer_codec::decode_hello(payload, line.sender)) return false;
+  const peer_codec::Sender& self = seat.node->sender();
+  if (line.sender.fleet != self.fleet || line.sender.to != self.from) return false;
+  line.known = seat.node->hello(now_, line.sender);
   return line.known;
 }
 
@@ -525,7 +525,7 @@
   if (fresh) return;
   const Index earlier = std::exchange(speaks->second, by);
   Line& before = lines_[earlier];
-  if (earlier == by || before.speaker.incarnation != line.speaker.incarnation) return;
+  if (earlier == by || before.sender.incarnation != line.sender.incarnation) return;
   leave(earlier);
   if (before.state == Line::State::closing)
     free(earlier);
--- a/scale/network.hpp
+++ b/scale/network.hpp
@@ -40,11 +40,11 @@
 class Node {
  public:
   virtual ~Node() = default;
-  virtual const words::Speaker& speaker() const = 0; // `to` is not looked at
+  virtual const peer_codec::Sender& sender() const = 0; // `to` is not looked at
   // Somebody said who it is. False: it is not listed, and its connection ends.
-  virtual bool hello(Nanos now, const words::Speaker& from) = 0;
-  // The payload of a letter's frame. False: it is none, and its connection ends.
-  virtual bool letter(Nanos now, const words::Speaker& from, std::string_view payload) = 0;
+  virtual bool hello(Nanos now, const peer_codec::Sender& from) = 0;
+  // The payload of a message's frame. False: it is none, and its connection ends.
+  virtual bool message(Nanos now, const peer_codec::Sender& from, std::string_view payload) = 0;
   virtual void connected(Nanos now, MemberId to) = 0;
   virtual void written(Nanos now, MemberId to) = 0;
   virtual void broken(Nanos now, MemberId to) = 0;
@@ -77,7 +77,7 @@
 
   // ---- what nodes order, within their calls
   void dial(MemberId from, MemberId to);
-  void hang_up(MemberId from, MemberId to);
+  void disconnect(MemberId from, MemberId to);
   void send(MemberId from, MemberId to, std::string frame);
 
   // ---- what happens to them
@@ -123,7 +123,7 @@
     Nanos last_arrival = 0, stalled_since = -1, rest = 0;
     std::size_t waiting_bytes = 0;
     std::vector<Index> waiting; // frames, to be sent again
-    words::Speaker speaker;     // as it said
+    peer_codec::Sender sender;  // as it said
   };
   struct Seat {
     unsigned zone = 0;
@@ -186,7 +186,7 @@
   std::vector<Index> unused_lines_;
   std::vector<std::string> frames_;
   std::vector<Index> unused_frames_;
-  std::vector<Order> orders_, under_way_;
+  std::vector<Order> actions_, under_way_;
   bool cut_[zones][zones] = {};
   Nanos clock_costs_ = 0;
 };
--- a/server/main.cpp
+++ b/server/main.cpp
@@ -37,7 +37,7 @@
     return path;
   }
   std::string operator_file() const { return told(operators, "COMETSHIFT_OPERATOR"); }
-  cometshift::Given operator_values() const {
+  cometshift::Settings operator_values() const {
     return operator_file().empty() ? cometshift::operator_in("", "")
                                    : cometshift::read_operator(operator_file());
   }
--- a/simhost/main.cpp
+++ b/simhost/main.cpp
@@ -1,6 +1,7 @@
-// cometshift_simhost: hosts one Choice for each instance of the simulator and speaks its wire on standard
-// input and output. It only carries: every decoded field goes straight into a call, every action into a line.
-// Names of the wire end here. A defect in the input ends the process with one line on standard error.
+// cometshift_simhost: hosts one DecisionModule for each instance of the simulator and speaks its wire on
+// standard input and output. It only carries: every decoded field goes straight into a call, every action
+// into a line. Names of the wire end here. A defect in the input ends the process with one line on standard
+// error.
 #include "decision_module.hpp"
 #include "hex.hpp"
 #include "settings.hpp"
@@ -93,15 +94,15 @@
   WireServer(Lines& lines, std::int64_t instance) : lines_(lines), instance_(instance) {}
 
   void run(OpId op) override { open("DISPATCH", op), close(); }
-  void nack(OpId op, Reason, bool no_retry, Nanos stay_away) override {
+  void nack(OpId op, Reason, bool no_retry, Nanos retry_after) override {
     open("OVERLOAD_REPLY", op);
     if (no_retry) field("no_retry", true);
-    if (stay_away > 0) field("pause_ns", stay_away);
+    if (retry_after > 0) field("pause_ns", retry_after);
     close();
   }
   void fail(OpId op, Reason) override { open("DROP_REQUEST", op), close(); }
   void call(OpId op, Nanos time_out) override { open("CALL", op), field("timeout_ns", time_out), close(); }
-  void answer_without(OpId op) override { open("DO_WITHOUT", op), close(); }
+  void answer_without_call(OpId op) override { open("DO_WITHOUT", op), close(); }
   void keep_key(OpId op, Nanos lifetime) override {
     open("RETAIN", op), field("lifetime_ns", lifetime), close();
   }
@@ -111,8 +112,8 @@
   void health(bool good, bool from_store) override {
     open("FITNESS"), field("enable", good), field("from_state", from_store), close();
   }
-  void tell_callers(double value) override { open("SIGNAL"), field("value", value), close(); }
-  void idle_close(Nanos after) override { open("KEEPALIVE"), field("lifetime_ns", after), close(); }
+  void notify_callers(double value) override { open("SIGNAL"), field("value", value), close(); }
+  void set_idle_timeout(Nanos after) override { open("KEEPALIVE"), field("lifetime_ns", after), close(); }
   void wake_at(Nanos at, WakeId name) override {
     open("SET_TIMER"), field("at_ns", at), field("name", name.raw), close();
   }
@@ -166,7 +167,7 @@
 
 struct Instance {
   WireServer server;
-  std::unique_ptr<Choice> choice;
+  std::unique_ptr<DecisionModule> choice;
 };
 
 class Host {
@@ -192,11 +193,11 @@
     const std::int64_t number = must<std::int64_t>(f, "server_id");
     if (name == "HELLO") {
       const auto seed = must<std::uint64_t>(f, "entropy");
-      const Given given = given_by(must<object>(f, "config"));
+      const Settings given = parse_settings(must<object>(f, "config"));
       instances_.erase(number);
       Instance& made =
           instances_.try_emplace(number, Instance{WireServer(lines_, number), nullptr}).first->second;
-      guarded(made, [&] { made.choice = std::make_unique<Choice>(now_, seed, given, made.server); });
+      guarded(made, [&] { made.choice = std::make_unique<DecisionModule>(now_, seed, given, made.server); });
       return;
     }
     static constexpr std::string_view others[] = {"JOB_IN",      "EXPIRED", "REMINDER",  "STALLED_ON_CALL",
@@ -209,7 +210,7 @@
       return;
     }
     if (!at->second.choice) return; // it was reported as failed at its start
-    Choice& choice = *at->second.choice;
+    DecisionModule& choice = *at->second.choice;
     const auto hand = [&](auto step) { guarded(at->second, step); };
     if (name == "REMINDER") {
       const WakeId wake{must<std::uint64_t>(f, "name")};
@@ -250,7 +251,7 @@
         hand([&] { choice.call_ended(now_, id, outcome, lag); });
     } else if (name == "EXPIRED") {
       const OpId id = op_of(f);
-      hand([&] { choice.op_gone(now_, id); });
+      hand([&] { choice.op_cancelled(now_, id); });
     } else if (name == "LAME_DUCK") {
       must<std::int64_t>(f, "patience_left_ns");
       const Nanos left = span_of(f, "patience_left_ns");
@@ -260,11 +261,11 @@
 
   static OpId maybe_earlier(const object& f) {
     element at;
-    if (f["forerunner"].get(at) != simdjson::SUCCESS || at.is_null()) return no_op;
+    if (f["forerunner"].get(at) != simdjson::SUCCESS || at.is_null()) return no_op_id;
     std::string_view hex;
     if (at.get(hex) == simdjson::SUCCESS) return id_in(hex, "forerunner");
     std::int64_t zero;
-    if (at.get(zero) == simdjson::SUCCESS && zero == 0) return no_op;
+    if (at.get(zero) == simdjson::SUCCESS && zero == 0) return no_op_id;
     bad("not an id in field", "forerunner");
   }
 
--- a/src/decision_module.cpp
+++ b/src/decision_module.cpp
@@ -1,5 +1,5 @@
-// cometshift's decisions, all of them. One `Choice` serves one server: call `op_read` and the others below as
-// things happen; it acts at once through the `Server` that it was built with. Both are declared in
+// cometshift's decisions, all of them. One `DecisionModule` serves one server: call `op_read` and the others
+// below as things happen; it acts at once through the `Server` that it was built with. Both are declared in
 // decision_module.hpp, what is remembered of an op in state.hpp.
 //
 // The design (docs/design.md) decides the ordinary path: health is stored and turns bad at the drain notice,
@@ -102,10 +102,10 @@
 constexpr Nanos end_rest = 500 * ms;       // for callers to close what takes no new op: some round trips
 constexpr Nanos accept_rest = 20 * ms;     // after a failed accept: no spinning, no long wait
 constexpr Nanos stray_rest = 2 * second;   // by then both sides know that an op is over; most runs have ended
-constexpr Nanos first_word = 1500 * ms;    // for a frame to come whole: callers speak when they connect
+constexpr Nanos frame_timeout = 1500 * ms; // for a frame to come whole: callers speak when they connect
 constexpr int penalties = 8; // ops in a row that no caller sends, on one connection: no more is read of it
 // The mute are no callers, an idle caller only has to connect anew, the newest would lose an op.
-constexpr std::array full_order{Eviction::mute, Eviction::idle, Eviction::newest};
+constexpr std::array full_order{Eviction::no_frame, Eviction::idle, Eviction::newest};
 
 template <class T>
 void drop_from(std::vector<T*>& list, T* one) {
@@ -114,17 +114,17 @@
 
 } // namespace
 
-Choice::Choice(Nanos now, std::uint64_t seed, const Given& given, Server& server)
+DecisionModule::DecisionModule(Nanos now, std::uint64_t seed, const Settings& given, Server& server)
     : server_(server), chance_(seed), now_(now), born_(now), guess_slope_(guess_step),
       calls_(span(given, "calls_over_ns", 5e9), now), call_time_(long_memory), recent_calls_(short_memory),
       silences_(long_memory), reading_(reading_first) {
-  cores_ = needed(given, "cores", 1);
+  cores_ = required_number(given, "cores", 1);
   cap_ = cores_;
-  fall_multiple_ = needed(given, "fall_multiple", 1);
+  fall_multiple_ = required_number(given, "fall_multiple", 1);
   cold_from_ = std::clamp(number(given, "cold_from", 1), 0.0, 1.0);
   warm_after_ = span(given, "warm_after_ns", 0);
   born_cold_ = number(given, "cold", 0) != 0;
-  memory_limit_ = needed(given, "memory_kb", 1);
+  memory_limit_ = required_number(given, "memory_kb", 1);
   run_factor_ = std::max(1.0, number(given, "run_factor", 1));
   key_kb_ = number(given, "key_kb", 0);
   fresh_for_ = span(given, "fresh_for_ns", 0);
@@ -159,8 +159,8 @@
                 .core_time = Histogram(long_memory),
                 .recent = Histogram(short_memory),
                 .patience = Usual(long_memory)};
-    type.op_timeout = static_cast<Nanos>(needed(given, at + "op_timeout_ns", 1));
-    type.target_latency = static_cast<Nanos>(needed(given, at + "target_latency_ns", 1));
+    type.op_timeout = static_cast<Nanos>(required_number(given, at + "op_timeout_ns", 1));
+    type.target_latency = static_cast<Nanos>(required_number(given, at + "target_latency_ns", 1));
     type.key_window = span(given, at + "key_window_ns", 0);
     type.importance = number(given, at + "importance", 1);
     type.late_share = number(given, at + "late_share", 0);
@@ -168,9 +168,9 @@
     type.target_stretch = number(given, at + "target_stretch", 0);
     type.may_call = number(given, at + "may_call", 0) != 0;
     const std::string repeats = text(given, at + "repeats", "retryable");
-    type.repeats = repeats == "keyed"           ? Repeats::keyed
-                   : repeats == "non_retryable" ? Repeats::non_retryable
-                                                : Repeats::retryable;
+    type.repeats = repeats == "keyed"           ? RetryClass::keyed
+                   : repeats == "non_retryable" ? RetryClass::non_retryable
+                                                : RetryClass::retryable;
     types_.push_back(type);
   }
   if (types_.empty()) throw std::invalid_argument("setting op_type.0.op_timeout_ns is missing");
@@ -179,36 +179,36 @@
     tenants_.push_back({.quota = number(given, "tenant." + std::to_string(t) + ".quota", 0) / fleet});
   progress_at_ = counted_from_ = now;
   const Nanos report = span(given, "list_lapse_ns", 0) / report_part;
-  server_.timing(Timing::report, report);
-  server_.timing(Timing::report_wait, report);
-  server_.timing(Timing::link_again, link_rest);
+  server_.set_timing(Timing::report_interval, report);
+  server_.set_timing(Timing::report_timeout, report);
+  server_.set_timing(Timing::link_reconnect_delay, link_rest);
   Nanos longest = 0, latest = 0;
   for (const OpType& type : types_) {
     longest = std::max(longest, type.op_timeout);
     latest = std::max(latest, type.target_latency); // what is started into a dead link for as long is lost
   }
-  server_.timing(Timing::link_silent, std::clamp(latest, silent_least, silent_most));
-  server_.timing(Timing::unread, longest); // nobody waits for it any more
-  server_.timing(Timing::link_leave, leave_rest);
-  server_.timing(Timing::leave_to_end, end_rest);
-  server_.timing(Timing::silent_close, idle_); // callers close after it themselves
-  server_.timing(Timing::first_word, first_word);
-  server_.when_full(full_order, penalties);
-  server_.timing(Timing::accept_again, accept_rest);
-  server_.timing(Timing::settle_stray, stray_rest);
+  server_.set_timing(Timing::link_silence_timeout, std::clamp(latest, silent_least, silent_most));
+  server_.set_timing(Timing::write_stall_timeout, longest); // nobody waits for it any more
+  server_.set_timing(Timing::link_handover_timeout, leave_rest);
+  server_.set_timing(Timing::connection_drain_delay, end_rest);
+  server_.set_timing(Timing::silent_connection_timeout, idle_); // callers close after it themselves
+  server_.set_timing(Timing::frame_timeout, frame_timeout);
+  server_.set_eviction_order(full_order, penalties);
+  server_.set_timing(Timing::accept_retry_delay, accept_rest);
+  server_.set_timing(Timing::orphan_query_delay, stray_rest);
   server_.health(true, true);
   server_.wake_at(now + tick, WakeId{1});
 }
 
 // ---- the cap
 
-double Choice::warmth(Nanos now) const {
+double DecisionModule::warmth(Nanos now) const {
   if (!born_cold_ || warm_after_ <= 0) return 1;
   const double age = static_cast<double>(now - born_) / static_cast<double>(warm_after_);
   return std::min(1.0, cold_from_ + (1 - cold_from_) * age);
 }
 
-double Choice::survivable(Nanos now) const {
+double DecisionModule::survivable(Nanos now) const {
   return std::max(cores_, std::floor(crowd_part * cores_ * (1 + (fall_multiple_ - 1) * warmth(now))));
 }
 
@@ -216,7 +216,7 @@
 // on: against cores that read free because nothing moves (a hang), when more ops would only crowd them. As it
 // lags, the cores count as free only if fewer than there are of them are wanted at this moment: against
 // growing on a reading from before a rush, as at a cold server that all callers find at once.
-void Choice::steer_cap(Nanos now) {
+void DecisionModule::steer_cap(Nanos now) {
   const bool waiting = !held_.empty() && now - held_since_ >= gauge_span;
   const bool moving = now - progress_at_ < gauge_span;
   const bool free =
@@ -240,7 +240,7 @@
 // ---- the stall watch
 
 // The clock of every call in. The time that a process stood still, seen as a jump, is not its cores' fault.
-void Choice::pass_to(Nanos now) {
+void DecisionModule::pass_to(Nanos now) {
   if (now - now_ > stood_still) progress_at_ = std::min(now, progress_at_ + now - now_);
   now_ = now;
 }
@@ -250,7 +250,7 @@
 // it can go elsewhere, and so are the retryable ops that hang on the cores. Health stays as stored: in a
 // storm many servers stall for a moment, and those left on the list would get the traffic of all. It may harm
 // a server on which one run is truly that long; such a run alone has to take many times the mean.
-void Choice::watch(Nanos now) {
+void DecisionModule::watch(Nanos now) {
   if (on_core_ == 0 || stalled_) return;
   const bool known = std::none_of(ops_.begin(), ops_.end(), [this](const auto& entry) {
     return entry.second.stage == Stage::on_core && types_[entry.second.type.raw].core_time.total() < enough;
@@ -264,7 +264,7 @@
   for (auto& [id, op] : ops_) {
     if (op.stage != Stage::on_core || op.answered) continue;
     op.hung = true;
-    if (types_[op.type.raw].repeats == Repeats::retryable) send_on(op);
+    if (types_[op.type.raw].repeats == RetryClass::retryable) send_on(op);
   }
 }
 
@@ -272,38 +272,38 @@
 
 // Lengths are kept by the second of an op's hint, so that they show this server's speed; without hints every
 // op counts as a second. As guesses are rough, of their spread only so much counts as was seen in the runs.
-Nanos Choice::core_time(const Op& op) const {
+Nanos DecisionModule::core_time(const Op& op) const {
   const OpType& type = types_[op.type.raw];
   if (type.core_time.total() < enough)
     return static_cast<Nanos>(unknown_run * static_cast<double>(type.target_latency));
   return static_cast<Nanos>(type.core_time.mean() * op.hint);
 }
 
-double Choice::work_on_core() const {
+double DecisionModule::work_on_core() const {
   double work = 0;
   for (const auto& [id, op] : ops_)
     if (op.stage == Stage::on_core) work += static_cast<double>(core_time(op));
   return work;
 }
 
-Nanos Choice::run_time(const Op& op, double sureness) const {
+Nanos DecisionModule::run_time(const Op& op, double sureness) const {
   const OpType& type = types_[op.type.raw];
   if (type.run_time.total() < enough) return core_time(op);
   const Nanos whole = static_cast<Nanos>(static_cast<double>(type.run_time.quantile(sureness)) * op.hint);
   return std::max(whole / least_left, whole - op.on_core); // a paused one has done a part
 }
 
-Nanos Choice::win_by(const Op& op) const {
+Nanos DecisionModule::target_deadline(const Op& op) const {
   const OpType& type = types_[op.type.raw];
   const Nanos stretch = static_cast<Nanos>(type.target_stretch * static_cast<double>(core_time(op)));
   return std::min(op.first_seen + std::min(type.target_latency + stretch, type.op_timeout), op.due);
 }
 
-bool Choice::winnable(const Op& op, Nanos begin, double sureness) const {
-  return begin + run_time(op, sureness) <= win_by(op);
+bool DecisionModule::winnable(const Op& op, Nanos begin, double sureness) const {
+  return begin + run_time(op, sureness) <= target_deadline(op);
 }
 
-double Choice::density(const Op& op) const {
+double DecisionModule::value_density(const Op& op) const {
   double worth = types_[op.type.raw].importance * op.worth;
   if (op.tenant.raw < tenants_.size()) {
     const Tenant& tenant = tenants_[op.tenant.raw];
@@ -316,8 +316,8 @@
 // Puts the hold in the order of latest starts and walks it: where an op would start too late to be in time,
 // the one with the least worth for its work of those so far is nacked at once, so that its caller can go
 // elsewhere. Guards against a line in which all are late; harms if runs are taken for longer than they are.
-void Choice::plan(Nanos now) {
-  for (Op* op : held_) op->latest_start = win_by(*op) - run_time(*op, planned_sureness);
+void DecisionModule::plan(Nanos now) {
+  for (Op* op : held_) op->latest_start = target_deadline(*op) - run_time(*op, planned_sureness);
   std::stable_sort(held_.begin(), held_.end(),
                    [](const Op* a, const Op* b) { return a->latest_start < b->latest_start; });
   double ahead = std::max(0.0, static_cast<double>(on_core_) - cap_ + 1); // runs to end before the first may
@@ -343,8 +343,9 @@
                       std::min(chance_part, wait_part * std::clamp(op->worth, 1.0, longer_wait)) *
                           static_cast<double>(types_[op->type.raw].target_latency);
     if (begin == now || (soon && winnable(*op, begin, planned_sureness))) continue;
-    const auto worst = std::min_element(
-        kept.begin(), kept.end(), [this](const Op* a, const Op* b) { return density(*a) < density(*b); });
+    const auto worst = std::min_element(kept.begin(), kept.end(), [this](const Op* a, const Op* b) {
+      return value_density(*a) < value_density(*b);
+    });
     line -= pace_of(*worst);
     out.push_back(*worst);
     kept.erase(worst);
@@ -355,7 +356,7 @@
 // Runs at a call so short that they are back before another would get anywhere: they count under the cap.
 // Guards against one run too many on few cores, which all slow each other for its whole length; harms where
 // runs over the cores cost nothing.
-int Choice::returning() const {
+int DecisionModule::returning() const {
   double work = 0;
   for (const OpType& type : types_) work = std::max(work, type.core_time.mean());
   const bool brief =
@@ -363,12 +364,12 @@
   return brief ? static_cast<int>(calls_.count()) - static_cast<int>(lingering_.size()) : 0;
 }
 
-bool Choice::has_core(Nanos now) const {
+bool DecisionModule::has_core(Nanos now) const {
   const int cap = static_cast<int>(cap_);
   return on_core_ < cap && on_core_ + returning() < cap && running_ < static_cast<int>(survivable(now));
 }
 
-bool Choice::may_start(Nanos now, const Op& op) const {
+bool DecisionModule::may_start(Nanos now, const Op& op) const {
   if (!op.paused && memory_with(op.held_kb * (run_factor_ - 1)) > memory_part * memory_limit_) return false;
   const OpType& type = types_[op.type.raw];
   if (!type.may_call || type.without_share > 0) return true;
@@ -377,7 +378,7 @@
          static_cast<double>(call_wait()) <= hold_part * static_cast<double>(type.target_latency);
 }
 
-void Choice::settle(Nanos now) {
+void DecisionModule::settle(Nanos now) {
   if (held_.empty()) return;
   if (stalled_) {
     const std::vector<Op*> line = held_;
@@ -405,7 +406,7 @@
 // Pauses a run that has time to spare for a held op that has none, where runs can be paused. Guards against
 // short target latencies being missed behind long runs, which on few cores may hold all of them; the cap
 // stays. It may harm where memory is short, as what is paused keeps it.
-void Choice::make_room(Nanos now) {
+void DecisionModule::make_room(Nanos now) {
   if (halt_ != Halt::pause || on_core_ < static_cast<int>(cap_)) return;
   for (Op* op : held_) {
     const Nanos needs = core_time(*op);
@@ -415,9 +416,10 @@
     for (auto& [id, other] : ops_) {
       if (other.pausing) return; // one is on its way
       if (other.stage != Stage::on_core || other.answered || other.hung || other.paused ||
-          types_[other.type.raw].repeats != Repeats::retryable)
+          types_[other.type.raw].repeats != RetryClass::retryable)
         continue;
-      if (const Nanos spare = win_by(other) - now - run_time(other, planned_sureness); spare > most) {
+      if (const Nanos spare = target_deadline(other) - now - run_time(other, planned_sureness);
+          spare > most) {
         longest = &other;
         most = spare;
       }
@@ -429,7 +431,7 @@
   }
 }
 
-void Choice::start(Nanos now, Op& op) {
+void DecisionModule::start(Nanos now, Op& op) {
   drop_from(held_, &op);
   if (!op.paused) memory_kb_ += op.held_kb * (run_factor_ - 1);
   ++running_;
@@ -443,7 +445,7 @@
 }
 
 // Leaves with an op what comes after the step that it is at.
-void Choice::leave_next(Op& op) {
+void DecisionModule::leave_next(Op& op) {
   if (op.stage == Stage::reusing)
     op.when_ended = [this](Op& ended, Outcome, Nanos) { forget(ended); };
   else if (op.stage != Stage::held)
@@ -452,13 +454,13 @@
     op.when_called = [this](Op& called, Outcome outcome, Nanos) { after_call(now_, called, outcome); };
 }
 
-void Choice::join_core(Nanos now, Op& op) {
+void DecisionModule::join_core(Nanos now, Op& op) {
   op.stage = Stage::on_core;
   op.on_core_since = now;
   if (on_core_++ == 0) progress_at_ = now;
 }
 
-void Choice::leave_core(Nanos now, Op& op) {
+void DecisionModule::leave_core(Nanos now, Op& op) {
   if (op.stage != Stage::on_core) return;
   op.on_core += now - op.on_core_since;
   op.pausing = false;
@@ -467,7 +469,7 @@
   stalled_ = false;
 }
 
-void Choice::after_run(Nanos now, Op& op, Outcome outcome, Nanos lag) {
+void DecisionModule::after_run(Nanos now, Op& op, Outcome outcome, Nanos lag) {
   leave_core(now, op);
   if (op.stage == Stage::calling) {
     lingering_.push_back(now + linger_); // its call is given up, not gone
@@ -482,10 +484,10 @@
   if (outcome == Outcome::done && !op.hung) {
     OpType& type = types_[op.type.raw];
     const Nanos core = static_cast<Nanos>(static_cast<double>(op.on_core) / op.hint);
-    if (op.guess > 0 && op.on_core > 0) guess_slope_.note(op.guess, static_cast<double>(op.on_core));
-    if (!op.paused) type.run_time.note(static_cast<Nanos>(static_cast<double>(lag) / op.hint));
-    type.core_time.note(core);
-    type.recent.note(core);
+    if (op.guess > 0 && op.on_core > 0) guess_slope_.record(op.guess, static_cast<double>(op.on_core));
+    if (!op.paused) type.run_time.record(static_cast<Nanos>(static_cast<double>(lag) / op.hint));
+    type.core_time.record(core);
+    type.recent.record(core);
     const Nanos usual = type.recent.quantile(0.5);
     if (type.recent.total() >= enough)
       type.base = type.base == 0 ? usual : std::min(usual, type.base + type.base / base_rise);
@@ -493,7 +495,7 @@
   if (back) {
     op.stage = Stage::held;
     held_.push_back(&op);
-    if (types_[op.type.raw].repeats != Repeats::retryable) give_up(op, Reason::fell_back);
+    if (types_[op.type.raw].repeats != RetryClass::retryable) give_up(op, Reason::fell_back);
     return;
   }
   forget(op);
@@ -501,7 +503,7 @@
 
 // ---- final answers
 
-void Choice::forget(Op& op) {
+void DecisionModule::forget(Op& op) {
   drop_from(held_, &op);
   drop_from(at_call_, &op);
   memory_kb_ -= op.held_kb * (op.paused && op.stage == Stage::held ? run_factor_ : 1);
@@ -513,34 +515,34 @@
 // the more of what comes has been nacked before (where that isn't marked: here). Guards against nacks that
 // only multiply reading and connecting where others are as full; harms where the few that have room are not
 // found by the first tries.
-void Choice::turn_away(Nanos now, Op& op, Reason why) {
+void DecisionModule::turn_away(Nanos now, Op& op, Reason why) {
   if (op.ran) return give_up(op, why);
   ++nacked_lately_;
   if (!stalled_) nacked_part_ += part_step;
   nacked_rank_ += (op.rank - nacked_rank_) * rank_step;
   drop_key(op);
-  const bool hopeless = now + run_time(op, last_sureness) / faster_elsewhere > win_by(op);
+  const bool hopeless = now + run_time(op, last_sureness) / faster_elsewhere > target_deadline(op);
   const bool alone = stalled_ || drained_at_ >= 0; // others need not be as badly off
   const bool full_too =
       !alone && (op.again || chance_.unit() < full_elsewhere * (marks_again_ ? again_part_ : nacked_part_));
-  server_.nack(op.id, why, hopeless || full_too, stay_away());
+  server_.nack(op.id, why, hopeless || full_too, retry_after());
   forget(op);
 }
 
 // Nacks a retryable op off the cores: its run is worth nothing here and may be made elsewhere.
-void Choice::send_on(Op& op) {
-  server_.nack(op.id, Reason::hung, false, stay_away());
+void DecisionModule::send_on(Op& op) {
+  server_.nack(op.id, Reason::hung, false, retry_after());
   let_go(op);
 }
 
 // Fails an op wherever it stands. One on the cores is halted where that can be done, else it runs on unheard.
-void Choice::give_up(Op& op, Reason why) {
+void DecisionModule::give_up(Op& op, Reason why) {
   server_.fail(op.id, why);
   let_go(op);
 }
 
 // After the final answer, or when nobody waits any more.
-void Choice::let_go(Op& op) {
+void DecisionModule::let_go(Op& op) {
   op.answered = true;
   drop_from(at_call_, &op);
   if (op.stage == Stage::held || op.stage == Stage::reusing)
@@ -551,12 +553,12 @@
 
 // Guards against losing an op: whatever holds it up, it is answered at its due time. A run that hangs, a call
 // that doesn't end and a reuse that waits are all met here.
-void Choice::overdue(Nanos now) {
+void DecisionModule::overdue(Nanos now) {
   std::vector<Op*> late;
   for (auto& [id, op] : ops_)
     if (!op.answered && op.due <= now + 2 * tick) late.push_back(&op);
   for (Op* op : late) {
-    if (op->stage == Stage::held && !op->ran && op->earlier == no_op)
+    if (op->stage == Stage::held && !op->ran && op->earlier == no_op_id)
       turn_away(now, *op, Reason::due);
     else
       give_up(*op, Reason::due);
@@ -565,13 +567,13 @@
 
 // ---- memory and keys
 
-double Choice::memory_with(double kb) const {
+double DecisionModule::memory_with(double kb) const {
   return memory_kb_ + kb + key_kb_ * static_cast<double>(keys_.size());
 }
 
 // Keeps the entry to the end of the window, counted from the arrival at the machine; past it too, against
 // running both where two tries lay unread for longer than a short window. False if memory lacks.
-bool Choice::keep(Nanos now, Op& op) {
+bool DecisionModule::keep(Nanos now, Op& op) {
   const Nanos life = std::max(tick, op.arrived + types_[op.type.raw].key_window - now);
   if (memory_with(key_kb_) > memory_part * memory_limit_) return false;
   keys_.erase(op.earlier);
@@ -582,7 +584,7 @@
 }
 
 // The entry of an op that ends without a run; one that ran is remembered to the end of its window.
-void Choice::drop_key(const Op& op) {
+void DecisionModule::drop_key(const Op& op) {
   if (!op.kept || op.ran) return;
   server_.forget_key(op.id);
   keys_.erase(op.id);
@@ -590,13 +592,13 @@
 
 // True if the op needs no run of its own: what it repeats runs here or has run. A keyed op whose first try is
 // still held takes its place; that try's caller has given it up, as tries of one request follow each other.
-bool Choice::reuse_earlier(Nanos now, Op& op) {
+bool DecisionModule::reuse_earlier(Nanos now, Op& op) {
   const auto first = ops_.find(op.earlier);
   if (first != ops_.end() && first->second.stage == Stage::held && !first->second.ran) {
-    if (types_[op.type.raw].repeats == Repeats::retryable) return false;
+    if (types_[op.type.raw].repeats == RetryClass::retryable) return false;
     op.first_seen = std::min(op.first_seen, first->second.first_seen);
     turn_away(now, first->second, Reason::replaced);
-    op.earlier = no_op;
+    op.earlier = no_op_id;
     return false;
   }
   drop_from(held_, &op);
@@ -608,7 +610,7 @@
 
 // ---- calls
 
-bool Choice::breaker_lets(Nanos now) const {
+bool DecisionModule::breaker_lets(Nanos now) const {
   if (failures_in_row_ < failures_to_open) return true;
   return now >= open_until_ && !trial_out_;
 }
@@ -616,7 +618,7 @@
 // Guards what lies below: the mean of the calls in hand, those given up too, would stay within this server's
 // share even if all of them stayed for as long as they may. However small the share, one short call at a time
 // may be made where the mean stands under half of it, or a server would never call at all.
-bool Choice::call_fits(Nanos time_out) const {
+bool DecisionModule::call_fits(Nanos time_out) const {
   if (call_share_ <= 0) return true;
   // Not only at the end of that time: what was in hand before has to have left the window by then.
   double most = 0;
@@ -627,17 +629,18 @@
          calls_.mean_with(0, 0) <= lone_part * calls_part * call_share_;
 }
 
-void Choice::park(Op& op) {
+void DecisionModule::park(Op& op) {
   op.stage = Stage::at_call;
   at_call_.push_back(&op);
 }
 
 // Lets parked ops call, in the order of coming; those that may not call yet go on without it where that is
 // worth something, or wait for as long as they can still be in time.
-void Choice::place_calls(Nanos now) {
+void DecisionModule::place_calls(Nanos now) {
   calls_.advance(now);
   std::vector<Op*> parked = at_call_;
-  std::stable_partition(parked.begin(), parked.end(), [&](const Op* op) { return now < win_by(*op); });
+  std::stable_partition(parked.begin(), parked.end(),
+                        [&](const Op* op) { return now < target_deadline(*op); });
   for (Op* op : parked) { // those that can still be in time first
     if (now < op->call_from && !op->call_may_have_run) continue;
     const OpType& type = types_[op->type.raw];
@@ -649,11 +652,11 @@
     if (known && several_below_)
       usual = failures_in_row_ > 0 ? tail / 2 : tail;
     else if (known && lost_calls_ > calls_get_lost && !crowded_below())
-      usual = std::max(tail, type.repeats == Repeats::retryable ? first_call / 4 : first_call / 2);
-    const Nanos left = win_by(*op) - core_time(*op) / 2 - now;
+      usual = std::max(tail, type.repeats == RetryClass::retryable ? first_call / 4 : first_call / 2);
+    const Nanos left = target_deadline(*op) - core_time(*op) / 2 - now;
     // An op that can't be in time any more ends here; what it still would take is better spent on others. A
     // keyed one goes on, since a repeat could not be run.
-    if (left <= 0 && type.repeats == Repeats::retryable && type.late_share == 0) {
+    if (left <= 0 && type.repeats == RetryClass::retryable && type.late_share == 0) {
       give_up(*op, Reason::late_at_call);
       continue;
     }
@@ -679,7 +682,7 @@
     } else if (type.without_share > 0) {
       drop_from(at_call_, op);
       join_core(now, *op);
-      server_.answer_without(op->id);
+      server_.answer_without_call(op->id);
     } else if (op->call_may_have_run) {
       give_up(*op, Reason::call_lost);
     }
@@ -687,34 +690,34 @@
 }
 
 // A call that takes longer is lost: its reply does not come, and it crowds nothing below.
-Nanos Choice::longest_call() const {
+Nanos DecisionModule::longest_call() const {
   return call_time_.total() >= enough ? 2 * call_tail * call_time_.quantile(slow_call) : first_call;
 }
-bool Choice::crowded_below() const {
+bool DecisionModule::crowded_below() const {
   return recent_calls_.total() >= enough &&
          static_cast<double>(recent_calls_.quantile(0.5)) > crowded_latency * static_cast<double>(call_base_);
 }
 
 // A few at once however small the share, as the budget guards the mean; but no more than its part while it is
 // cold: others may be as cold, and all of them begin together. Under one, by rests.
-double Choice::calls_at_most(Nanos now) const {
+double DecisionModule::calls_at_most(Nanos now) const {
   const double part = calls_most * call_share_;
   return warmth(now) < 1 ? part : std::max(few_calls, part);
 }
 
-double Choice::longest_rest() const {
+double DecisionModule::longest_rest() const {
   return std::min(static_cast<double>(first_rest), static_cast<double>(first_call) / call_limit_);
 }
 
 // Guards against calls that pile up below and slow each other, so that forty do less than three: only as many
 // are in hand as don't make the usual one take twice its time; where one by each server is too many, fewer by
 // rests between. The base follows what is slow by itself. Harms what is slow at any load and could do more.
-void Choice::steer_calls(Nanos now, Nanos lag) {
+void DecisionModule::steer_calls(Nanos now, Nanos lag) {
   // All servers feel it when what lies below stands still, and all come back: slowly, from little.
   if (lag > longest_call() && now - lag >= call_done_from_)
     call_limit_ = std::min(call_limit_, calls_least * call_share_);
   call_from_ = call_limit_ > 0 ? now + static_cast<Nanos>(static_cast<double>(lag) / call_limit_) - lag : 0;
-  recent_calls_.note(lag);
+  recent_calls_.record(lag);
   if (recent_calls_.total() < enough) return;
   const Nanos usual = recent_calls_.quantile(0.5);
   call_base_ = call_base_ == 0 ? usual : std::min(usual, call_base_ + call_base_ / base_rise);
@@ -732,7 +735,7 @@
 // against every server's filling its share meanwhile with calls that would end together later. One a second
 // asks whether it does: against a lost reply's keeping all calls back until its op is due. With it no more is
 // in hand than may be when all is well; under one at once, time-outs are short and rests follow.
-bool Choice::call_free(Nanos now) const {
+bool DecisionModule::call_free(Nanos now) const {
   if (call_share_ <= 0) return true;
   const Nanos lost = longest_call();
   int in_hand = 0;
@@ -751,20 +754,20 @@
 }
 
 // The time between the ends of calls with as many in hand as may be, and what those parked will take of it.
-Nanos Choice::call_step() const {
+Nanos DecisionModule::call_step() const {
   const auto usual = static_cast<double>(recent_calls_.quantile(0.5));
   return call_share_ > 0 ? static_cast<Nanos>(usual / call_limit_) : 0;
 }
-Nanos Choice::call_wait() const { return static_cast<Nanos>(at_call_.size()) * call_step(); }
+Nanos DecisionModule::call_wait() const { return static_cast<Nanos>(at_call_.size()) * call_step(); }
 
-void Choice::note_call(Nanos now, Outcome outcome, Nanos lag) {
+void DecisionModule::note_call(Nanos now, Outcome outcome, Nanos lag) {
   if (outcome == Outcome::done || outcome == Outcome::timed_out) steer_calls(now, lag);
   // A call is lost where one made after it has come back; else what lies below is slow, or stands still.
   const bool lost = outcome == Outcome::cut || (outcome == Outcome::timed_out && now - lag < call_done_from_);
   lost_calls_ += (lost - lost_calls_) * part_step / 4;
   if (outcome == Outcome::moot) return; // tells of the run, not of what lies below
   if (outcome == Outcome::done) {
-    call_time_.note(lag);
+    call_time_.record(lag);
     call_done_from_ = std::max(call_done_from_, now - lag);
     failures_in_row_ = 0;
     open_for_ = 0;
@@ -780,10 +783,10 @@
   trial_out_ = false;
 }
 
-void Choice::after_call(Nanos now, Op& op, Outcome outcome) {
+void DecisionModule::after_call(Nanos now, Op& op, Outcome outcome) {
   outcome == Outcome::timed_out ? lingering_.push_back(now + linger_) : calls_.change(now, -1);
   if (outcome == Outcome::done) return join_core(now, op);
-  if (types_[op.type.raw].repeats != Repeats::retryable && !proves_not_run(outcome))
+  if (types_[op.type.raw].repeats != RetryClass::retryable && !proves_not_run(outcome))
     op.call_may_have_run = true;
   if (op.answered) {
     op.stage = Stage::at_call;
@@ -796,7 +799,7 @@
 
 // ---- what callers are told
 
-Nanos Choice::stay_away() const {
+Nanos DecisionModule::retry_after() const {
   if (stalled_) return max_stay_away_;
   double line = 0;
   for (const Op* op : held_) line += static_cast<double>(core_time(*op));
@@ -805,7 +808,7 @@
 
 // So many callers of the same traffic would be as uneven as those that remember what they were told: few
 // carry most. Guards against sharing tokens among callers that forget before they come again.
-double Choice::alike_callers() const {
+double DecisionModule::alike_callers() const {
   double sum = 0, squares = 0;
   for (const auto& [id, caller] : by_caller_) {
     if (now_ - caller.last > heeded_) continue;
@@ -816,14 +819,14 @@
 }
 
 // Notes a caller's silence; of one not heard of lately, as if all that there are called in turn.
-void Choice::hear(Nanos now, CallerId id) {
+void DecisionModule::hear(Nanos now, CallerId id) {
   ++read_;
   if (by_caller_.size() >= most_callers && !by_caller_.contains(id)) return;
   const auto [at, unheard] = by_caller_.try_emplace(id);
   Caller& caller = at->second;
   const double turn = callers_ * static_cast<double>(now - born_) / read_;
-  silences_.note(unheard ? static_cast<Nanos>(std::min(turn, static_cast<double>(idle_)))
-                         : now - caller.last);
+  silences_.record(unheard ? static_cast<Nanos>(std::min(turn, static_cast<double>(idle_)))
+                           : now - caller.last);
   ++caller.ops;
   caller.last = now;
 }
@@ -832,7 +835,7 @@
 // idle, and against paying for a new one with every op. Each caller's silences tell how many connections
 // would be open and how many be made anew with any idle time: the cheapest is taken. It may harm where a new
 // connection costs far more, or an open one far less, than half of the told idle time makes it.
-void Choice::steer_idle() {
+void DecisionModule::steer_idle() {
   if (idle_ <= 0 || silences_.total() < enough) return;
   const auto cost = [&](Nanos kept) {
     return silences_.part_over(kept) * static_cast<double>(idle_ / connection_cost) +
@@ -848,10 +851,10 @@
     }
   if (least > (1 - idle_gain) * now_paid) return;
   idle_told_ = best;
-  server_.idle_close(best);
+  server_.set_idle_timeout(best);
 }
 
-void Choice::tell(Nanos now) {
+void DecisionModule::tell(Nanos now) {
   if (now - counted_from_ >= count_span) {
     const double counts = static_cast<double>(now - counted_from_) / static_cast<double>(count_span);
     const bool crowded =
@@ -885,14 +888,14 @@
   }
   if (std::abs(value - told_) <= told_change * std::max(value, told_)) return;
   told_ = value;
-  server_.tell_callers(value);
+  server_.notify_callers(value);
 }
 
 // ---- what happens
 
-void Choice::op_read(Nanos now, OpId id, OpTypeId type_id, TenantId tenant, KeyId key, CallerId caller,
-                     Nanos patience, Nanos waited, Nanos hint, double held_kb, double rank, bool again,
-                     OpId earlier, double worth) {
+void DecisionModule::op_read(Nanos now, OpId id, OpTypeId type_id, TenantId tenant, KeyId key,
+                             CallerId caller, Nanos patience, Nanos waited, Nanos hint, double held_kb,
+                             double rank, bool again, OpId earlier, double worth) {
   pass_to(now);
   if (type_id.raw >= types_.size()) throw std::invalid_argument("an op of an unknown op type");
   OpType& type = types_[type_id.raw];
@@ -914,7 +917,7 @@
   // Callers have few patiences, and first tries begin with one of them: another is what is left to a later
   // one, and tells how old it is. Guards against running what nobody can use any more.
   const Nanos left = patience + waited;
-  if (patience > 0 && type.patience.note(left) < usual_part && type.patience.total() >= enough) {
+  if (patience > 0 && type.patience.record(left) < usual_part && type.patience.total() >= enough) {
     op.first_seen =
         op.arrived + std::min<Nanos>(0, left - type.patience.next_over(left, usual_part, type.op_timeout));
     op.again = true;
@@ -932,33 +935,33 @@
   // Before the keys: a repeat that waits for its first takes memory too, and may not be nacked if that has
   // run.
   if (memory_with(0) > memory_part * memory_limit_)
-    return earlier != no_op ? give_up(op, Reason::memory) : turn_away(now, op, Reason::memory);
-  if (earlier != no_op && reuse_earlier(now, op)) return;
+    return earlier != no_op_id ? give_up(op, Reason::memory) : turn_away(now, op, Reason::memory);
+  if (earlier != no_op_id && reuse_earlier(now, op)) return;
   // A big op that is likelier than not to be late on these cores is better off on faster ones. Only first
   // tries are sent on, so that none is sent round, and only where further tries are told from them.
   if (marks_again_ && !again && hint > 0 && !winnable(op, now, sent_on_sureness) &&
-      now + run_time(op, sent_on_sureness) / faster_elsewhere <= win_by(op)) {
+      now + run_time(op, sent_on_sureness) / faster_elsewhere <= target_deadline(op)) {
     return turn_away(now, op, Reason::too_big);
   }
   admit(now, op);
 }
 
-void Choice::unbegun(Nanos now, OpId id, OpId earlier) {
+void DecisionModule::reuse_failed(Nanos now, OpId id, OpId earlier) {
   pass_to(now);
   const auto at = ops_.find(id);
   if (at == ops_.end() || at->second.stage != Stage::reusing) return;
   Op& op = at->second;
   op.earlier = earlier;
   op.stage = Stage::held;
-  if (earlier == no_op || !reuse_earlier(now, op)) admit(now, op);
+  if (earlier == no_op_id || !reuse_earlier(now, op)) admit(now, op);
 }
 
 // Nacks an op or puts it into the hold.
-void Choice::admit(Nanos now, Op& op) {
+void DecisionModule::admit(Nanos now, Op& op) {
   const OpType& type = types_[op.type.raw];
   if (drained_at_ >= 0 && now > serve_until_) return turn_away(now, op, Reason::leaving);
-  const bool shared = type.repeats == Repeats::retryable && fresh_for_ > 0 && op.key != no_key;
-  if (type.repeats == Repeats::keyed && !keep(now, op)) return turn_away(now, op, Reason::key_memory);
+  const bool shared = type.repeats == RetryClass::retryable && fresh_for_ > 0 && op.key != no_key_id;
+  if (type.repeats == RetryClass::keyed && !keep(now, op)) return turn_away(now, op, Reason::key_memory);
   if (shared && memory_with(key_kb_) < shared_part * memory_limit_) {
     keys_[op.id] = op.due + fresh_for_;
     op.kept = true;
@@ -968,7 +971,7 @@
   settle(now);
 }
 
-void Choice::op_gone(Nanos now, OpId id) {
+void DecisionModule::op_cancelled(Nanos now, OpId id) {
   pass_to(now);
   const auto at = ops_.find(id);
   if (at == ops_.end()) return;
@@ -978,7 +981,7 @@
   settle(now);
 }
 
-void Choice::run_ended(Nanos now, OpId id, Outcome outcome, Nanos lag) {
+void DecisionModule::run_ended(Nanos now, OpId id, Outcome outcome, Nanos lag) {
   pass_to(now);
   const auto at = ops_.find(id);
   if (at == ops_.end() || !at->second.when_ended) return;
@@ -988,7 +991,7 @@
   settle(now);
 }
 
-void Choice::call_wanted(Nanos now, OpId id) {
+void DecisionModule::call_wanted(Nanos now, OpId id) {
   pass_to(now);
   const auto at = ops_.find(id);
   if (at == ops_.end()) return;
@@ -1001,7 +1004,7 @@
   settle(now);
 }
 
-void Choice::call_ended(Nanos now, OpId id, Outcome outcome, Nanos lag) {
+void DecisionModule::call_ended(Nanos now, OpId id, Outcome outcome, Nanos lag) {
   pass_to(now);
   note_call(now, outcome, lag);
   const auto at = ops_.find(id);
@@ -1012,7 +1015,7 @@
   settle(now);
 }
 
-void Choice::woken(Nanos now, WakeId, std::span<const double> gauges) {
+void DecisionModule::woken(Nanos now, WakeId, std::span<const double> gauges) {
   pass_to(now);
   const auto read = [&](int gauge, double& into) {
     if (gauge >= 0 && static_cast<std::size_t>(gauge) < gauges.size())
@@ -1045,7 +1048,7 @@
   server_.wake_at(now + tick, WakeId{1});
 }
 
-void Choice::machine_up(Nanos now, Nanos since) {
+void DecisionModule::machine_up(Nanos now, Nanos since) {
   pass_to(now);
   born_ = now - since;
   progress_at_ = now;
@@ -1056,7 +1059,7 @@
 // The stored health turns bad at once. Ops are served for a shutdown delay that ends by the grace and early
 // enough for a run to end before the kill; all that was read is answered before it. Where the process stood
 // still the notice may have come at any time of that: against counting from when it was heard.
-void Choice::drain(Nanos now, Nanos until_kill) {
+void DecisionModule::drain(Nanos now, Nanos until_kill) {
   const Nanos noticed = now - now_ > stood_still ? now_ : now;
   pass_to(now);
   if (drained_at_ >= 0) return;
--- a/src/decision_module.hpp
+++ b/src/decision_module.hpp
@@ -1,5 +1,5 @@
-// The interface of the decisions. A `Choice`, one for each server, is told what happens by the calls of its
-// public part and acts through the `Server` that it was given. Times are those of the caller's clock.
+// The interface of the decisions. A `DecisionModule`, one for each server, is told what happens by the calls
+// of its public part and acts through the `Server` that it was given. Times are those of the caller's clock.
 #pragma once
 
 #include "histogram.hpp"
@@ -17,56 +17,56 @@
 
 // What a server on sockets does by itself now and then, or waits for.
 enum class Timing {
-  report,       // between reports to the list of servers
-  report_wait,  // for the reply to a report, before it is made anew
-  link_again,   // before the link to the machine is made anew
-  link_silent,  // nothing may be heard on the link where something is owed, before it is made anew
-  link_leave,   // for the answer that proves a link read before it is left for another address
-  leave_to_end, // between telling a caller that its connection takes no new op and closing it
-  silent_close, // a caller's connection may be silent, however it was left
-  first_word,   // a caller's connection may take for its first frame, or for the rest of one
-  unread,       // a caller may take nothing of what waits for it, before its connection ends
-  accept_again, // after a connection could not be accepted
-  settle_stray, // from an op's answer to asking how its run stands, if nothing was heard
+  report_interval,        // between reports to the list of servers
+  report_timeout,         // for the reply to a report, before it is made anew
+  link_reconnect_delay,   // before the link to the machine is made anew
+  link_silence_timeout,   // nothing may be heard on the link where something is owed, before it is made anew
+  link_handover_timeout,  // for the answer that proves a link read before it is left for another address
+  connection_drain_delay, // between telling a caller that its connection takes no new op and closing it
+  silent_connection_timeout, // a caller's connection may be silent, however it was left
+  frame_timeout,             // a caller's connection may take for its first frame, or for the rest of one
+  write_stall_timeout,       // a caller may take nothing of what waits for it, before its connection ends
+  accept_retry_delay,        // after a connection could not be accepted
+  orphan_query_delay,        // from an op's answer to asking how its run stands, if nothing was heard
 };
 
 // Whose connection goes where no more can be held; the longest silent first.
-enum class Eviction { mute, idle, newest };
+enum class Eviction { no_frame, idle, newest };
 
 // What a server can be told to do.
 class Server {
  public:
   virtual ~Server() = default;
   virtual void run(OpId op) = 0; // start a held op, or resume one that was halted
-  virtual void nack(OpId op, Reason why, bool no_retry, Nanos stay_away) = 0;
+  virtual void nack(OpId op, Reason why, bool no_retry, Nanos retry_after) = 0;
   virtual void fail(OpId op, Reason why) = 0; // a final answer that promises nothing
   virtual void call(OpId op, Nanos time_out) = 0;
-  virtual void answer_without(OpId op) = 0; // go on without the call
+  virtual void answer_without_call(OpId op) = 0; // go on without the call
   virtual void keep_key(OpId op, Nanos lifetime) = 0;
   virtual void forget_key(OpId op) = 0;
   virtual void reuse(OpId op) = 0; // answer with the result of the op that it repeats
   virtual void halt(OpId op) = 0;
   virtual void health(bool good, bool from_store) = 0;
-  virtual void tell_callers(double value) = 0;
-  virtual void idle_close(Nanos after) = 0; // 0: as the site has it
+  virtual void notify_callers(double value) = 0;
+  virtual void set_idle_timeout(Nanos after) = 0; // 0: as the site has it
   virtual void wake_at(Nanos at, WakeId name) = 0;
   virtual void log(std::string_view words) = 0;
   // Only for servers on sockets.
-  virtual void timing(Timing, Nanos) {}
-  virtual void when_full(std::span<const Eviction> /*order*/, int /*penalties*/) {
-  }                                // penalties: for ops no caller sends
+  virtual void set_timing(Timing, Nanos) {}
+  virtual void set_eviction_order(std::span<const Eviction> /*order*/, int /*max_invalid_ops*/) {
+  }                                // max_invalid_ops: of ops no caller sends
   virtual void stop_accepting() {} // no new ops on any connection, and no new connections
 };
 
 // The figures that a decision on one op rests on; spans in ns.
-struct Figures {
-  Nanos run_time = 0;  // believed of the run, calls included
-  Nanos core_time = 0; // the same without calls
-  Nanos win_by = 0;    // latest end for its worth, from now
-  Nanos due = 0;       // latest answer, from now
-  double density = 0;  // importance for its work, in units of the module
-  std::size_t held = 0;
-  Nanos line = 0; // work of the held, over the cap
+struct DecisionInputs {
+  Nanos run_time = 0;        // believed of the run, calls included
+  Nanos core_time = 0;       // the same without calls
+  Nanos target_deadline = 0; // latest end for its worth, from now
+  Nanos due = 0;             // latest answer, from now
+  double value_density = 0;  // importance for its work, in units of the module
+  std::size_t queued = 0;
+  Nanos backlog = 0; // work of the held, over the cap
   int on_core = 0;
   int running = 0;
   double cap = 0;
@@ -80,25 +80,25 @@
   bool breaker_open = false;
   bool stalled = false;
   bool leaving = false;
-  double nacked_part = 0; // of the last ops read
-  double openness = 0;    // told to callers
+  double nacked_part = 0;     // of the last ops read
+  double admission_level = 0; // told to callers
 };
 
-class Choice {
+class DecisionModule {
  public:
   // Throws std::invalid_argument with the name of a setting that is missing or senseless.
-  Choice(Nanos now, std::uint64_t seed, const Given& given, Server& server);
-  Choice(const Choice&) = delete;
-  Choice& operator=(const Choice&) = delete;
+  DecisionModule(Nanos now, std::uint64_t seed, const Settings& given, Server& server);
+  DecisionModule(const DecisionModule&) = delete;
+  DecisionModule& operator=(const DecisionModule&) = delete;
 
-  // An op has been read. Absent: 0 for spans, hint and `earlier`, `no_key` for the key. `worth` is a factor
-  // of what it counts for beside others.
+  // An op has been read. Absent: 0 for spans, hint and `earlier`, `no_key_id` for the key. `worth` is a
+  // factor of what it counts for beside others.
   void op_read(Nanos now, OpId id, OpTypeId type, TenantId tenant, KeyId key, CallerId caller, Nanos patience,
                Nanos waited, Nanos hint, double held_kb, double rank, bool again, OpId earlier,
                double worth = 1);
   // What an op was to reuse was never begun; `earlier` is what it repeats now.
-  void unbegun(Nanos now, OpId id, OpId earlier);
-  void op_gone(Nanos now, OpId id); // nobody waits for its answer any more
+  void reuse_failed(Nanos now, OpId id, OpId earlier);
+  void op_cancelled(Nanos now, OpId id); // nobody waits for its answer any more
   void run_ended(Nanos now, OpId id, Outcome outcome, Nanos lag);
   void call_wanted(Nanos now, OpId id);
   void call_ended(Nanos now, OpId id, Outcome outcome, Nanos lag);
@@ -108,11 +108,11 @@
 
   // What is believed at this moment of an op that stands here, for those who ask why (explain.cpp); false if
   // there is no such op. Changes nothing.
-  bool explain(Nanos now, OpId id, Figures& into) const;
-  // Hands all that is remembered to `keeper` (serializer.hpp), which writes it or fills it in: an object so
-  // filled, made with the same settings, decides like the one that was written.
-  template <class Keeper>
-  void remember(Keeper& keeper);
+  bool explain(Nanos now, OpId id, DecisionInputs& into) const;
+  // Hands all that is remembered to `serializer` (serializer.hpp), which writes it or fills it in: an object
+  // so filled, made with the same settings, decides like the one that was written.
+  template <class Serializer>
+  void serialize(Serializer& serializer);
 
  private:
   struct Tenant {
@@ -131,9 +131,9 @@
   Nanos core_time(const Op& op) const;
   double work_on_core() const;
   Nanos run_time(const Op& op, double sureness) const;
-  Nanos win_by(const Op& op) const;
+  Nanos target_deadline(const Op& op) const;
   bool winnable(const Op& op, Nanos start, double sureness) const;
-  double density(const Op& op) const;
+  double value_density(const Op& op) const;
   void plan(Nanos now);
   void settle(Nanos now);
   int returning() const;
@@ -178,7 +178,7 @@
   void steer_idle();
   double alike_callers() const;
   void tell(Nanos now);
-  Nanos stay_away() const;
+  Nanos retry_after() const;
 
   Server& server_;
   Pcg chance_;
--- a/src/digest.cpp
+++ b/src/digest.cpp
@@ -19,9 +19,9 @@
   return both;
 }
 
-Concealer::Concealer() { randombytes_buf(key_.data(), key_.size()); }
+Pseudonymizer::Pseudonymizer() { randombytes_buf(key_.data(), key_.size()); }
 
-std::string Concealer::operator()(std::string_view word) const {
+std::string Pseudonymizer::operator()(std::string_view word) const {
   static_assert(crypto_auth_hmacsha256_KEYBYTES == 32);
   constexpr std::size_t kept = 16;
   std::array<unsigned char, crypto_auth_hmacsha256_BYTES> out;
--- a/src/digest.hpp
+++ b/src/digest.hpp
@@ -20,11 +20,11 @@
 
 // Names that nobody can take back, the same for the same word: HMAC-SHA-256 (libsodium), cut to 128 bits, in
 // hex.
-class Concealer {
+class Pseudonymizer {
   std::array<unsigned char, 32> key_{};
 
  public:
-  Concealer(); // with a key of the system's chance, forgotten with the object
+  Pseudonymizer(); // with a key of the system's chance, forgotten with the object
   std::string operator()(std::string_view word) const;
 };
 
--- a/src/explain.cpp
+++ b/src/explain.cpp
@@ -6,7 +6,7 @@
 constexpr double planned_for = 0.7; // part of runs that take no longer than told here, as plans have it
 }
 
-bool Choice::explain(Nanos now, OpId id, Figures& into) const {
+bool DecisionModule::explain(Nanos now, OpId id, DecisionInputs& into) const {
   const auto at = ops_.find(id);
   if (at == ops_.end()) return false;
   const Op& op = at->second;
@@ -14,11 +14,11 @@
   for (const Op* held : held_) line += static_cast<double>(core_time(*held));
   into = {.run_time = run_time(op, planned_for),
           .core_time = core_time(op),
-          .win_by = win_by(op) - now,
+          .target_deadline = target_deadline(op) - now,
           .due = op.due - now,
-          .density = density(op),
-          .held = held_.size(),
-          .line = static_cast<Nanos>(line / cap_),
+          .value_density = value_density(op),
+          .queued = held_.size(),
+          .backlog = static_cast<Nanos>(line / cap_),
           .on_core = on_core_,
           .running = running_,
           .cap = cap_,
@@ -33,7 +33,7 @@
           .stalled = stalled_,
           .leaving = drained_at_ >= 0,
           .nacked_part = nacked_part_,
-          .openness = openness_};
+          .admission_level = openness_};
   return true;
 }
 
--- a/src/histogram.hpp
+++ b/src/histogram.hpp
@@ -38,13 +38,13 @@
  public:
   explicit Histogram(float most) : most_(most) {}
 
-  template <class Keeper>
-  void remember(Keeper& keeper) {
-    keeper(count_, total_, most_);
+  template <class Serializer>
+  void serialize(Serializer& serializer) {
+    serializer(count_, total_, most_);
     mean_known_ = false;
   }
 
-  void note(Nanos span) {
+  void record(Nanos span) {
     mean_known_ = false;
     count_[bin_of(span)] += 1;
     total_ += 1;
@@ -97,13 +97,13 @@
  public:
   explicit Usual(float most) : most_(most) {}
 
-  template <class Keeper>
-  void remember(Keeper& keeper) {
-    keeper(span_, count_, total_, most_);
+  template <class Serializer>
+  void serialize(Serializer& serializer) {
+    serializer(span_, count_, total_, most_);
   }
 
   // Notes a span; the part of those noted lately that came within a 64th of it.
-  float note(Nanos span) {
+  float record(Nanos span) {
     const auto near = [&](int i) { return count_[i] > 0 && std::abs(span_[i] - span) <= span / 64; };
     int at = 0;
     while (at < kept && !near(at)) ++at;
@@ -138,12 +138,12 @@
  public:
   explicit Slope(double step) : step_(step) {}
 
-  template <class Keeper>
-  void remember(Keeper& keeper) {
-    keeper(step_, x_, y_, xx_, xy_, seen_);
+  template <class Serializer>
+  void serialize(Serializer& serializer) {
+    serializer(step_, x_, y_, xx_, xy_, seen_);
   }
 
-  void note(double x, double y) {
+  void record(double x, double y) {
     const double lx = std::log(x), ly = std::log(y), by = std::max(step_, 1 / ++seen_);
     const double dx = lx - x_, dy = ly - y_;
     x_ += by * dx;
@@ -174,10 +174,10 @@
   WindowMean(Nanos window, Nanos now)
       : slice_(std::max<Nanos>(1, window / (slices - 1))), begin_(now), at_(now) {}
 
-  template <class Keeper>
-  void remember(Keeper& keeper) {
-    keeper(area_, slice_, begin_, at_, index_, count_, assumed_until_, assumed_);
-    if (Keeper::reads && (slice_ <= 0 || index_ < 0 || begin_ > at_))
+  template <class Serializer>
+  void serialize(Serializer& serializer) {
+    serializer(area_, slice_, begin_, at_, index_, count_, assumed_until_, assumed_);
+    if (Serializer::reads && (slice_ <= 0 || index_ < 0 || begin_ > at_))
       throw std::invalid_argument("snapshot: a window that can't be");
   }
 
--- a/src/ids.hpp
+++ b/src/ids.hpp
@@ -24,7 +24,7 @@
 using ConnectionId = Id<struct ConnectionIdTag, std::uint64_t>; // of a caller's; never given again
 using StreamId = Id<struct StreamIdTag, std::uint32_t>;         // of an op on its connection
 
-constexpr OpId no_op{0};
-constexpr KeyId no_key{-1};
+constexpr OpId no_op_id{0};
+constexpr KeyId no_key_id{-1};
 
 } // namespace cometshift
--- a/src/pcg.hpp
+++ b/src/pcg.hpp
@@ -19,9 +19,9 @@
     return (mixed >> turn) | (mixed << ((32 - turn) & 31));
   }
 
-  template <class Keeper>
-  void remember(Keeper& keeper) {
-    keeper(state_);
+  template <class Serializer>
+  void serialize(Serializer& serializer) {
+    serializer(state_);
   }
 
   double unit() { return next() * 0x1p-32; } // 0 <= unit < 1
--- a/src/reason.hpp
+++ b/src/reason.hpp
@@ -62,7 +62,7 @@
     ReasonWord{Reason::first_failed, "first-failed"},
     ReasonWord{Reason::ceiling, "ceiling"},
 };
-constexpr std::string_view word_of(Reason why) {
+constexpr std::string_view to_text(Reason why) {
   for (const ReasonWord& one : reason_words)
     if (one.why == why) return one.word;
   return "unknown";
--- a/src/serializer.hpp
+++ b/src/serializer.hpp
@@ -1,5 +1,5 @@
 // What is remembered, to bytes and back: for snapshots from which a recording can be replayed. One text names
-// the members of an object (`remember(keeper)`), and a Writer or a Reader is handed over it.
+// the members of an object (`serialize(serializer)`), and a Writer or a Reader is handed over it.
 //
 // Whole numbers are written as zigzag varints, fractions as their eight bytes, texts and lists with their
 // length before them. Errors: a Reader throws std::invalid_argument where the bytes end early or name what
@@ -31,7 +31,7 @@
 
 // What both ways share: which parts a thing has.
 template <class Self>
-class Keeper {
+class Serializer {
   Self& self() { return static_cast<Self&>(*this); }
 
  public:
@@ -46,7 +46,7 @@
     else if constexpr (std::is_integral_v<T>)
       self().whole(thing);
     else
-      thing.remember(self());
+      thing.serialize(self());
   }
   void operator()(std::string& bytes) { self().bytes(bytes); }
   template <class T, std::size_t N>
@@ -87,7 +87,7 @@
   }
 };
 
-class Writer : public Keeper<Writer> {
+class Writer : public Serializer<Writer> {
   std::string& out_;
   std::function<std::string(std::string_view)> conceal_, token_;
 
@@ -141,7 +141,7 @@
   }
 };
 
-class Reader : public Keeper<Reader> {
+class Reader : public Serializer<Reader> {
   std::string_view left_;
 
   [[noreturn]] static void bad(const char* why) {
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -37,7 +37,7 @@
   return std::string(word);
 }
 
-void put(Given& given, const element& at, const std::string& key, const std::string& ours, Kind kind) {
+void put(Settings& given, const element& at, const std::string& key, const std::string& ours, Kind kind) {
   if (at.is_null()) return;
   bool flag = false;
   double value = 0;
@@ -61,7 +61,7 @@
     return;
   }
 }
-void take_all(Given& given, const object& from, const std::string& path, const std::string& before,
+void take_all(Settings& given, const object& from, const std::string& path, const std::string& before,
               Names names) {
   for (const Name& name : names)
     if (element at; from[name.wire].get(at) == simdjson::SUCCESS)
@@ -92,8 +92,8 @@
 
 } // namespace
 
-Given given_by(const object& settings, const std::string& path) {
-  Given given;
+Settings parse_settings(const object& settings, const std::string& path) {
+  Settings given;
   const auto values = [&](const char* name, Names names) {
     take_part(settings, name, path, [&](const object& part, const std::string& inside) {
       take_all(given, part, inside, "", names);
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -10,6 +10,6 @@
 
 // Throws std::invalid_argument naming a key whose value is of the wrong kind or senseless, with `path`, which
 // ends in a dot or is empty, before it. Absent keys stay out, unknown ones are ignored.
-Given given_by(const simdjson::dom::object& settings, const std::string& path = {});
+Settings parse_settings(const simdjson::dom::object& settings, const std::string& path = {});
 
 } // namespace cometshift
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -22,35 +22,35 @@
 }
 
 // What was given at the start: names to values, lists spelt out as "op_type.0.target_latency_ns".
-using Given = std::map<std::string, std::variant<double, std::string>, std::less<>>;
+using Settings = std::map<std::string, std::variant<double, std::string>, std::less<>>;
 
-inline double number(const Given& given, std::string_view name, double otherwise) {
+inline double number(const Settings& given, std::string_view name, double otherwise) {
   const auto at = given.find(name);
   if (at == given.end()) return otherwise;
   if (const double* value = std::get_if<double>(&at->second)) return *value;
   throw std::invalid_argument("setting " + std::string(name) + " is not a number");
 }
 // For what there is no doing without: the complaint names it.
-inline double needed(const Given& given, std::string_view name, double least) {
+inline double required_number(const Settings& given, std::string_view name, double least) {
   if (!given.contains(name)) throw std::invalid_argument("setting " + std::string(name) + " is missing");
   const double value = number(given, name, 0);
   if (!(value >= least)) throw std::invalid_argument("setting " + std::string(name) + " is senseless");
   return value;
 }
-inline Nanos span(const Given& given, std::string_view name) {
-  return static_cast<Nanos>(needed(given, name, 0));
+inline Nanos span(const Settings& given, std::string_view name) {
+  return static_cast<Nanos>(required_number(given, name, 0));
 }
-inline Nanos span(const Given& given, std::string_view name, double otherwise) {
+inline Nanos span(const Settings& given, std::string_view name, double otherwise) {
   return given.contains(name) ? span(given, name) : static_cast<Nanos>(otherwise);
 }
-inline std::string text(const Given& given, std::string_view name, std::string_view otherwise) {
+inline std::string text(const Settings& given, std::string_view name, std::string_view otherwise) {
   const auto at = given.find(name);
   if (at == given.end()) return std::string(otherwise);
   if (const std::string* value = std::get_if<std::string>(&at->second)) return *value;
   throw std::invalid_argument("setting " + std::string(name) + " is not a text");
 }
 
-enum class Repeats { retryable, keyed, non_retryable };
+enum class RetryClass { retryable, keyed, non_retryable };
 
 struct OpType {
   Nanos target_latency = 0;
@@ -61,7 +61,7 @@
   double without_share = 0; // of the importance, for an answer without the call
   double target_stretch = 0;
   bool may_call = false;
-  Repeats repeats = Repeats::retryable;
+  RetryClass repeats = RetryClass::retryable;
   Histogram run_time;  // from start to end, calls included
   Histogram core_time; // the same without the calls
   Histogram recent;    // core time of late
@@ -79,7 +79,7 @@
   OpTypeId type;
   TenantId tenant;
   OpId earlier;           // the kept op that this one repeats
-  KeyId key = no_key;     // what it reads
+  KeyId key = no_key_id;  // what it reads
   Nanos arrived = 0;      // at the machine
   Nanos first_seen = 0;   // when its first try is thought to have begun
   Nanos due = 0;          // it must be answered by then
--- a/tests/announce.cpp
+++ b/tests/announce.cpp
@@ -5,22 +5,22 @@
 
 int main() {
   asio::io_context io;
-  Announce announce(io, Peer::at(2379), "n3");
+  Announce announce(io, TestConnection::at(2379), "n3");
   announce.report_every(5 * ms);
   announce.wait_for_reply(500 * ms);
-  Peer::turn = [&] {
+  TestConnection::turn = [&] {
     io.restart();
     io.poll();
   };
   const auto say = [](const char* what) { std::printf("# %s\n", what); };
-  const auto heard = [](Peer& peer) { std::printf("> %s\n", peer.request({}).c_str()); };
+  const auto heard = [](TestConnection& peer) { std::printf("> %s\n", peer.request({}).c_str()); };
   const std::string ok = "HTTP/1.1 204 No Content\r\n\r\n";
 
   say("the service is down at first; reports go on, and are seen once it is up");
   announce.accepting(true);
-  Peer::turn();
-  Peer service = Peer::listening(2379);
-  Peer at = service.next();
+  TestConnection::turn();
+  TestConnection service = TestConnection::listening(2379);
+  TestConnection at = service.next();
   heard(at);
   at.say(ok);
   say("again and again on the same connection");
@@ -61,19 +61,19 @@
   announce.wait_for_reply(ms);
   at.say(ok);
   heard(at);
-  Peer next = service.next();
+  TestConnection next = service.next();
   heard(next);
 
   say("silent from then on, with the connection open: a report by each new one; once it speaks again, by "
       "that");
   announce.wait_for_reply(20 * ms);
   for (int i = 0; i < 3; ++i) {
-    Peer one = service.next();
+    TestConnection one = service.next();
     heard(one);
     next = std::move(one);
   }
   announce.wait_for_reply(60'000 * ms);
-  Peer last = service.next();
+  TestConnection last = service.next();
   heard(last);
   last.say(ok);
   heard(last);
--- a/tests/clock.cpp
+++ b/tests/clock.cpp
@@ -13,7 +13,7 @@
     const Nanos again = clock.now([&] { return system; });
     std::printf("  %-28s %lld ms, asked again %lld ms; an op's door at the system's time %lld ms\n", what,
                 static_cast<long long>(at / ms), static_cast<long long>(again / ms),
-                static_cast<long long>(clock.of(system) / ms));
+                static_cast<long long>(clock.from_system(system) / ms));
   };
   turn("at first");
   system += 9 * ms, turn("ten later");
@@ -34,7 +34,8 @@
     of_server.next_turn();
     const Nanos now = of_server.now([&] { return there; });
     s.pass(std::max<Nanos>(0, now - s.now));
-    s.came(id, 1, "m" + std::to_string(id / 2), "body", 2 * second, s.now - of_server.of(there - 5 * ms));
+    s.came(id, 1, "m" + std::to_string(id / 2), "body", 2 * second,
+           s.now - of_server.from_system(there - 5 * ms));
   }
   s.pass(second);
   std::printf("  answers %llu\n", static_cast<unsigned long long>(s.answers));
--- a/tests/configuration.cpp
+++ b/tests/configuration.cpp
@@ -13,7 +13,7 @@
 
 void tell(const std::string& what, const std::string& json) {
   try {
-    const Given given = configuration_in(json);
+    const Settings given = parse_configuration(json);
     std::printf("%s: read\n", what.c_str());
     if (json != whole) return;
     for (const auto& [name, value] : given)
--- a/tests/control_directory.cpp
+++ b/tests/control_directory.cpp
@@ -16,14 +16,14 @@
 constexpr Nanos ms = 1'000'000;
 constexpr Nanos second = 1000 * ms;
 
-Given figures(double members) {
+Settings figures(double members) {
   return {{"control.beat", 500e6}, {"control.silent", 1600e6},   {"control.forget", 5e9},
           {"control.answer", 3e8}, {"control.most_part", 400.0}, {"control.most_members", members}};
 }
 MemberRecord record(unsigned member, std::uint64_t life, std::uint64_t attached, const char* zone = "a") {
   return {MemberId{member},
           Incarnation{life},
-          FollowNo{attached},
+          AttachmentNumber{attached},
           "10.0.0." + std::to_string(member),
           zone,
           5,
@@ -32,7 +32,7 @@
 }
 void say(const char* what) { std::printf("# %s\n", what); }
 
-struct Printed final : DirectoryOrders {
+struct Printed final : DirectoryActions {
   bool quiet = false;
   void part(MemberId to, PartNo from, PartNo upto, PartNo last, std::uint64_t,
             const std::vector<const MemberRecord*>& records) override {
@@ -40,7 +40,7 @@
     std::printf("  to %u part %llu to %llu of %llu:", to.raw, static_cast<unsigned long long>(from.raw),
                 static_cast<unsigned long long>(upto.raw), static_cast<unsigned long long>(last.raw));
     for (const MemberRecord* one : records)
-      std::printf(" %u %s", one->member.raw, std::string(word_of(one->presence)).c_str());
+      std::printf(" %u %s", one->member.raw, std::string(to_text(one->presence)).c_str());
     std::printf("\n");
   }
   void have(MemberId to, Incarnation, PartNo upto) override {
@@ -48,10 +48,10 @@
   }
   void news(const MemberRecord& m, Presence before) override {
     std::printf("  news of %u/%llu: %s, was %s\n", m.member.raw,
-                static_cast<unsigned long long>(m.incarnation.raw), std::string(word_of(m.presence)).c_str(),
-                std::string(word_of(before)).c_str());
+                static_cast<unsigned long long>(m.incarnation.raw), std::string(to_text(m.presence)).c_str(),
+                std::string(to_text(before)).c_str());
   }
-  void doubled(MemberId member) override { std::printf("  %u lives twice\n", member.raw); }
+  void duplicate_member(MemberId member) override { std::printf("  %u lives twice\n", member.raw); }
 };
 
 struct Driver {
@@ -112,7 +112,7 @@
     s.out.quiet = true;
     s.directory.attached(0, record(20, 1, 5));
     s.part({}, PartNo{2}, PartNo{2},
-           {told(record(20, 1, 4), Presence::silent, 1), told(record(21, 1, 1), Presence::well, 2)});
+           {told(record(20, 1, 4), Presence::unresponsive, 1), told(record(21, 1, 1), Presence::alive, 2)});
     s.directory.detached(0, MemberId{20}, Incarnation{1});
     s.directory.attached(0, record(22, 1, 1));
     s.directory.attached(0, record(23, 1, 1));
@@ -124,11 +124,11 @@
         "whole");
     Driver s;
     s.out.quiet = true;
-    s.part({}, PartNo{1}, PartNo{1}, {told(record(20, 1, 1), Presence::well, 1)});
-    s.part(PartNo{2}, PartNo{3}, PartNo{3}, {told(record(21, 1, 1), Presence::well, 3)});
-    s.part({}, PartNo{1}, PartNo{2}, {told(record(21, 1, 2), Presence::well, 1)}, 23);
-    s.part(PartNo{1}, PartNo{2}, PartNo{2}, {told(record(22, 1, 2), Presence::well, 2)}, 23);
-    s.part({}, PartNo{1}, PartNo{1}, {told(record(20, 1, 1), Presence::well, 1)}); // of the life before
+    s.part({}, PartNo{1}, PartNo{1}, {told(record(20, 1, 1), Presence::alive, 1)});
+    s.part(PartNo{2}, PartNo{3}, PartNo{3}, {told(record(21, 1, 1), Presence::alive, 3)});
+    s.part({}, PartNo{1}, PartNo{2}, {told(record(21, 1, 2), Presence::alive, 1)}, 23);
+    s.part(PartNo{1}, PartNo{2}, PartNo{2}, {told(record(22, 1, 2), Presence::alive, 2)}, 23);
+    s.part({}, PartNo{1}, PartNo{1}, {told(record(20, 1, 1), Presence::alive, 1)}); // of the life before
     say("its owner is silent: so are they; forgotten later");
     s.to(1700);
     s.to(5100);
@@ -141,7 +141,7 @@
     s.directory.attached(0, record(20, 1, 5));
     s.directory.attached(0, record(20, 2, 6));
     s.directory.heard(2 * second, MemberId{20}, Incarnation{1});
-    s.part({}, PartNo{1}, PartNo{1}, {told(record(21, 1, 1), Presence::well, 1)});
+    s.part({}, PartNo{1}, PartNo{1}, {told(record(21, 1, 1), Presence::alive, 1)});
     s.directory.attached(0, record(21, 2, 2));
     for (Nanos t = 500; t <= 4000; t += 500) {
       s.to(t);
@@ -155,7 +155,7 @@
 // ---- several of them
 
 class World {
-  struct Owner final : DirectoryOrders {
+  struct Owner final : DirectoryActions {
     World& world;
     MemberId id;
     std::uint64_t lives = 0;
@@ -174,12 +174,12 @@
       world.send(to, [=, from_id = id](Directory& at, Nanos now) { at.have(now, from_id, owner, upto); });
     }
     void news(const MemberRecord&, Presence) override {}
-    void doubled(MemberId) override { ++world.doubled; }
+    void duplicate_member(MemberId) override { ++world.duplicate_member; }
   };
   struct Line {
     std::size_t owner = 0;
     std::uint64_t life = 0; // of the owner that knows of it
-    FollowNo number{};
+    AttachmentNumber number{};
   };
   struct Member {
     std::uint64_t lives = 1;
@@ -201,7 +201,7 @@
   static constexpr Nanos quiet = 12 * second, length = 22 * second;
 
  public:
-  std::uint64_t doubled = 0, begun_anew = 0, repeats = 0;
+  std::uint64_t duplicate_member = 0, begun_anew = 0, repeats = 0;
 
   explicit World(std::uint64_t seed) : chance_(seed), harsh_(seed % 2 == 1), members_(20 + seed % 30) {
     for (unsigned o = 1; o <= 3 + seed % 4; ++o)
@@ -222,7 +222,7 @@
       repeats += owner->directory->counts().repeats;
       std::map<std::string, Directory::Zone, std::less<>> zones;
       owner->directory->list({}, [&](const MemberRecord& one) {
-        ++(one.presence == Presence::well   ? zones[one.zone].well
+        ++(one.presence == Presence::alive  ? zones[one.zone].well
            : one.presence == Presence::left ? zones[one.zone].left
                                             : zones[one.zone].silent);
         return true;
@@ -233,12 +233,12 @@
         const MemberRecord* const seen = owner->directory->find(MemberId{100 + m});
         const std::string who = std::to_string(owner->id.raw) + " of " + std::to_string(100 + m);
         if (!member.up && seen) return who + ": remembered, though it is gone for long";
-        if (member.up && (!seen || seen->presence != Presence::well)) return who + ": not well";
+        if (member.up && (!seen || seen->presence != Presence::alive)) return who + ": not well";
         if (member.up && seen->incarnation.raw != member.lives) return who + ": another life";
       }
     }
     // Where words come later than a silence lasts, some may seem so.
-    return doubled > 0 && !harsh_ ? "doubled, and none was" : "";
+    return duplicate_member > 0 && !harsh_ ? "doubled, and none was" : "";
   }
 
  private:
@@ -264,7 +264,7 @@
   void attach(Member& member, Line& line) {
     Owner& owner = *owners_[line.owner];
     line.life = owner.lives;
-    line.number = FollowNo{++numbers_};
+    line.number = AttachmentNumber{++numbers_};
     MemberRecord made = record(100 + static_cast<unsigned>(&member - members_.data()), member.lives,
                                line.number.raw, &member - members_.data() < 10 ? "a" : "b");
     owner.directory->attached(now_, made);
@@ -318,14 +318,14 @@
 };
 
 int many(std::uint64_t seeds, bool stop) {
-  std::uint64_t wrong = 0, begun_anew = 0, repeats = 0, doubled = 0;
+  std::uint64_t wrong = 0, begun_anew = 0, repeats = 0, duplicate_member = 0;
   std::string first;
   for (std::uint64_t seed = 1; seed <= seeds && !(stop && wrong > 0); ++seed) {
     World world(seed);
     const std::string what = world.play();
     begun_anew += world.begun_anew;
     repeats += world.repeats;
-    doubled += world.doubled;
+    duplicate_member += world.duplicate_member;
     if (what.empty()) continue;
     if (wrong++ == 0) first = "seed " + std::to_string(seed) + ", " + what;
   }
@@ -333,12 +333,12 @@
               "doubled %llu times\n",
               static_cast<unsigned long long>(seeds), static_cast<unsigned long long>(wrong),
               static_cast<unsigned long long>(repeats), static_cast<unsigned long long>(begun_anew),
-              static_cast<unsigned long long>(doubled));
+              static_cast<unsigned long long>(duplicate_member));
   if (!first.empty()) std::printf("  first: %s\n", first.c_str());
   return wrong > 0 ? 1 : 0;
 }
 
-struct Silent final : DirectoryOrders {
+struct Silent final : DirectoryActions {
   std::size_t records = 0;
   void part(MemberId, PartNo, PartNo, PartNo, std::uint64_t,
             const std::vector<const MemberRecord*>& all) override {
@@ -346,13 +346,13 @@
   }
   void have(MemberId, Incarnation, PartNo) override {}
   void news(const MemberRecord&, Presence) override {}
-  void doubled(MemberId) override {}
+  void duplicate_member(MemberId) override {}
 };
 int cost() {
   std::printf("  looked at and told for a member's change, of 100 to 10,000:");
   bool flat = true;
   for (const unsigned all : {100u, 300u, 1000u, 3000u, 10000u}) {
-    Given given = figures(all);
+    Settings given = figures(all);
     given["control.most_part"] = 1e7;
     Silent out;
     Directory directory(0, MemberId{1}, Incarnation{1}, {MemberId{2}}, given, out);
@@ -360,11 +360,11 @@
     directory.part(0, MemberId{2}, Incarnation{2}, {}, {}, {}, 0, {});
     directory.due(0);
     directory.have(0, MemberId{2}, Incarnation{1}, PartNo{all});
-    const std::uint64_t before = directory.counts().looked_at;
+    const std::uint64_t before = directory.counts().visited;
     out.records = 0;
     directory.attached(0, record(100, 2, 2));
     directory.due(0);
-    const std::uint64_t looked = directory.counts().looked_at - before;
+    const std::uint64_t looked = directory.counts().visited - before;
     std::printf(" %llu/%zu", static_cast<unsigned long long>(looked), out.records);
     flat = flat && looked < 5 && out.records == 1;
   }
--- a/tests/control_entries.cpp
+++ b/tests/control_entries.cpp
@@ -15,7 +15,7 @@
   entry.deleted = true;
   return entry;
 }
-Given figures(double entries = 4, double deleted = 2) {
+Settings figures(double entries = 4, double deleted = 2) {
   return {{"control.most_entries", entries},
           {"control.most_bytes", 60.0},
           {"control.most_key", 12.0},
@@ -41,7 +41,7 @@
   std::printf("\n");
 }
 void taken(Entries& e, const Entry& entry) {
-  const std::string why(e.why_not(entry));
+  const std::string why(e.rejection_reason(entry));
   std::printf("  %s: %s%s%s\n", entry.key.c_str(), e.take(entry) ? "taken" : "not taken",
               why.empty() ? "" : ", ", why.c_str());
 }
@@ -93,7 +93,7 @@
   taken(e, made("a/a", "1", 8, 1));
   for (const std::string& scope : e.scopes()) {
     std::printf("  '%s':", scope.c_str());
-    e.in(scope, [](const Entry& one) { return std::printf(" %s", one.key.c_str()) > 0; });
+    e.for_each_in(scope, [](const Entry& one) { return std::printf(" %s", one.key.c_str()) > 0; });
     std::printf("\n");
   }
   say("digests: equal where the same is held, whatever came before and in which order; deletions play no "
@@ -110,7 +110,7 @@
   show(one);
   say("no bound, no table");
   for (const char* name : {"control.most_entries", "control.most_deleted"}) {
-    Given less = figures();
+    Settings less = figures();
     less.erase(name);
     try {
       Entries none(less);
--- a/tests/control_feed.cpp
+++ b/tests/control_feed.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-Given figures() {
+Settings figures() {
   return {{"control.beat", 1e9},           {"control.silent", 3e9},         {"control.answer", 1e9},
           {"control.most_part", 400.0},    {"control.rate", 1000.0},        {"control.burst", 1000.0},
           {"control.total_rate", 1e5},     {"control.total_burst", 1e5},    {"control.most_key", 40.0},
@@ -38,9 +38,9 @@
 }
 Entry gone(const char* key, std::uint64_t number) { return {key, "", v(number), MemberId{1}, true}; }
 
-struct PrintedFeed final : FeedOrders {
+struct PrintedFeed final : FeedActions {
   Nanos now = 0;
-  void line(MemberId to, FollowNo n, const std::string& what) const {
+  void line(MemberId to, AttachmentNumber n, const std::string& what) const {
     std::printf("  %5lld to %u/%llu %s\n", static_cast<long long>(now / ms), to.raw,
                 static_cast<unsigned long long>(n.raw), what.c_str());
   }
@@ -49,23 +49,24 @@
     for (const Entry* entry : entries) text += told(*entry);
     return text;
   }
-  void delta(MemberId to, Incarnation, FollowNo n, Version from, Version upto, Version last, Nanos,
+  void delta(MemberId to, Incarnation, AttachmentNumber n, Version from, Version upto, Version last, Nanos,
              const std::vector<const Entry*>& entries) override {
     line(to, n,
          "delta " + told(from) + " to " + told(upto) + (upto == last ? ", whole:" : ":") + list(entries));
   }
-  void renewal(MemberId to, Incarnation, FollowNo n, Version at, const std::vector<std::uint16_t>& scopes,
-               Version from, Version upto, Version, const std::vector<const Entry*>& entries) override {
+  void renewal(MemberId to, Incarnation, AttachmentNumber n, Version at,
+               const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version,
+               const std::vector<const Entry*>& entries) override {
     line(to, n,
          "renewal at " + told(at) + " of " + std::to_string(scopes.size()) + " scopes, " + told(from) +
              " to " + told(upto) + ":" + list(entries));
   }
-  void beat(MemberId to, Incarnation, FollowNo n, Version committed, Nanos age) override {
+  void beat(MemberId to, Incarnation, AttachmentNumber n, Version committed, Nanos age) override {
     line(to, n, "beat at " + told(committed) + ", " + std::to_string(age / ms) + " ms old");
   }
-  void rest(MemberId to, Incarnation, FollowNo n, Nanos) override { line(to, n, "rest"); }
-  void elsewhere(MemberId to, Incarnation, FollowNo n) override { line(to, n, "elsewhere"); }
-  void again(MemberId to, Incarnation, FollowNo n) override { line(to, n, "again"); }
+  void rest(MemberId to, Incarnation, AttachmentNumber n, Nanos) override { line(to, n, "rest"); }
+  void elsewhere(MemberId to, Incarnation, AttachmentNumber n) override { line(to, n, "elsewhere"); }
+  void again(MemberId to, Incarnation, AttachmentNumber n) override { line(to, n, "again"); }
 };
 
 struct FeedDriver {
@@ -84,14 +85,14 @@
     out.now = time * ms;
     feed.due(out.now);
   }
-  void follow(unsigned from, std::uint64_t number, Version at, std::vector<ScopeHeld> scopes,
+  void follow(unsigned from, std::uint64_t number, Version at, std::vector<FollowedScope> scopes,
               bool primary = true) {
-    feed.follow(out.now, MemberId{from}, Incarnation{from}, FollowNo{number}, primary, {at, at, {}, {}, 0},
-                scopes);
+    feed.follow(out.now, MemberId{from}, Incarnation{from}, AttachmentNumber{number}, primary,
+                {at, at, {}, {}, 0}, scopes);
     feed.due(out.now);
   }
   void have(unsigned from, std::uint64_t number, Position at) {
-    feed.have(out.now, MemberId{from}, Incarnation{from}, FollowNo{number}, at);
+    feed.have(out.now, MemberId{from}, Incarnation{from}, AttachmentNumber{number}, at);
     feed.due(out.now);
   }
 };
@@ -103,7 +104,7 @@
     FeedDriver s;
     s.commit(put("a/x", 1, "1"));
     s.follow(20, 1, {}, {{"a", 0, false}});
-    s.feed.ready(0);
+    s.feed.activate(0);
     s.have(20, 1, {});
     s.follow(20, 2, {}, {{"a", 0, false}});
     s.commit(put("a/y", 2, "2"));
@@ -127,7 +128,7 @@
     say("a long delta goes in parts, one under way at a time, within the credit; a commit between is in the "
         "last");
     FeedDriver s;
-    s.feed.ready(0);
+    s.feed.activate(0);
     s.commit(put("a/o", 1, "o"));
     s.follow(20, 1, v(1), {{"a", s.state.digest("a"), true}});
     for (std::uint64_t i = 2; i < 8; ++i)
@@ -150,7 +151,7 @@
   {
     say("one renewal at a time: the other waits in line, is told so, and goes when there is a place");
     FeedDriver s;
-    s.feed.ready(0);
+    s.feed.activate(0);
     s.commit(put("a/x", 1, "1"));
     s.follow(20, 1, {}, {{"a", 0, false}});
     s.follow(21, 1, {}, {{"a", 0, false}});
@@ -159,34 +160,35 @@
     s.have(20, 1, {{}, v(1), {}, {}, 1});
     say("digests that differ at one version: a renewal; who is ahead gets nothing but the version here");
     s.have(21, 1, {v(1), v(1), {}, {}, 1});
-    s.feed.compare(s.out.now, MemberId{20}, Incarnation{20}, FollowNo{1}, v(1), {5});
+    s.feed.compare(s.out.now, MemberId{20}, Incarnation{20}, AttachmentNumber{1}, v(1), {5});
     s.have(20, 1, {v(3), v(3), {}, {}, 1});
     s.to(1100);
     say("blank again: all are sent elsewhere");
-    s.feed.blank(s.out.now);
+    s.feed.deactivate(s.out.now);
   }
 }
 
-struct PrintedFollower final : FollowerOrders {
+struct PrintedFollower final : FollowerActions {
   Nanos now = 0;
   void line(const std::string& what) const {
     std::printf("  %5lld %s\n", static_cast<long long>(now / ms), what.c_str());
   }
-  static std::string name(MemberId to, FollowNo n) {
+  static std::string name(MemberId to, AttachmentNumber n) {
     return std::to_string(to.raw) + "/" + std::to_string(n.raw);
   }
-  void follow(MemberId to, FollowNo n, bool primary, const Position& at,
-              const std::vector<ScopeHeld>& scopes) override {
+  void follow(MemberId to, AttachmentNumber n, bool primary, const Position& at,
+              const std::vector<FollowedScope>& scopes) override {
     std::string text = "follow " + name(to, n) + (primary ? " first" : " second") + " at " + told(at) + ":";
-    for (const ScopeHeld& one : scopes) text += " " + one.scope + (one.held ? "" : " (new)");
+    for (const FollowedScope& one : scopes) text += " " + one.scope + (one.held ? "" : " (new)");
     line(text);
   }
-  void unfollow(MemberId to, FollowNo n) override { line("unfollow " + name(to, n)); }
+  void unfollow(MemberId to, AttachmentNumber n) override { line("unfollow " + name(to, n)); }
   bool quiet = false;
-  void have(MemberId to, FollowNo n, const Position& at) override {
+  void have(MemberId to, AttachmentNumber n, const Position& at) override {
     if (!quiet) line("have " + name(to, n) + " " + told(at));
   }
-  void compare(MemberId to, FollowNo n, Version at, const std::vector<std::uint64_t>& digests) override {
+  void compare(MemberId to, AttachmentNumber n, Version at,
+               const std::vector<std::uint64_t>& digests) override {
     if (!quiet)
       line("compare " + name(to, n) + " at " + told(at) + ", " + std::to_string(digests.size()) + " scopes");
   }
@@ -194,19 +196,19 @@
   void refused(const Entry& entry, std::string_view why) override {
     line("refused" + told(entry) + ": " + std::string(why));
   }
-  void taken(Version version, const std::vector<const Entry*>& changed) override {
+  void applied(Version version, const std::vector<const Entry*>& changed) override {
     std::string text = "taken " + told(version) + ":";
     for (const Entry* entry : changed) text += told(*entry);
     line(text);
   }
-  void left(MemberId control, LeftWhy why) override {
-    line("left " + std::to_string(control.raw) + ": " + std::string(word_of(why)));
+  void left(MemberId control, LeaveReason why) override {
+    line("left " + std::to_string(control.raw) + ": " + std::string(to_text(why)));
   }
 };
 
 struct FollowerDriver {
   PrintedFollower out;
-  std::map<MemberId, FollowNo> numbers;
+  std::map<MemberId, AttachmentNumber> numbers;
   Follower follower;
   explicit FollowerDriver(std::vector<Follower::Control> controls = {{MemberId{1}, "r", "a"},
                                                                      {MemberId{2}, "r", "b"},
@@ -224,16 +226,16 @@
   }
   void delta(unsigned from, std::uint64_t n, Version since, Version upto, bool whole,
              std::vector<Entry> entries) {
-    follower.delta(out.now, MemberId{from}, Incarnation{9}, FollowNo{n}, since, upto,
+    follower.delta(out.now, MemberId{from}, Incarnation{9}, AttachmentNumber{n}, since, upto,
                    whole ? upto : v(upto.number + 2), 0, entries);
   }
   void renewal(unsigned from, std::uint64_t n, Version at, std::vector<std::uint16_t> scopes, Version since,
                Version upto, std::vector<Entry> entries) {
-    follower.renewal(out.now, MemberId{from}, Incarnation{9}, FollowNo{n}, at, scopes, since, upto, at,
-                     entries);
+    follower.renewal(out.now, MemberId{from}, Incarnation{9}, AttachmentNumber{n}, at, scopes, since, upto,
+                     at, entries);
   }
   void beat(unsigned from, std::uint64_t n, Version committed) {
-    follower.beat(out.now, MemberId{from}, Incarnation{9}, FollowNo{n}, committed, 0);
+    follower.beat(out.now, MemberId{from}, Incarnation{9}, AttachmentNumber{n}, committed, 0);
   }
   void well(Nanos until, std::initializer_list<std::pair<unsigned, std::uint64_t>> lines, Version at) {
     while (out.now < until * ms) {
@@ -295,7 +297,7 @@
     FollowerDriver s;
     s.begin();
     s.out.quiet = true;
-    s.follower.elsewhere(s.out.now, MemberId{1}, Incarnation{9}, FollowNo{1});
+    s.follower.elsewhere(s.out.now, MemberId{1}, Incarnation{9}, AttachmentNumber{1});
     s.well(14000, {{2, 3}, {3, 4}, {1, 5}}, v(2));
   }
   {
@@ -315,7 +317,7 @@
     r.out.quiet = true;
     for (Nanos t = 500; t <= 4000; t += 500) {
       r.to(t);
-      r.follower.rest(r.out.now, MemberId{1}, Incarnation{9}, FollowNo{1}, second);
+      r.follower.rest(r.out.now, MemberId{1}, Incarnation{9}, AttachmentNumber{1}, second);
       r.beat(2, 2, v(3));
     }
   }
@@ -343,63 +345,64 @@
 
 // All control members lost what they had, and began anew from less: the versions that a server has from
 // before are of no order any more, and only digests tell.
-struct Lost final : FeedOrders, FollowerOrders {
+struct Lost final : FeedActions, FollowerActions {
   Nanos now = 0;
   Entries state{figures()};
   std::unique_ptr<Feed> feed;
   Follower follower{0,          Incarnation{9}, {"r", "a"}, {{MemberId{1}, "r", "a"}},
                     {"a", "b"}, figures(),      1,          *this};
   std::vector<std::function<void()>> letters;
-  FollowNo number{}; // of the last attachment
-  void delta(MemberId, Incarnation of, FollowNo n, Version from, Version upto, Version last, Nanos age,
-             const std::vector<const Entry*>& entries) override {
+  AttachmentNumber number{}; // of the last attachment
+  void delta(MemberId, Incarnation of, AttachmentNumber n, Version from, Version upto, Version last,
+             Nanos age, const std::vector<const Entry*>& entries) override {
     std::vector<Entry> all;
     for (const Entry* entry : entries) all.push_back(*entry);
     letters.push_back([=, this] { follower.delta(now, MemberId{1}, of, n, from, upto, last, age, all); });
   }
-  void renewal(MemberId, Incarnation of, FollowNo n, Version at, const std::vector<std::uint16_t>& scopes,
-               Version from, Version upto, Version last, const std::vector<const Entry*>& entries) override {
+  void renewal(MemberId, Incarnation of, AttachmentNumber n, Version at,
+               const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version last,
+               const std::vector<const Entry*>& entries) override {
     std::vector<Entry> all;
     for (const Entry* entry : entries) all.push_back(*entry);
     letters.push_back(
         [=, this] { follower.renewal(now, MemberId{1}, of, n, at, scopes, from, upto, last, all); });
   }
-  void beat(MemberId, Incarnation of, FollowNo n, Version committed, Nanos age) override {
+  void beat(MemberId, Incarnation of, AttachmentNumber n, Version committed, Nanos age) override {
     letters.push_back([=, this] { follower.beat(now, MemberId{1}, of, n, committed, age); });
   }
-  void rest(MemberId, Incarnation, FollowNo, Nanos) override {}
-  void elsewhere(MemberId, Incarnation of, FollowNo n) override {
+  void rest(MemberId, Incarnation, AttachmentNumber, Nanos) override {}
+  void elsewhere(MemberId, Incarnation of, AttachmentNumber n) override {
     letters.push_back([=, this] { follower.elsewhere(now, MemberId{1}, of, n); });
   }
-  void again(MemberId, Incarnation of, FollowNo n) override {
+  void again(MemberId, Incarnation of, AttachmentNumber n) override {
     letters.push_back([=, this] { follower.again(now, MemberId{1}, of, n); });
   }
-  void follow(MemberId, FollowNo n, bool primary, const Position& at,
-              const std::vector<ScopeHeld>& scopes) override {
+  void follow(MemberId, AttachmentNumber n, bool primary, const Position& at,
+              const std::vector<FollowedScope>& scopes) override {
     number = n;
     letters.push_back([=, this] { feed->follow(now, MemberId{20}, Incarnation{9}, n, primary, at, scopes); });
   }
-  void have(MemberId, FollowNo n, const Position& at) override {
+  void have(MemberId, AttachmentNumber n, const Position& at) override {
     letters.push_back([=, this] { feed->have(now, MemberId{20}, Incarnation{9}, n, at); });
   }
-  void compare(MemberId, FollowNo n, Version at, const std::vector<std::uint64_t>& digests) override {
+  void compare(MemberId, AttachmentNumber n, Version at, const std::vector<std::uint64_t>& digests) override {
     letters.push_back([=, this] { feed->compare(now, MemberId{20}, Incarnation{9}, n, at, digests); });
   }
-  void unfollow(MemberId, FollowNo) override {}
+  void unfollow(MemberId, AttachmentNumber) override {}
   std::string check(const Entry&) override { return {}; }
   void refused(const Entry&, std::string_view) override {}
-  void taken(Version, const std::vector<const Entry*>&) override {}
-  void left(MemberId, LeftWhy) override {}
+  void applied(Version, const std::vector<const Entry*>&) override {}
+  void left(MemberId, LeaveReason) override {}
 
   void begin(std::initializer_list<Entry> entries) {
     state.clear();
     for (const Entry& entry : entries) state.take(entry);
     feed = std::make_unique<Feed>(now, state, figures(), 1, *this);
-    feed->ready(now);
+    feed->activate(now);
   }
   void run(Nanos length) {
     for (const Nanos until = now + length; now < until; now += 10 * ms) {
-      feed->current(now);
+      feed->confirm_current(now);
       follower.due(now);
       feed->due(now);
       for (const auto& one : std::exchange(letters, {})) one();
@@ -428,7 +431,7 @@
   const MemberId from{1};
   s.begin({put("a/x", 1, "1"), put("b/y", 2, "2")});
   s.run(5 * second);
-  const FollowNo n = s.number;
+  const AttachmentNumber n = s.number;
   Follower& f = s.follower;
   f.delta(s.now, from, Incarnation{9}, n, v(4), v(5), v(5), 0, {put("a/x", 5, "5")});
   if (f.version() != v(2)) return "a delta is taken with a gap before it";
@@ -456,8 +459,8 @@
     commits += one.commits, taken += one.taken, lives += one.lives;
     feed.parts += one.feed.parts, feed.repeats += one.feed.repeats, feed.renewals += one.feed.renewals;
     follower.gaps += one.follower.gaps, follower.older += one.follower.older;
-    follower.foreign += one.follower.foreign, follower.moves += one.follower.moves;
-    follower.refused += one.follower.refused, follower.senseless += one.follower.senseless;
+    follower.misaddressed += one.follower.misaddressed, follower.moves += one.follower.moves;
+    follower.refused += one.follower.refused, follower.invalid += one.follower.invalid;
     most_renewals = std::max(most_renewals, one.most_renewals);
     level_after = std::max(level_after, one.level_after);
     if (one.first.empty()) return;
@@ -480,7 +483,7 @@
               n(sum.feed.repeats), n(sum.feed.renewals), sum.most_renewals);
   std::printf(
       "  not taken: gaps %llu, older %llu, foreign %llu, senseless %llu; entries refused %llu, moves %llu\n",
-      n(sum.follower.gaps), n(sum.follower.older), n(sum.follower.foreign), n(sum.follower.senseless),
+      n(sum.follower.gaps), n(sum.follower.older), n(sum.follower.misaddressed), n(sum.follower.invalid),
       n(sum.follower.refused), n(sum.follower.moves));
   std::printf("  all level %lld ms after the last fault at the latest\n",
               static_cast<long long>(sum.level_after / ms));
@@ -519,23 +522,23 @@
 
 // ---- cost
 
-struct Silent final : FeedOrders {
+struct Silent final : FeedActions {
   std::vector<std::pair<MemberId, Version>> deltas;
-  void delta(MemberId to, Incarnation, FollowNo, Version, Version upto, Version, Nanos,
+  void delta(MemberId to, Incarnation, AttachmentNumber, Version, Version upto, Version, Nanos,
              const std::vector<const Entry*>&) override {
     deltas.emplace_back(to, upto);
   }
-  void renewal(MemberId, Incarnation, FollowNo, Version, const std::vector<std::uint16_t>&, Version, Version,
-               Version, const std::vector<const Entry*>&) override {}
-  void beat(MemberId, Incarnation, FollowNo, Version, Nanos) override {}
-  void rest(MemberId, Incarnation, FollowNo, Nanos) override {}
-  void elsewhere(MemberId, Incarnation, FollowNo) override {}
-  void again(MemberId, Incarnation, FollowNo) override {}
+  void renewal(MemberId, Incarnation, AttachmentNumber, Version, const std::vector<std::uint16_t>&, Version,
+               Version, Version, const std::vector<const Entry*>&) override {}
+  void beat(MemberId, Incarnation, AttachmentNumber, Version, Nanos) override {}
+  void rest(MemberId, Incarnation, AttachmentNumber, Nanos) override {}
+  void elsewhere(MemberId, Incarnation, AttachmentNumber) override {}
+  void again(MemberId, Incarnation, AttachmentNumber) override {}
 };
 
 // What is looked at for a change of a scope with so many followers out of all, up to its answers.
 double cost(unsigned all, unsigned of_scope) {
-  Given given = figures();
+  Settings given = figures();
   given["control.most_followers"] = static_cast<double>(all);
   given["control.total_rate"] = given["control.total_burst"] = 1e12;
   Silent out;
@@ -548,22 +551,22 @@
     feed.committed(now, entry);
     feed.due(now);
   };
-  feed.ready(0);
+  feed.activate(0);
   commit(0, "wide/x");
   commit(0, "narrow/x");
   for (unsigned i = 0; i < all; ++i)
-    feed.follow(0, MemberId{i + 1}, Incarnation{1}, FollowNo{1}, true, {v(2), v(2), {}, {}, 0},
+    feed.follow(0, MemberId{i + 1}, Incarnation{1}, AttachmentNumber{1}, true, {v(2), v(2), {}, {}, 0},
                 {{i < of_scope ? "narrow" : "wide", state.digest(i < of_scope ? "narrow" : "wide"), true}});
   feed.due(0);
-  const std::uint64_t before = feed.counts().looked_at;
+  const std::uint64_t before = feed.counts().visited;
   for (int i = 0; i < 5; ++i) {
     out.deltas.clear();
     commit(i * 10 * ms, "narrow/x");
     for (const auto& [to, upto] : std::exchange(out.deltas, {}))
-      feed.have(i * 10 * ms, to, Incarnation{1}, FollowNo{1}, {upto, upto, {}, {}, 0});
+      feed.have(i * 10 * ms, to, Incarnation{1}, AttachmentNumber{1}, {upto, upto, {}, {}, 0});
     feed.due(i * 10 * ms);
   }
-  return static_cast<double>(feed.counts().looked_at - before) / 5;
+  return static_cast<double>(feed.counts().visited - before) / 5;
 }
 
 int costs() {
--- a/tests/control_replica.cpp
+++ b/tests/control_replica.cpp
@@ -15,7 +15,7 @@
 }
 
 class Desk {
-  struct Seat final : ReplicaOrders {
+  struct Seat final : ReplicaActions {
     Desk& desk;
     MemberId self;
     std::uint64_t life = 0;
@@ -30,7 +30,7 @@
       say(to, "prepare " + std::to_string(t.raw) + ", round " + std::to_string(round),
           [=, from = self, of = incarnation()](Replica& r, Nanos n) { r.prepared(n, from, of, t, round); });
     }
-    void promise(MemberId to, Incarnation of, Token t, std::uint32_t round, const LogStanding& s) override {
+    void promise(MemberId to, Incarnation of, Token t, std::uint32_t round, const LogStatus& s) override {
       say(to,
           "promise " + std::to_string(t.raw) + ", log to " + name_of(s.last) + ", committed " +
               name_of(s.committed),
@@ -67,18 +67,20 @@
               " records, committed " + name_of(c.committed) + (c.last ? ", last" : ""),
           [=, from = self, me = incarnation()](Replica& r, Nanos n) { r.chunked(n, from, me, of, c); });
     }
-    void pass(MemberId to, Incarnation of, Token t, const PassedPut& p) override {
+    void pass(MemberId to, Incarnation of, Token t, const ForwardedPut& p) override {
       say(to, "put " + p.key + "=" + p.value + " passed on",
           [=, from = self, me = incarnation()](Replica& r, Nanos n) { r.passed(n, from, me, of, t, p); });
     }
-    void answer(MemberId to, Incarnation of, Token t, PutNo p, PutEnd end, Version v,
+    void answer(MemberId to, Incarnation of, Token t, PutNumber p, PutOutcome end, Version v,
                 std::string_view why) override {
-      say(to, "put " + std::string(word_of(end)) + " " + name_of(v),
+      say(to, "put " + std::string(to_text(end)) + " " + name_of(v),
           [=, from = self, me = incarnation(), why = std::string(why)](Replica& r, Nanos n) {
             r.answered(n, from, me, of, t, p, end, v, why);
           });
     }
-    std::string why_not(const Entry& entry) override { return entry.value == "bad" ? "it is bad" : ""; }
+    std::string rejection_reason(const Entry& entry) override {
+      return entry.value == "bad" ? "it is bad" : "";
+    }
     void committed(const Record& r) override {
       std::printf("  %u has committed %s %s=%s\n", self.raw, name_of(r.entry.version).c_str(),
                   r.entry.key.c_str(), r.entry.value.c_str());
@@ -86,8 +88,8 @@
     void replaced() override {
       std::printf("  %u has another state, of %s\n", self.raw, name_of(replica->committed()).c_str());
     }
-    void ended(PutNo, PutEnd end, Version v, std::string_view why) override {
-      std::printf("  put at %u %s %s%s%s\n", self.raw, std::string(word_of(end)).c_str(), name_of(v).c_str(),
+    void ended(PutNumber, PutOutcome end, Version v, std::string_view why) override {
+      std::printf("  put at %u %s %s%s%s\n", self.raw, std::string(to_text(end)).c_str(), name_of(v).c_str(),
                   why.empty() ? "" : ": ", std::string(why).c_str());
     }
     void began(Token t, bool after_loss) override {
@@ -114,7 +116,7 @@
 
  public:
   Nanos now = 0;
-  static Given figures() {
+  static Settings figures() {
     return {{"control.most_entries", 100.0}, {"control.most_bytes", 10000.0}, {"control.most_key", 100.0},
             {"control.most_value", 100.0},   {"control.most_deleted", 4.0},   {"control.beat", 1e9},
             {"control.again", 1e9},          {"control.batch", 0.0},          {"control.grace", 1e9},
@@ -163,7 +165,7 @@
     for (auto& seat : seats_)
       std::printf("%s %u: %s, committed %s, log to %s", seat->self.raw > 1 ? ";" : "", seat->self.raw,
                   seat->replica->ready() ? "ready" : "blank", name_of(seat->replica->committed()).c_str(),
-                  name_of(seat->replica->standing().last).c_str());
+                  name_of(seat->replica->status().last).c_str());
     std::printf("\n");
   }
 };
@@ -174,7 +176,7 @@
                       std::optional<Version> expected = {}) { d[m].put(d.now, key, value, false, expected); };
   Desk d;
   say("first start: all voters are blank; all have answered twice before the first writer begins");
-  d[1].held(0, Token{10}, 60 * second);
+  d[1].lease_held(0, Token{10}, 60 * second);
   d.carry();
   d.show();
   say("a write, put at 4: passed on, written, committed by two of three, told as done");
@@ -194,12 +196,12 @@
   d.carry(1); // to 2, and no further: its ack finds nobody
   d.cut({1});
   d.start(1);
-  d[2].held(d.now, Token{20}, 120 * second);
+  d[2].lease_held(d.now, Token{20}, 120 * second);
   d.carry();
   d.show();
   say("who asks under a smaller token is refused");
   d.cut({});
-  d[1].held(d.now, Token{15}, 60 * second);
+  d[1].lease_held(d.now, Token{15}, 60 * second);
   d.carry();
   say("a blank member joins: all that it lacks, then a roster that names its life");
   d.pass(second);
@@ -211,20 +213,20 @@
   d.cut({2});
   put(d, 2, "s/a", "lost");
   d.carry();
-  d[3].held(d.now, Token{30}, 300 * second);
+  d[3].lease_held(d.now, Token{30}, 300 * second);
   d.carry();
   put(d, 3, "s/a", "kept");
   d.carry();
   say("back again: what it had not committed is given up; the log tells that it was, so the put is passed "
       "on");
-  d[2].lost(d.now, Token{20});
+  d[2].lease_lost(d.now, Token{20});
   d.cut({});
   d.pass(second);
   d.carry();
   d.show();
   say("loss of all voters: all answer, blank; the member that doesn't vote still holds the state");
   d.start(1), d.start(2), d.start(3);
-  d[1].held(d.now, Token{40}, 600 * second);
+  d[1].lease_held(d.now, Token{40}, 600 * second);
   d.carry();
   d.pass(second);
   d.hush(true);
