--- a/tests/control_words.cpp
+++ b/tests/control_words.cpp
@@ -1,5 +1,5 @@
 // Words of control: each is read as it was said, by the side that it is for; what is cut or spoilt is no word
-// or says something else that makes sense, and none is longer than a letter takes.
+// or says something else that makes sense, and none is longer than a message takes.
 #include "control_member.hpp"
 
 #include <cstdio>
@@ -18,7 +18,8 @@
 std::string of(const std::vector<Record>& records) {
   std::string out;
   for (const Record& one : records)
-    out += "; " + of(one.entry) + " of " + std::to_string(one.of.raw) + " put " + std::to_string(one.put.raw);
+    out += "; " + of(one.entry) + " of " + std::to_string(one.writer_incarnation.raw) + " put " +
+           std::to_string(one.put.raw);
   return out;
 }
 std::string of(const std::vector<Entry>& entries) {
@@ -32,7 +33,7 @@
 }
 
 // Prints, if told to; counts what it was told.
-struct Told final : control_words::ControlListener, control_words::FollowerListener {
+struct Told final : control_codec::ControlListener, control_codec::FollowerListener {
   bool quiet = false;
   std::size_t words = 0;
 
@@ -44,10 +45,10 @@
   void prepared(Token token, std::uint32_t round) override {
     say("prepare " + n(token.raw) + " round " + n(round));
   }
-  void promised(Incarnation to, Token token, std::uint32_t round, const LogStanding& standing) override {
+  void promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing) override {
     std::string rosters;
     for (const auto& [version, roster] : standing.rosters)
-      rosters += "; " + of(version) + " " + text_of(roster);
+      rosters += "; " + of(version) + " " + format_roster(roster);
     say("promise to " + n(to.raw) + " " + n(token.raw) + " round " + n(round) + " last " + of(standing.last) +
         " committed " + of(standing.committed) + rosters);
   }
@@ -55,7 +56,7 @@
     say("refuse to " + n(to.raw) + " " + n(token.raw) + " seen " + n(seen.raw));
   }
   void appending(const Append& a) override {
-    say("append " + n(a.token.raw) + " mark " + n(a.mark) + " log from " + of(a.log_from) + " behind " +
+    say("append " + n(a.token.raw) + " mark " + n(a.sequence) + " log from " + of(a.log_from) + " behind " +
         of(a.previous) + " committed " + of(a.committed) + of(a.records));
   }
   void appended(Incarnation to, Token token, std::uint64_t mark, Version matched, bool gap) override {
@@ -68,17 +69,17 @@
   void chunked(Incarnation to, const Chunk& c) override {
     say("chunk to " + n(to.raw) + " " + n(c.token.raw) + " base " + of(c.base) + " " + of(c.from) + " to " +
         of(c.to) + " floor " + of(c.floor) + " committed " + of(c.committed) + (c.last ? " last" : "") +
-        (c.no_way ? " no way" : "") + of(c.records));
+        (c.unavailable ? " no way" : "") + of(c.records));
   }
-  void passed(Incarnation to, Token token, const PassedPut& p) override {
+  void passed(Incarnation to, Token token, const ForwardedPut& p) override {
     say("pass to " + n(to.raw) + " " + n(token.raw) + " put " + n(p.number.raw) + " oldest " +
         n(p.oldest.raw) + " " + p.key + "=" + p.value + (p.deleted ? " deleted" : "") +
         (p.expected ? " expects " + of(*p.expected) : ""));
   }
-  void answered(Incarnation to, Token token, PutNo put, PutEnd end, Version version,
+  void answered(Incarnation to, Token token, PutNumber put, PutOutcome end, Version version,
                 std::string_view why) override {
     say("answer to " + n(to.raw) + " " + n(token.raw) + " put " + n(put.raw) + " " +
-        std::string(word_of(end)) + " " + of(version) + " " + std::string(why.substr(0, 20)) + " (" +
+        std::string(to_text(end)) + " " + of(version) + " " + std::string(why.substr(0, 20)) + " (" +
         n(why.size()) + ")");
   }
   void part(PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
@@ -87,62 +88,67 @@
         "part " + n(from.raw) + " to " + n(upto.raw) + " of " + n(last.raw) + " digest " + n(digest);
     for (const MemberRecord& r : records)
       out += "; " + n(r.member.raw) + " of " + n(r.incarnation.raw) + " attached " + n(r.attached.raw) + " " +
-             r.address + " " + r.zone + " since " + n(r.since) + " " + std::string(word_of(r.presence)) +
+             r.address + " " + r.zone + " since " + n(r.since) + " " + std::string(to_text(r.presence)) +
              " " + n(r.number.raw);
     say(out);
   }
   void part_held(Incarnation owner, PartNo upto) override {
     say("held of " + n(owner.raw) + " to " + n(upto.raw));
   }
-  void follow(FollowNo number, bool primary, const Position& at, const std::vector<ScopeHeld>& scopes,
-              std::string_view zone) override {
+  void follow(AttachmentNumber number, bool primary, const Position& at,
+              const std::vector<FollowedScope>& scopes, std::string_view zone) override {
     std::string out = "follow " + n(number.raw) + (primary ? " first " : " second ") + of(at);
-    for (const ScopeHeld& s : scopes) out += "; " + s.scope + " " + n(s.digest) + (s.held ? " held" : "");
+    for (const FollowedScope& s : scopes) out += "; " + s.scope + " " + n(s.digest) + (s.held ? " held" : "");
     say(out + " in " + std::string(zone));
   }
-  void have(FollowNo number, const Position& at) override { say("have " + n(number.raw) + " " + of(at)); }
-  void compare(FollowNo number, Version at, const std::vector<std::uint64_t>& digests) override {
+  void have(AttachmentNumber number, const Position& at) override {
+    say("have " + n(number.raw) + " " + of(at));
+  }
+  void compare(AttachmentNumber number, Version at, const std::vector<std::uint64_t>& digests) override {
     std::string out = "compare " + n(number.raw) + " at " + of(at);
     for (const std::uint64_t one : digests) out += " " + n(one);
     say(out);
   }
-  void unfollow(FollowNo number) override { say("unfollow " + n(number.raw)); }
-  void delta(Incarnation to, FollowNo number, Version from, Version upto, Version last, Nanos age,
+  void unfollow(AttachmentNumber number) override { say("unfollow " + n(number.raw)); }
+  void delta(Incarnation to, AttachmentNumber number, Version from, Version upto, Version last, Nanos age,
              const std::vector<Entry>& entries) override {
     say("delta to " + n(to.raw) + " " + n(number.raw) + " " + of(from) + " to " + of(upto) + " of " +
         of(last) + " age " + std::to_string(age) + of(entries));
   }
-  void renewal(Incarnation to, FollowNo number, Version at, const std::vector<std::uint16_t>& scopes,
+  void renewal(Incarnation to, AttachmentNumber number, Version at, const std::vector<std::uint16_t>& scopes,
                Version from, Version upto, Version last, const std::vector<Entry>& entries) override {
     std::string out = "renewal to " + n(to.raw) + " " + n(number.raw) + " at " + of(at) + " scopes";
     for (const std::uint16_t one : scopes) out += " " + n(one);
     say(out + " " + of(from) + " to " + of(upto) + " of " + of(last) + of(entries));
   }
-  void beat(Incarnation to, FollowNo number, Version committed, Nanos age) override {
+  void beat(Incarnation to, AttachmentNumber number, Version committed, Nanos age) override {
     say("beat to " + n(to.raw) + " " + n(number.raw) + " " + of(committed) + " age " + std::to_string(age));
   }
-  void rest(Incarnation to, FollowNo number, Nanos rest) override {
+  void rest(Incarnation to, AttachmentNumber number, Nanos rest) override {
     say("rest to " + n(to.raw) + " " + n(number.raw) + " " + std::to_string(rest));
   }
-  void elsewhere(Incarnation to, FollowNo number) override {
+  void elsewhere(Incarnation to, AttachmentNumber number) override {
     say("elsewhere to " + n(to.raw) + " " + n(number.raw));
   }
-  void again(Incarnation to, FollowNo number) override { say("again to " + n(to.raw) + " " + n(number.raw)); }
+  void again(Incarnation to, AttachmentNumber number) override {
+    say("again to " + n(to.raw) + " " + n(number.raw));
+  }
 };
 
 } // namespace
 
 int main() {
-  using namespace control_words;
+  using namespace control_codec;
   const Incarnation to{77};
   const Token token{5};
   const Version a{Token{5}, 1}, b{Token{5}, 2};
   const Entry route{"service/9/route", "10.0.0.1:80", b, MemberId{3}, false},
       gone{"fleet/x", "", a, MemberId{4}, true};
-  const Record record{route, Incarnation{8}, PutNo{6}};
+  const Record record{route, Incarnation{8}, PutNumber{6}};
   const Position at{a, b, Version{Token{5}, 3}, b, 4};
-  const MemberRecord member{MemberId{12}, Incarnation{13},  FollowNo{14}, "10.0.0.2:6000", "z1",
-                            15,           Presence::silent, PartNo{16}};
+  const MemberRecord member{
+      MemberId{12},           Incarnation{13}, AttachmentNumber{14}, "10.0.0.2:6000", "z1", 15,
+      Presence::unresponsive, PartNo{16}};
   const std::vector<std::string> control{
       prepare(token, 2),
       promise(to, token, 2, {b, a, {{a, {{{MemberId{1}, Incarnation{11}}}, Token{4}}}}}),
@@ -152,21 +158,21 @@
       fetch(token, a, b, Token{4}),
       chunk(to, {token, a, a, b, a, b, true, false, {record}}),
       chunk(to, {token, a, a, a, a, b, false, true, {}}),
-      pass(to, token, {PutNo{7}, PutNo{6}, "fleet/x", "1", false, a}),
-      pass(to, token, {PutNo{8}, PutNo{6}, "fleet/x", "", true, {}}),
-      answer(to, token, PutNo{7}, PutEnd::refused, a, std::string(1000, 'y')),
+      pass(to, token, {PutNumber{7}, PutNumber{6}, "fleet/x", "1", false, a}),
+      pass(to, token, {PutNumber{8}, PutNumber{6}, "fleet/x", "", true, {}}),
+      answer(to, token, PutNumber{7}, PutOutcome::refused, a, std::string(1000, 'y')),
       part(PartNo{1}, PartNo{2}, PartNo{3}, 99, {&member}),
       part_held(to, PartNo{3}),
-      follow(FollowNo{4}, true, at, {{"fleet", 1, true}, {"service/9", 0, false}}, "z1"),
-      have(FollowNo{4}, at),
-      compare(FollowNo{4}, a, {1, 2}),
-      unfollow(FollowNo{4})};
-  const std::vector<std::string> follower{delta(to, FollowNo{4}, a, b, b, -1, {&route, &gone}),
-                                          renewal(to, FollowNo{4}, b, {0, 1}, a, b, b, {&route}),
-                                          beat(to, FollowNo{4}, b, 20),
-                                          rest(to, FollowNo{4}, 30),
-                                          elsewhere(to, FollowNo{4}),
-                                          again(to, FollowNo{4})};
+      follow(AttachmentNumber{4}, true, at, {{"fleet", 1, true}, {"service/9", 0, false}}, "z1"),
+      have(AttachmentNumber{4}, at),
+      compare(AttachmentNumber{4}, a, {1, 2}),
+      unfollow(AttachmentNumber{4})};
+  const std::vector<std::string> follower{delta(to, AttachmentNumber{4}, a, b, b, -1, {&route, &gone}),
+                                          renewal(to, AttachmentNumber{4}, b, {0, 1}, a, b, b, {&route}),
+                                          beat(to, AttachmentNumber{4}, b, 20),
+                                          rest(to, AttachmentNumber{4}, 30),
+                                          elsewhere(to, AttachmentNumber{4}),
+                                          again(to, AttachmentNumber{4})};
   Told told;
   int wrong = 0;
   const auto read_as = [&](bool by_control, std::string_view bytes) {
@@ -198,14 +204,14 @@
         spoilt[n] = word[n];
       }
     }
-  wrong += read_as(false, renewal(to, FollowNo{4}, b, {64}, a, b, b, {}));
-  wrong += read_as(true, answer(to, token, PutNo{7}, static_cast<PutEnd>(3), a, ""));
+  wrong += read_as(false, renewal(to, AttachmentNumber{4}, b, {64}, a, b, b, {}));
+  wrong += read_as(true, answer(to, token, PutNumber{7}, static_cast<PutOutcome>(3), a, ""));
   std::printf("  %zu cut; some spoilt ones still make sense (their sum would not): %d\n", cuts, sense > 0);
 
   std::printf(
       "# the longest: as many bytes as a batch may have, in records of the least and of the largest\n");
-  const double most_batch = number(control_figures(true), "control.most_batch", 0);
-  const double overhead = number(control_figures(true), "control.record_overhead", 0);
+  const double most_batch = number(default_control_settings(true), "control.most_batch", 0);
+  const double overhead = number(default_control_settings(true), "control.record_overhead", 0);
   for (const std::size_t size : {std::size_t{1}, std::size_t{100}, std::size_t{4096 + 200}}) {
     Append append{token, ~0ULL, a, a, a, {}};
     Record one{{std::string(std::min<std::size_t>(size, 200), 'k'),
@@ -214,12 +220,12 @@
                 MemberId{65535},
                 true},
                Incarnation{~0ULL},
-               PutNo{~0ULL}};
+               PutNumber{~0ULL}};
     for (double bytes = 0;
          bytes + static_cast<double>(size) + overhead <= most_batch || append.records.empty();
          bytes += static_cast<double>(size) + overhead)
       append.records.push_back(one);
-    wrong += control_words::append(append).size() > words::most_control;
+    wrong += control_codec::append(append).size() > peer_codec::most_control;
   }
   std::printf("wrong %d\n", wrong);
   return wrong > 0;
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -19,7 +19,7 @@
 // Answers to ops in what is heard up to a check sent now: each of them once, in words.
 std::vector<std::string> answers_until_check(World& w, std::uint32_t stream) {
   std::vector<std::string> answers;
-  w.balancer.say(frame_of(frames::check, stream, {}));
+  w.balancer.say(frame_of(frames::health_check, stream, {}));
   for (;;) {
     std::string frame = w.balancer.frame();
     if (frame.starts_with("checked")) return answers;
@@ -31,7 +31,7 @@
   for (const std::string& one : answers) std::printf("  balancer: %s\n", one.c_str());
 }
 // Another link after a break, up to the moment in which all before is told again.
-void link_again(World& w, const std::string& notices) {
+void link_reconnect_delay(World& w, const std::string& notices) {
   w.machine = w.machines.next();
   w.machine.line(); // CONNECT
   w.question.clear();
@@ -40,7 +40,7 @@
 
 // Up to its end the questions on an old link are answered; other commands there are told.
 void leave_old_link(World& w) {
-  Peer::until("end of the old link", [&] {
+  TestConnection::until("end of the old link", [&] {
     while (w.machine.has_line()) {
       const std::string line = w.machine.line();
       const std::size_t echo = line.find("\"echo\":\"");
@@ -55,11 +55,11 @@
   });
 }
 // The last that a list hears of a server that leaves.
-std::string last_report(Peer& lists) {
-  Peer list = lists.next();
+std::string last_report(TestConnection& lists) {
+  TestConnection list = lists.next();
   std::string report;
   while (report.find("false") == std::string::npos) {
-    Peer::until("report", [&] { return list.has_line() || list.ended(); });
+    TestConnection::until("report", [&] { return list.has_line() || list.ended(); });
     if (!list.has_line())
       list = lists.next();
     else
@@ -150,11 +150,11 @@
     w.link_up();
     w.book(1, a, "m1");
     w.command();
-    Peer::turn = [] {};
+    TestConnection::turn = [] {};
     w.notice(1, "VALUE", a, fine);
     by_reset ? w.machine.reset() : w.machine.stop_sending();
     w.start();
-    link_again(w, notice_of(1, "VALUE", a, fine));
+    link_reconnect_delay(w, notice_of(1, "VALUE", a, fine));
     std::printf("  balancer: %s\n", w.balancer.frame().c_str());
     w.book(2, b, "m1");
     say_answers(answers_until_check(w, 1));
@@ -166,7 +166,7 @@
     w.link_up();
     w.ask(1, a, {{"limit", "1500"}});
     w.command();
-    Peer::turn = [] {};
+    TestConnection::turn = [] {};
     sleep_for(1520); // the due time has passed, and what follows is read in the same turn
     w.notice(1, "VALUE", a, fine);
     w.start();
@@ -181,9 +181,9 @@
     w.ask(1, a, {{"verb", "book"}, {"unique", "m1"}, {"limit", "1500"}});
     w.command();
     w.notice(1, "AWAIT", a, ",\"content\":\"Y2FsbA==\"");
-    Peer records = w.below.next();
+    TestConnection records = w.below.next();
     records.request({});
-    Peer::turn = [] {};
+    TestConnection::turn = [] {};
     sleep_for(1520);
     records.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue");
     w.start();
@@ -203,7 +203,7 @@
     w.balancer.say(whole.substr(50));
     std::printf("  balancer: %s\n", w.balancer.frame().c_str());
     w.balancer.to_end();
-    Peer::until("end", [&] { return w.over; });
+    TestConnection::until("end", [&] { return w.over; });
     std::printf("  the end%s\n", w.balancer.was_reset() ? ", by a reset" : "");
   }
 
@@ -214,31 +214,33 @@
     w.balancer.say(World::request(1, a).substr(0, 50));
     w.host->stop();
     std::printf("  balancer: %s\n", w.balancer.frame().c_str());
-    Peer::until("end on its side", [&] { return w.balancer.ended(); });
-    w.balancer.slip_in(World::request(1, a).substr(50)); // what it takes for a request came to a shut side
-    Peer::turn();
+    TestConnection::until("end on its side", [&] { return w.balancer.ended(); });
+    w.balancer.send_without_turn(
+        World::request(1, a).substr(50)); // what it takes for a request came to a shut side
+    TestConnection::turn();
     std::printf("  the end%s\n", w.balancer.was_reset() ? ", by a reset" : "");
-    w.balancer = Peer::listening(5051);
-    Peer::until("end", [&] { return w.over; });
+    w.balancer = TestConnection::listening(5051);
+    TestConnection::until("end", [&] { return w.over; });
   }
 
   say("SIGHUP and SIGTERM in one instant: both are taken");
   {
     World w("1500");
     w.link_up();
-    Peer machines = Peer::listening(7301), lists = Peer::listening(2380), below = Peer::listening(5433);
+    TestConnection machines = TestConnection::listening(7301), lists = TestConnection::listening(2380),
+                   below = TestConnection::listening(5433);
     std::FILE* out = std::fopen(world_file.c_str(), "w");
     std::fputs(World::json("1500", 1).c_str(), out);
     std::fclose(out);
-    Peer::turn = [] {};
+    TestConnection::turn = [] {};
     std::raise(SIGHUP);
     w.host->stop();
     w.start();
-    Peer list = lists.next();
+    TestConnection list = lists.next();
     std::printf("  announce there: %s\n", list.request({}).c_str());
     w.balancer.frame();
     w.balancer.to_end();
-    Peer::until("end", [&] { return w.over; });
+    TestConnection::until("end", [&] { return w.over; });
     std::remove(world_file.c_str());
     std::printf("  over: %d\n", w.over);
   }
@@ -251,7 +253,8 @@
     w.link_up();
     w.ask(1, a);
     w.command();
-    Peer machines = Peer::listening(7301), lists = Peer::listening(2380), below = Peer::listening(5433);
+    TestConnection machines = TestConnection::listening(7301), lists = TestConnection::listening(2380),
+                   below = TestConnection::listening(5433);
     World::hang_up(World::json("3000", 1));
     w.host->stop();
     w.ask(2, b);
@@ -264,7 +267,7 @@
     std::printf("  announce there: %s\n", last_report(lists).c_str());
     w.notice(1, "VALUE", a, fine);
     w.notice(2, "AWAIT", b, ",\"content\":\"Y2FsbA==\"");
-    Peer records = below.next();
+    TestConnection records = below.next();
     std::printf("  records there: %s\n", records.request({"Op-Of"}).c_str());
     records.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue");
     std::printf("  link there: %s\n", w.command().c_str());
@@ -272,7 +275,7 @@
     for (int i = 0; i < 3; ++i) std::printf("  balancer: %s\n", w.balancer.frame().c_str());
     w.balancer.to_end();
     w.balancer.stop_sending();
-    Peer::until("end", [&] { return w.over; });
+    TestConnection::until("end", [&] { return w.over; });
     std::printf("  the end%s\n", w.balancer.was_reset() ? ", by a reset" : "");
   }
 
@@ -292,7 +295,7 @@
     for (const std::string& one : said) std::printf("  balancer: %s\n", one.c_str());
     w.balancer.to_end();
     w.balancer.stop_sending();
-    Peer::until("end", [&] { return w.over; });
+    TestConnection::until("end", [&] { return w.over; });
     std::printf("  the end%s\n", w.balancer.was_reset() ? ", by a reset" : "");
     std::remove(world_file.c_str());
   }
@@ -309,7 +312,7 @@
     w.ask(4, c, {{"verb", "book"}});
     std::printf("  link: %s\n", w.command().c_str());
     w.notice(2, "AWAIT", c, ",\"content\":\"Y2FsbA==\"");
-    Peer records = w.below.next();
+    TestConnection records = w.below.next();
     records.request({});
     records.reset(); // its call may have run
     for (int i = 0; i < 4; ++i) std::printf("  balancer: %s\n", w.balancer.frame().c_str());
@@ -322,7 +325,7 @@
     w.ask(1, a);
     w.command();
     w.notice(1, "AWAIT", a, ",\"content\":\"Y2FsbA==\"");
-    Peer records = w.below.next();
+    TestConnection records = w.below.next();
     records.request({});
     kept_back();
   }
@@ -338,14 +341,14 @@
     const auto flood_end = std::chrono::steady_clock::now() + std::chrono::seconds(8);
     for (int i = 0; i < 3; ++i)
       floods.emplace_back([&stop, flood_end] {
-        Peer peer = Peer::quietly_to(5050);
+        TestConnection peer = TestConnection::connect_without_turn(5050);
         std::string bytes;
-        for (std::uint32_t n = 1; n < 400; ++n) bytes += frame_of(frames::check, n, {});
+        for (std::uint32_t n = 1; n < 400; ++n) bytes += frame_of(frames::health_check, n, {});
         while (!stop && std::chrono::steady_clock::now() < flood_end) peer.flood(bytes);
       });
     const auto begun = std::chrono::steady_clock::now();
     std::string answer;
-    Peer::until("answer", [&] { return w.balancer.has(4); });
+    TestConnection::until("answer", [&] { return w.balancer.has(4); });
     const auto took = std::chrono::steady_clock::now() - begun;
     stop = true;
     for (std::thread& flood : floods) flood.join();
--- a/tests/driver.hpp
+++ b/tests/driver.hpp
@@ -1,5 +1,6 @@
-// What tests print for comparison with a kept trace: the decisions of one Choice that a Driver drives alone,
-// and what a Peer, an end of a connection that the test plays itself, hears from the code for sockets.
+// What tests print for comparison with a kept trace: the decisions of one DecisionModule that a Driver drives
+// alone, and what a TestConnection, an end of a connection that the test plays itself, hears from the code
+// for sockets.
 #pragma once
 
 #include "decision_module.hpp"
@@ -34,14 +35,14 @@
   Nanos waited = 0;   // ms
   double kb = 10;
   std::int64_t key = -1;
-  OpId earlier = no_op;
+  OpId earlier = no_op_id;
   unsigned caller = 0;
   bool again = false;
   Nanos hint = 0; // ms
 };
 
 class Driver final : public Server {
-  std::unique_ptr<Choice> choice_;
+  std::unique_ptr<DecisionModule> module_;
   Nanos now_ = 0;
   Nanos wake_ = 0;
   bool healthy_ = false;
@@ -77,18 +78,18 @@
   double told = -1;
 
   // Two cores, a retryable type 0 and a keyed type 1; what `more` names is changed or added.
-  explicit Driver(std::initializer_list<Given::value_type> more = {},
+  explicit Driver(std::initializer_list<Settings::value_type> more = {},
                   std::initializer_list<const char*> without = {}) {
-    Given given{{"cores", 2.0},
-                {"fall_multiple", 4.0},
-                {"memory_kb", 10000.0},
-                {"run_factor", 4.0},
-                {"key_kb", 5.0},
-                {"drain_grace_ns", 2e9},
-                {"fleet_size", 1.0},
-                {"gauge.0", std::string("cores_busy")},
-                {"gauge.1", std::string("on_cores")},
-                {"callers", 2.0}};
+    Settings given{{"cores", 2.0},
+                   {"fall_multiple", 4.0},
+                   {"memory_kb", 10000.0},
+                   {"run_factor", 4.0},
+                   {"key_kb", 5.0},
+                   {"drain_grace_ns", 2e9},
+                   {"fleet_size", 1.0},
+                   {"gauge.0", std::string("cores_busy")},
+                   {"gauge.1", std::string("on_cores")},
+                   {"callers", 2.0}};
     for (const char* type : {"op_type.0.", "op_type.1."}) {
       given[std::string(type) + "op_timeout_ns"] = 4e9;
       given[std::string(type) + "target_latency_ns"] = 2e9;
@@ -100,7 +101,7 @@
     for (const auto& [name, value] : more) given[name] = value;
     for (const char* name : without) given.erase(name);
     end();
-    choice_ = std::make_unique<Choice>(0, 7, given, *this);
+    module_ = std::make_unique<DecisionModule>(0, 7, given, *this);
     if (!healthy_) emit("no stored health");
   }
 
@@ -116,19 +117,19 @@
   }
   void fail(OpId op, Reason) override { emit("fail", of(op)); }
   void call(OpId op, Nanos time_out) override { emit("call", of(op) + span(time_out)); }
-  void answer_without(OpId op) override { emit("answer without", of(op)); }
+  void answer_without_call(OpId op) override { emit("answer without", of(op)); }
   void keep_key(OpId op, Nanos life) override { emit("keep", of(op) + span(life)); }
   void forget_key(OpId op) override { emit("forget", of(op)); }
   void reuse(OpId op) override { emit("reuse", of(op)); }
   void halt(OpId op) override { emit("halt", of(op)); }
   void health(bool good, bool stored) override {
-    if (!choice_ && good && stored)
+    if (!module_ && good && stored)
       healthy_ = true; // at the start, as it has to be: not printed
     else
       emit(good ? "health good" : "health bad", stored ? " (stored)" : "");
   }
-  void tell_callers(double value) override { told = value, emit("tell", number(value)); }
-  void idle_close(Nanos after) override { emit("idle close", span(after)); }
+  void notify_callers(double value) override { told = value, emit("tell", number(value)); }
+  void set_idle_timeout(Nanos after) override { emit("idle close", span(after)); }
   void wake_at(Nanos when, WakeId) override { wake_ = when; }
   void log(std::string_view words) override { emit("log ", std::string(words)); }
 
@@ -141,7 +142,7 @@
   void to(Nanos time) {
     while (wake_ <= time * ms) {
       now_ = wake_;
-      choice_->woken(now_, WakeId{1}, gauges_);
+      module_->woken(now_, WakeId{1}, gauges_);
     }
     now_ = time * ms;
   }
@@ -152,7 +153,7 @@
     wake_ = std::max(wake_, now_);
   }
   void read(unsigned id, Read r = {}) {
-    choice_->op_read(now_, OpId{id}, OpTypeId{r.type}, TenantId{r.tenant}, KeyId{r.key}, CallerId{r.caller},
+    module_->op_read(now_, OpId{id}, OpTypeId{r.type}, TenantId{r.tenant}, KeyId{r.key}, CallerId{r.caller},
                      r.patience * ms, r.waited * ms, r.hint * ms, r.kb, 0.5, r.again, r.earlier);
   }
   // Teaches runs of such lengths in ms of the two op types, each with a call if that has one; prints nothing.
@@ -167,25 +168,25 @@
     }
     quiet = false;
   }
-  void gone(unsigned id) { choice_->op_gone(now_, OpId{id}); }
+  void gone(unsigned id) { module_->op_cancelled(now_, OpId{id}); }
   void ended(unsigned id, Outcome outcome = Outcome::done, Nanos lag = 100) {
     running.erase(OpId{id});
-    choice_->run_ended(now_, OpId{id}, outcome, lag * ms);
+    module_->run_ended(now_, OpId{id}, outcome, lag * ms);
   }
-  void wants_call(unsigned id) { choice_->call_wanted(now_, OpId{id}); }
+  void wants_call(unsigned id) { module_->call_wanted(now_, OpId{id}); }
   void called(unsigned id, Outcome outcome = Outcome::done, Nanos lag = 50) {
-    choice_->call_ended(now_, OpId{id}, outcome, lag * ms);
+    module_->call_ended(now_, OpId{id}, outcome, lag * ms);
   }
-  void drain(Nanos left) { choice_->drain(now_, left * ms); }
+  void drain(Nanos left) { module_->drain(now_, left * ms); }
 };
 
 // While it lives no descriptor is free, but what is given back meanwhile.
-class NoneFree {
+class NoFreeDescriptors {
   rlimit before_{};
   std::vector<int> taken_;
 
  public:
-  NoneFree() {
+  NoFreeDescriptors() {
     const int next = dup(0);
     close(next);
     getrlimit(RLIMIT_NOFILE, &before_);
@@ -193,15 +194,15 @@
     setrlimit(RLIMIT_NOFILE, &few);
     for (int fd; (fd = dup(0)) >= 0;) taken_.push_back(fd);
   }
-  ~NoneFree() {
+  ~NoFreeDescriptors() {
     for (const int fd : taken_) close(fd);
     setrlimit(RLIMIT_NOFILE, &before_);
   }
-  NoneFree(const NoneFree&) = delete;
-  NoneFree& operator=(const NoneFree&) = delete;
+  NoFreeDescriptors(const NoFreeDescriptors&) = delete;
+  NoFreeDescriptors& operator=(const NoFreeDescriptors&) = delete;
 };
 
-class Peer {
+class TestConnection {
   int fd_;
   std::string heard_;
   bool ended_ = false;
@@ -223,16 +224,16 @@
  public:
   inline static std::function<void()> turn = [] {}; // lets what is tested do what is ready
 
-  explicit Peer(int fd) : fd_(made(fd)) {}
-  Peer(Peer&& other)
+  explicit TestConnection(int fd) : fd_(made(fd)) {}
+  TestConnection(TestConnection&& other)
       : fd_(std::exchange(other.fd_, -1)), heard_(std::move(other.heard_)), ended_(other.ended_),
         was_reset_(other.was_reset_) {}
-  Peer& operator=(Peer&& other) {
+  TestConnection& operator=(TestConnection&& other) {
     std::swap(fd_, other.fd_), std::swap(heard_, other.heard_), std::swap(ended_, other.ended_);
     std::swap(was_reset_, other.was_reset_);
     return *this;
   }
-  ~Peer() { close(fd_); }
+  ~TestConnection() { close(fd_); }
 
   // Every test process has a loopback address of its own.
   static std::string at(int port) {
@@ -240,26 +241,26 @@
     const sockaddr_in there = place(port);
     return std::string(inet_ntop(AF_INET, &there.sin_addr, text, sizeof text)) + ":" + std::to_string(port);
   }
-  static Peer listening(int port) {
+  static TestConnection listening(int port) {
     const sockaddr_in there = place(port);
-    Peer peer(socket(AF_INET, SOCK_STREAM, 0));
+    TestConnection peer(socket(AF_INET, SOCK_STREAM, 0));
     const int on = 1;
     setsockopt(peer.fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     if (bind(peer.fd_, reinterpret_cast<const sockaddr*>(&there), sizeof there) || listen(peer.fd_, 16))
       std::perror("listen"), std::exit(2);
     return peer;
   }
-  static Peer to(int port) {
+  static TestConnection to(int port) {
     const sockaddr_in there = place(port);
-    Peer peer(socket(AF_INET, SOCK_STREAM, 0));
+    TestConnection peer(socket(AF_INET, SOCK_STREAM, 0));
     connect(peer.fd_, reinterpret_cast<const sockaddr*>(&there), sizeof there);
     turn();
     return peer;
   }
   // From another thread: what is tested does nothing meanwhile, and nothing is waited for.
-  static Peer quietly_to(int port) {
+  static TestConnection connect_without_turn(int port) {
     const sockaddr_in there = place(port);
-    Peer peer(socket(AF_INET, SOCK_STREAM, 0));
+    TestConnection peer(socket(AF_INET, SOCK_STREAM, 0));
     connect(peer.fd_, reinterpret_cast<const sockaddr*>(&there), sizeof there);
     return peer;
   }
@@ -269,10 +270,10 @@
     while (recv(fd_, taken, sizeof taken, 0) > 0) {
     }
   }
-  Peer next() { // who connects to it
+  TestConnection next() { // who connects to it
     int fd = -1;
     until("a connection", [&] { return (fd = accept(fd_, nullptr, nullptr)) >= 0; });
-    return Peer(fd);
+    return TestConnection(fd);
   }
   // Lets time pass in turns until something is so; a test fails where it never is.
   template <class So>
@@ -295,11 +296,11 @@
     close(std::exchange(fd_, -1));
     turn();
   }
-  void small_window() { // takes as little as can be at a time
+  void set_small_window() { // takes as little as can be at a time
     const int least = 1;
     setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &least, sizeof least);
   }
-  void at_once() { // what it says is not kept back until what it said before has been acknowledged
+  void set_no_delay() { // what it says is not kept back until what it said before has been acknowledged
     const int on = 1;
     setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   }
@@ -319,7 +320,7 @@
   // What a whole ending is: the end came before any reset, also of what is sent after it.
   bool was_reset() { return hear(), was_reset_; }
   // Sends without a turn of what is tested, as what comes in the instant between two of its steps.
-  void slip_in(std::string_view bytes) {
+  void send_without_turn(std::string_view bytes) {
     if (send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) was_reset_ = true;
   }
   bool ended() {
@@ -358,20 +359,20 @@
   // The next frame, in words.
   std::string frame() {
     const std::string length = take(4);
-    const std::string rest = take(frames::number_at(length.data(), 4));
+    const std::string rest = take(frames::read_le(length.data(), 4));
     const int type = rest[0];
-    std::string said = type == frames::answer    ? "answer"
-                       : type == frames::checked ? "checked"
-                       : type == frames::no_more ? "no more"
-                                                 : "type " + std::to_string(type);
-    said += " on " + std::to_string(frames::number_at(rest.data() + 1, 4));
+    std::string said = type == frames::response          ? "answer"
+                       : type == frames::health_response ? "checked"
+                       : type == frames::go_away         ? "no more"
+                                                         : "type " + std::to_string(type);
+    said += " on " + std::to_string(frames::read_le(rest.data() + 1, 4));
     if (rest.size() == 5) return said;
     said += ": code " + std::to_string(static_cast<int>(rest[5]));
     std::string_view body;
     const auto field = [&](std::string_view name, std::string_view value) {
       if (name != "later") said.append(", ").append(name).append(" ").append(value);
     };
-    if (!frames::fields(std::string_view(rest).substr(6), field, body)) said += ", unreadable fields";
+    if (!frames::for_each_field(std::string_view(rest).substr(6), field, body)) said += ", unreadable fields";
     if (body.size() > 40) return said + ", " + std::to_string(body.size()) + " bytes";
     return body.empty() ? said : said.append(", ").append(body);
   }
@@ -406,5 +407,5 @@
     std::erase_if(fields, [&](const auto& field) { return field.first == name; });
     if (!value.empty()) fields.emplace_back(name, value);
   }
-  return frame_of(frames::ask, stream, fields, body);
+  return frame_of(frames::request, stream, fields, body);
 }
--- a/tests/endings.cpp
+++ b/tests/endings.cpp
@@ -22,32 +22,32 @@
 
 namespace {
 
-struct Told final : Front::Taker {
-  std::vector<Line> lines;
+struct Told final : Front::Handler {
+  std::vector<StreamRef> lines;
   std::size_t lost = 0;
-  void op_came(Line line, OpId, OpTypeId, TenantId, CallerId, Nanos, Nanos, double, double, std::string_view,
-               std::string_view, std::string_view) override {
+  void op_received(StreamRef line, OpId, OpTypeId, TenantId, CallerId, Nanos, Nanos, double, double,
+                   std::string_view, std::string_view, std::string_view) override {
     lines.push_back(line);
   }
-  void line_lost(Line) override { ++lost; }
+  void stream_lost(StreamRef) override { ++lost; }
 };
 
 struct Bench {
   asio::io_context io;
   Told told;
   Nanos now = second;
-  Front front{io, Peer::at(5050), most, 64 * 1024, {{"look"}, {false}, {"acme"}, true}, told};
+  Front front{io, TestConnection::at(5050), most, 64 * 1024, {{"look"}, {false}, {"acme"}, true}, told};
 
   Bench() {
-    front.accept_again(ms);
-    front.when_full({Eviction::mute, Eviction::idle, Eviction::newest}, 8);
-    front.leave_to_end(second / 2);
-    front.first_word(3 * second / 2);
-    front.unread(4 * second);
-    Peer::turn = [this] { turn(); };
+    front.accept_retry_delay(ms);
+    front.set_eviction_order({Eviction::no_frame, Eviction::idle, Eviction::newest}, 8);
+    front.connection_drain_delay(second / 2);
+    front.frame_timeout(3 * second / 2);
+    front.write_stall_timeout(4 * second);
+    TestConnection::turn = [this] { turn(); };
   }
   ~Bench() {
-    Peer::turn = [] {};
+    TestConnection::turn = [] {};
   }
   void turn() {
     io.restart();
@@ -58,15 +58,15 @@
     now += time;
     for (int i = 0; i < 3; ++i) turn();
   }
-  Line asked(Peer& peer, std::uint32_t stream) {
+  StreamRef asked(TestConnection& peer, std::uint32_t stream) {
     const std::size_t before = told.lines.size();
     peer.say(ask(stream, "9b1f03aa5c7e2d41"));
-    Peer::until("op", [&] { return told.lines.size() > before; });
+    TestConnection::until("op", [&] { return told.lines.size() > before; });
     return told.lines.back();
   }
   // A peer that has had an op answered, and has not read the answer.
-  Peer answered(std::uint32_t stream = 1) {
-    Peer peer = Peer::to(5050);
+  TestConnection answered(std::uint32_t stream = 1) {
+    TestConnection peer = TestConnection::to(5050);
     front.served(asked(peer, stream), "result");
     turn();
     return peer;
@@ -75,12 +75,12 @@
 
 void say(const char* what) { std::printf("# %s\n", what); }
 // What the peer was sent to the end, and how that came.
-void left(Peer& peer, int frames) {
+void left(TestConnection& peer, int frames) {
   for (int i = 0; i < frames; ++i) std::printf("  %s\n", peer.frame().c_str());
   peer.to_end();
   std::printf("  the end%s\n", peer.was_reset() ? ", by a reset" : "");
 }
-void after_it(Bench& b, Peer& peer, std::size_t ops) {
+void after_it(Bench& b, TestConnection& peer, std::size_t ops) {
   for (int i = 0; i < 4; ++i) b.turn();
   std::printf("  after it: %s, %zu ops read\n", peer.was_reset() ? "a reset" : "no reset",
               b.told.lines.size() - ops);
@@ -88,24 +88,25 @@
 const std::string request = ask(7, "9b1f03aa5c7e2d42");
 
 // A connection ends by `end`; in that instant its peer sends what `bytes` says.
-void crossing(const char* what, const std::string& bytes, const std::function<void(Bench&, Peer&)>& end) {
+void crossing(const char* what, const std::string& bytes,
+              const std::function<void(Bench&, TestConnection&)>& end) {
   say(what);
   Bench b;
-  Peer peer = b.answered();
+  TestConnection peer = b.answered();
   end(b, peer);
-  Peer::until("end on our side", [&] { return b.front.connections() == 0; });
+  TestConnection::until("end on our side", [&] { return b.front.connections() == 0; });
   const std::size_t ops = b.told.lines.size();
-  peer.slip_in(bytes);
+  peer.send_without_turn(bytes);
   left(peer, 2);
-  peer.slip_in(bytes); // what comes later still is dropped too
+  peer.send_without_turn(bytes); // what comes later still is dropped too
   after_it(b, peer, ops);
 }
 
 } // namespace
 
 int main() {
-  const auto idle = [](Bench& b, Peer&) {
-    b.front.idle_close(second);
+  const auto idle = [](Bench& b, TestConnection&) {
+    b.front.set_idle_timeout(second);
     b.pass(second);
     b.pass(second / 2);
   };
@@ -113,7 +114,7 @@
   crossing("the same, half a request", request.substr(0, 40), idle);
   crossing("the same, more than its buffers hold at once", std::string(100'000, 'x'), idle);
   crossing("the listener closes, as in a drain: a request as its last connections end", request,
-           [](Bench& b, Peer&) {
+           [](Bench& b, TestConnection&) {
              b.front.stop_accepting();
              b.turn();
              b.pass(second / 2);
@@ -122,13 +123,13 @@
   say("a request read past the time to end, just before the close, is taken and answered as any");
   {
     Bench b;
-    Peer peer = b.answered();
-    b.front.idle_close(second);
+    TestConnection peer = b.answered();
+    b.front.set_idle_timeout(second);
     b.pass(second);
     b.now += second / 2;
-    peer.slip_in(request); // found by the look before the close
+    peer.send_without_turn(request); // found by the look before the close
     b.turn();
-    Peer::until("op", [&] { return b.told.lines.size() == 2; });
+    TestConnection::until("op", [&] { return b.told.lines.size() == 2; });
     std::printf("  %zu connections\n", b.front.connections());
     b.front.served(b.told.lines[1], "crossed");
     b.turn();
@@ -139,20 +140,20 @@
   say("evicted for room: what comes then is dropped, the room is there at once");
   {
     Bench b;
-    Peer peer = b.answered();
+    TestConnection peer = b.answered();
     b.now += ms;
-    std::vector<Peer> others;
+    std::vector<TestConnection> others;
     for (std::size_t i = 1; i < most; ++i) {
-      others.push_back(Peer::to(5050));
-      others.back().say(frame_of(frames::check, 1, {}));
+      others.push_back(TestConnection::to(5050));
+      others.back().say(frame_of(frames::health_check, 1, {}));
     }
     b.now += ms;
-    Peer newest = Peer::to(5050);
+    TestConnection newest = TestConnection::to(5050);
     const std::size_t ops = b.told.lines.size();
-    peer.slip_in(request);
+    peer.send_without_turn(request);
     left(peer, 2);
     after_it(b, peer, ops);
-    newest.say(frame_of(frames::check, 1, {}));
+    newest.say(frame_of(frames::health_check, 1, {}));
     std::printf("  %s\n", newest.frame().c_str());
   }
 
@@ -160,9 +161,9 @@
       "end");
   {
     Bench b;
-    Peer peer = Peer::to(5050);
-    const Line line = b.asked(peer, 1);
-    peer.slip_in(std::string("\4\0\0\0", 4) + std::string(60'000, 'x'));
+    TestConnection peer = TestConnection::to(5050);
+    const StreamRef line = b.asked(peer, 1);
+    peer.send_without_turn(std::string("\4\0\0\0", 4) + std::string(60'000, 'x'));
     b.turn();
     b.front.served(line, "settled");
     b.turn();
@@ -173,13 +174,13 @@
   say("a frame that trickles past its time: told, what still trickles is dropped");
   {
     Bench b;
-    Peer peer = b.answered();
+    TestConnection peer = b.answered();
     const std::size_t ops = b.told.lines.size();
     for (int i = 0; i < 3; ++i) {
       peer.say(request.substr(static_cast<std::size_t>(i), 1));
       b.pass(second / 2);
     }
-    peer.slip_in(request.substr(3));
+    peer.send_without_turn(request.substr(3));
     b.pass(second / 2);
     left(peer, 3);
     after_it(b, peer, ops);
@@ -189,13 +190,13 @@
       "any");
   {
     Bench b;
-    Peer peer = b.answered();
-    peer.at_once();
+    TestConnection peer = b.answered();
+    peer.set_no_delay();
     peer.say(request.substr(0, 40));
     b.now += 3 * second / 2;
-    peer.slip_in(request.substr(40));
+    peer.send_without_turn(request.substr(40));
     b.front.flush(b.now); // the look at times comes before the one at bytes
-    Peer::until("op", [&] { return b.told.lines.size() == 2; });
+    TestConnection::until("op", [&] { return b.told.lines.size() == 2; });
     b.front.served(b.told.lines[1], "slow");
     b.turn();
     for (int i = 0; i < 2; ++i) std::printf("  %s\n", peer.frame().c_str());
@@ -205,13 +206,13 @@
   const auto slow = [](const char* what, const std::function<void(Bench&)>& told) {
     say(what);
     Bench b;
-    Peer peer = b.answered();
+    TestConnection peer = b.answered();
     peer.say(request.substr(0, 40)); // begun before it is told
     told(b);
     b.pass(second / 2);
     b.pass(second / 4); // past the end of others
     peer.say(request.substr(40));
-    Peer::until("op", [&] { return b.told.lines.size() == 2; });
+    TestConnection::until("op", [&] { return b.told.lines.size() == 2; });
     b.front.served(b.told.lines[1], "slow");
     b.turn();
     b.pass(second / 2);
@@ -220,7 +221,7 @@
   slow("a slow writer on a connection that is told to end: its request is waited for, and answered; then the "
        "end",
        [](Bench& b) {
-         b.front.idle_close(second / 2);
+         b.front.set_idle_timeout(second / 2);
          b.pass(second / 2);
        });
   slow("the same as the listener closes", [](Bench& b) { b.front.stop_accepting(); });
@@ -228,8 +229,8 @@
   say("half-closed by the peer: with an op open it has its answer, with half a request none is owed");
   {
     Bench b;
-    Peer whole = Peer::to(5050), half = Peer::to(5050);
-    const Line line = b.asked(whole, 1);
+    TestConnection whole = TestConnection::to(5050), half = TestConnection::to(5050);
+    const StreamRef line = b.asked(whole, 1);
     half.say(request.substr(0, 40));
     whole.stop_sending(), half.stop_sending();
     left(half, 0);
@@ -241,24 +242,24 @@
   say("connected and written to before the listener closes, and not accepted yet: read and answered");
   {
     Bench b;
-    Peer::turn = [] {};
-    std::vector<Peer> waiting;
+    TestConnection::turn = [] {};
+    std::vector<TestConnection> waiting;
     for (int i = 0; i < 20; ++i) {
-      waiting.push_back(Peer::to(5050));
-      waiting.back().slip_in(request);
+      waiting.push_back(TestConnection::to(5050));
+      waiting.back().send_without_turn(request);
     }
-    Peer::turn = [&b] { b.turn(); };
+    TestConnection::turn = [&b] { b.turn(); };
     b.front.stop_accepting();
     std::printf("  %zu ops read\n", b.told.lines.size());
-    for (const Line line : b.told.lines) b.front.refused(line, 0, false);
+    for (const StreamRef line : b.told.lines) b.front.refused(line, 0, false);
     b.turn();
     b.pass(second / 2);
-    for (Peer& peer : waiting) {
+    for (TestConnection& peer : waiting) {
       peer.frame(), peer.frame();
       peer.to_end();
       if (peer.was_reset()) std::puts("  a reset");
     }
-    Peer::until("close", [&] {
+    TestConnection::until("close", [&] {
       waiting.clear();
       return b.front.closed();
     });
@@ -269,15 +270,15 @@
   {
     Bench b;
     alarm(10); // ends the test where it does
-    Peer::turn = [] {};
-    Peer gone = Peer::to(5050);
+    TestConnection::turn = [] {};
+    TestConnection gone = TestConnection::to(5050);
     gone_before = 1;
     b.turn();
     std::printf("  %d to come, %zu connections\n", gone_before, b.front.connections());
-    Peer first = Peer::to(5050), good = Peer::to(5050);
-    good.slip_in(request);
+    TestConnection first = TestConnection::to(5050), good = TestConnection::to(5050);
+    good.send_without_turn(request);
     gone_before = 1;
-    Peer::turn = [&b] { b.turn(); };
+    TestConnection::turn = [&b] { b.turn(); };
     b.front.stop_accepting();
     alarm(0);
     std::printf("  %d to come, %zu connections, %zu ops read\n", gone_before, b.front.connections(),
@@ -294,16 +295,16 @@
     for (const std::string& bytes :
          {std::string(), request.substr(0, 40), request, request + ask(8, "9b1f03aa5c7e2d43")}) {
       const std::size_t read = b.told.lines.size(), lost = b.told.lost;
-      Peer::turn = [] {};
-      Peer peer = Peer::to(5050);
-      peer.slip_in(bytes);
+      TestConnection::turn = [] {};
+      TestConnection peer = TestConnection::to(5050);
+      peer.send_without_turn(bytes);
       peer.reset();
-      Peer::turn = [&b] { b.turn(); };
+      TestConnection::turn = [&b] { b.turn(); };
       for (int i = 0; i < 4; ++i) b.turn();
       std::printf("  %zu connections, as many lost as read: %d\n", b.front.connections(),
                   b.told.lines.size() - read == b.told.lost - lost);
     }
-    Peer good = b.answered();
+    TestConnection good = b.answered();
     std::printf("  %s\n", good.frame().c_str());
   }
 
@@ -311,7 +312,7 @@
       "longer");
   {
     Bench b;
-    std::vector<Peer> deaf;
+    std::vector<TestConnection> deaf;
     for (int i = 0; i < 10; ++i) deaf.push_back(b.answered());
     b.front.stop_accepting();
     b.turn();
@@ -324,10 +325,10 @@
   say("one that takes nothing of what waits for it ends when nobody can wait for that any more");
   {
     Bench b;
-    Peer peer = Peer::to(5050);
-    peer.small_window();
+    TestConnection peer = TestConnection::to(5050);
+    peer.set_small_window();
     std::uint32_t stream = 0;
-    Peer::until("room to end", [&] { // until some of it waits here
+    TestConnection::until("room to end", [&] { // until some of it waits here
       b.front.served(b.asked(peer, ++stream), std::string(4096, 'x'));
       b.turn();
       return b.front.waiting() > 0;
--- a/tests/fleet_of_followers.hpp
+++ b/tests/fleet_of_followers.hpp
@@ -65,7 +65,7 @@
     Nanos at = 0;
   };
 
-  struct Control final : FeedOrders {
+  struct Control final : FeedActions {
     FleetOfFollowers& fleet;
     MemberId id;
     std::string region, zone;
@@ -89,18 +89,18 @@
       return all;
     }
     void count(MemberId to, const std::vector<const Entry*>& entries) {
-      std::size_t bytes = word_overhead;
+      std::size_t bytes = message_overhead;
       for (const Entry* entry : entries) bytes += bytes_of(*entry);
       fleet.spent(*this, to, bytes);
     }
-    void delta(MemberId to, Incarnation of, FollowNo n, Version from, Version upto, Version last, Nanos age,
-               const std::vector<const Entry*>& entries) override {
+    void delta(MemberId to, Incarnation of, AttachmentNumber n, Version from, Version upto, Version last,
+               Nanos age, const std::vector<const Entry*>& entries) override {
       count(to, entries);
       say(to, 1, [id = id, of, n, from, upto, last, age, all = copied(entries), &f = fleet](Follower& at) {
         at.delta(f.now, id, of, n, from, upto, last, age, all);
       });
     }
-    void renewal(MemberId to, Incarnation of, FollowNo n, Version at,
+    void renewal(MemberId to, Incarnation of, AttachmentNumber n, Version at,
                  const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version last,
                  const std::vector<const Entry*>& entries) override {
       count(to, entries);
@@ -109,28 +109,28 @@
         one.renewal(f.now, id, of, n, at, scopes, from, upto, last, all);
       });
     }
-    void beat(MemberId to, Incarnation of, FollowNo n, Version committed, Nanos age) override {
+    void beat(MemberId to, Incarnation of, AttachmentNumber n, Version committed, Nanos age) override {
       count(to, {});
       say(to, 2, [id = id, of, n, committed, age, &f = fleet](Follower& at) {
         at.beat(f.now, id, of, n, committed, age);
       });
     }
-    void rest(MemberId to, Incarnation of, FollowNo n, Nanos rest) override {
+    void rest(MemberId to, Incarnation of, AttachmentNumber n, Nanos rest) override {
       count(to, {});
       say(to, 3, [id = id, of, n, rest, &f = fleet](Follower& at) { at.rest(f.now, id, of, n, rest); });
     }
-    void elsewhere(MemberId to, Incarnation of, FollowNo n) override {
+    void elsewhere(MemberId to, Incarnation of, AttachmentNumber n) override {
       say(to, 4, [id = id, of, n, &f = fleet](Follower& at) { at.elsewhere(f.now, id, of, n); });
     }
-    void again(MemberId to, Incarnation of, FollowNo n) override {
+    void again(MemberId to, Incarnation of, AttachmentNumber n) override {
       say(to, 4, [id = id, of, n, &f = fleet](Follower& at) { at.again(f.now, id, of, n); });
     }
   };
 
-  struct Server final : FollowerOrders {
+  struct Server final : FollowerActions {
     FleetOfFollowers& fleet;
     MemberId id;
-    Follower::Place place;
+    Follower::Location place;
     std::vector<std::string> scopes;
     std::unique_ptr<Follower> follower;
     std::uint64_t lives = 0;
@@ -144,19 +144,20 @@
     void say(MemberId to, int matter, std::function<void(Feed&)> what) {
       fleet.to_control(*this, to, matter, std::move(what));
     }
-    void follow(MemberId to, FollowNo n, bool primary, const Position& at,
-                const std::vector<ScopeHeld>& held) override {
+    void follow(MemberId to, AttachmentNumber n, bool primary, const Position& at,
+                const std::vector<FollowedScope>& held) override {
       say(to, 1, [id = id, of = of(), n, primary, at, held, &f = fleet](Feed& feed) {
         feed.follow(f.now, id, of, n, primary, at, held);
       });
     }
-    void unfollow(MemberId to, FollowNo n) override {
+    void unfollow(MemberId to, AttachmentNumber n) override {
       say(to, 1, [id = id, of = of(), n, &f = fleet](Feed& feed) { feed.unfollow(f.now, id, of, n); });
     }
-    void have(MemberId to, FollowNo n, const Position& at) override {
+    void have(MemberId to, AttachmentNumber n, const Position& at) override {
       say(to, 2, [id = id, of = of(), n, at, &f = fleet](Feed& feed) { feed.have(f.now, id, of, n, at); });
     }
-    void compare(MemberId to, FollowNo n, Version at, const std::vector<std::uint64_t>& digests) override {
+    void compare(MemberId to, AttachmentNumber n, Version at,
+                 const std::vector<std::uint64_t>& digests) override {
       say(to, 3, [id = id, of = of(), n, at, digests, &f = fleet](Feed& feed) {
         feed.compare(f.now, id, of, n, at, digests);
       });
@@ -166,10 +167,10 @@
     void refused(const Entry& entry, std::string_view) override {
       if (!refuses(entry.value)) fleet.wrong(id, "refused what it can take");
     }
-    void taken(Version version, const std::vector<const Entry*>& changed) override {
+    void applied(Version version, const std::vector<const Entry*>& changed) override {
       fleet.taken(*this, version, changed);
     }
-    void left(MemberId, LeftWhy) override {}
+    void left(MemberId, LeaveReason) override {}
   };
 
   Plan plan_;
@@ -240,7 +241,7 @@
     if (verdict_.level_after < 0 || verdict_.level_after > plan_.level_within)
       wrong({}, "not all level in time");
     for (auto& one : controls_) add(verdict_.feed, one->feed->counts());
-    if (verdict_.feed.senseless + verdict_.follower.senseless > 0) wrong({}, "says what makes no sense");
+    if (verdict_.feed.invalid + verdict_.follower.invalid > 0) wrong({}, "says what makes no sense");
     return verdict_;
   }
 
@@ -273,7 +274,7 @@
       trouble(rate, what);
     });
   }
-  Given figures() const {
+  Settings figures() const {
     const bool small = plan_.small_parts;
     return {{"control.beat", 500e6},      {"control.silent", 1600e6},
             {"control.answer", 400e6},    {"control.most_part", small ? 700.0 : 7000.0},
@@ -315,7 +316,7 @@
     }
   }
   void catch_up(Control& c) {
-    if (c.feed->is_blank()) return;
+    if (c.feed->is_inactive()) return;
     for (; c.position < c.arrived; ++c.position) {
       c.state->take(log_[c.position]);
       c.feed->committed(now, log_[c.position]);
@@ -324,7 +325,7 @@
   }
   void beat_of_writer() {
     for (auto& one : controls_)
-      if (one->position == log_.size() && !one->feed->is_blank()) one->feed->current(now);
+      if (one->position == log_.size() && !one->feed->is_inactive()) one->feed->confirm_current(now);
     at(now + 200 * ms, [this] { beat_of_writer(); });
   }
 
@@ -347,7 +348,7 @@
   }
   // To what it has heard of, or an older state, which has only what stands.
   void bring_up(Control& c) {
-    if (!c.feed->is_blank()) return;
+    if (!c.feed->is_inactive()) return;
     c.state->clear();
     c.position = c.arrived - std::min<std::size_t>(c.arrived, chance_.next() % 2 * (chance_.next() % 30));
     for (const auto& [scope, keys] : histories_)
@@ -358,13 +359,13 @@
       c.state->reached(log_[c.position - 1].version);
       c.state->raise_floor(log_[c.position - 1].version);
     }
-    c.feed->ready(now);
+    c.feed->activate(now);
     at(now + part(second), [this, &c] { in(c, [this, &c] { catch_up(c); }); });
     turned(c);
   }
   void go_blank(Control& c) {
-    if (c.feed->is_blank()) return;
-    c.feed->blank(now);
+    if (c.feed->is_inactive()) return;
+    c.feed->deactivate(now);
     turned(c);
     at(now + part(2 * second), [this, &c, life = c.lives] {
       if (c.lives == life) bring_up(c);
@@ -408,7 +409,7 @@
     c.feed->due(now);
     if (!c.renewing.empty()) {
       std::set<MemberId> still;
-      for (const Feed::Standing& one : c.feed->standing())
+      for (const Feed::Status& one : c.feed->status())
         if (one.renewing) still.insert(one.member);
       std::erase_if(c.renewing, [&](MemberId one) { return !still.contains(one); });
       verdict_.most_renewals = std::max({verdict_.most_renewals, c.renewing.size(), c.feed->renewals()});
@@ -569,7 +570,7 @@
     go_on(s, version == Version{} ? 0 : places_.at(version));
     std::map<std::string, std::string, std::less<>> has;
     for (const std::string& scope : s.scopes)
-      s.follower->in(scope, [&](const Entry& entry) { return has[entry.key] = entry.value, true; });
+      s.follower->for_each_in(scope, [&](const Entry& entry) { return has[entry.key] = entry.value, true; });
     if (has != s.force) wrong(s.id, "has another state than the true one of its version");
   }
   // Level: the newest state, known to be so.
--- a/tests/fleet_of_leases.hpp
+++ b/tests/fleet_of_leases.hpp
@@ -52,7 +52,7 @@
 };
 
 class FleetOfLeases {
-  struct Member final : LeaseOrders {
+  struct Member final : LeaseActions {
     FleetOfLeases& fleet;
     MemberId self;
     std::uint64_t lives = 0;
@@ -79,8 +79,8 @@
                  [what = std::move(what), tells, from = self, file = voters->on_file(),
                   list = voters->list()](Member& at, Nanos now) {
                    if (tells) {
-                     at.voters->heard(now, from, file);
-                     at.voters->learnt(now, list);
+                     at.voters->file_epoch_received(now, from, file);
+                     at.voters->list_received(now, list);
                    }
                    what(*at.leases, now);
                  });
@@ -108,7 +108,7 @@
     void held(std::string_view, Token token, Nanos from, Nanos until) override {
       fleet.held(*this, token, from, until);
     }
-    void lost(std::string_view, Token, LostWhy) override { fleet.let_go(*this); }
+    void lost(std::string_view, Token, LossReason) override { fleet.let_go(*this); }
   };
 
   struct Holding {
@@ -203,17 +203,17 @@
     one.paused_until = 0;
     const double settle = static_cast<double>(plan_.term) * (1 + plan_.drift) / (1 - plan_.drift);
     one.voters = std::make_unique<Voters>(one.clock(), one.self, one.file, static_cast<Nanos>(settle) + 1);
-    const Given figures{{"leases.term", static_cast<double>(plan_.term)},
-                        {"leases.longest_term", static_cast<double>(plan_.term)},
-                        {"leases.drift", plan_.drift},
-                        {"leases.longest_act", static_cast<double>(plan_.lock_delay)},
-                        {"leases.most_terms", static_cast<double>(plan_.most_terms)},
-                        {"leases.first_token", plan_.hints ? static_cast<double>(now / ms) : 0},
-                        {"leases.most", 16.0}};
+    const Settings figures{{"leases.term", static_cast<double>(plan_.term)},
+                           {"leases.longest_term", static_cast<double>(plan_.term)},
+                           {"leases.drift", plan_.drift},
+                           {"leases.longest_act", static_cast<double>(plan_.lock_delay)},
+                           {"leases.most_terms", static_cast<double>(plan_.most_terms)},
+                           {"leases.first_token", plan_.hints ? static_cast<double>(now / ms) : 0},
+                           {"leases.most", 16.0}};
     one.leases = std::make_unique<Leases>(one.clock(), one.self, one.incarnation(), *one.voters, figures,
                                           plan_.seed * 1000 + one.self.raw * 50 + one.lives, one);
     one.woken_for = -1;
-    one.leases->want(one.clock(), task);
+    one.leases->acquire(one.clock(), task);
     wake(one);
   }
   // A new list, of other voters at times and of as many or more or fewer, comes to each member's file after a
@@ -241,7 +241,7 @@
     }
   }
   void read_file(Member& one) {
-    one.voters->take(one.clock(), one.file);
+    one.voters->apply_file(one.clock(), one.file);
     wake(one);
   }
   void crash(Member& one) {
@@ -298,7 +298,7 @@
     one.leases->drop(one.clock(), task);
     at(now + part(plan_.term), [this, &one, life = one.lives] {
       if (!one.up || one.lives != life) return;
-      one.leases->want(one.clock(), task);
+      one.leases->acquire(one.clock(), task);
       wake(one);
     });
   }
@@ -329,7 +329,7 @@
       what();
   }
   void wake(Member& one) {
-    one.voters->passed(one.clock());
+    one.voters->advance_time(one.clock());
     Nanos next = one.leases->next_wake();
     if (const Nanos settled = one.voters->next_wake(); settled >= 0 && (next < 0 || settled < next))
       next = settled;
@@ -339,8 +339,8 @@
       if (one.lives != life || one.woken_for != next) return;
       in(one, [this, &one] {
         one.woken_for = -1;
-        if (one.file.epoch > one.voters->on_file()) one.voters->take(one.clock(), one.file);
-        if (plan_.counts) one.leases->count(static_cast<std::uint64_t>(now / ms));
+        if (one.file.epoch > one.voters->on_file()) one.voters->apply_file(one.clock(), one.file);
+        if (plan_.counts) one.leases->raise_token_counter(static_cast<std::uint64_t>(now / ms));
         one.leases->due(one.clock());
         wake(one);
       });
--- a/tests/fleet_of_replicas.hpp
+++ b/tests/fleet_of_replicas.hpp
@@ -46,7 +46,7 @@
 };
 
 class FleetOfReplicas {
-  struct Member final : LeaseOrders, ReplicaOrders {
+  struct Member final : LeaseActions, ReplicaActions {
     FleetOfReplicas& fleet;
     MemberId self;
     std::uint64_t lives = 0;
@@ -96,9 +96,9 @@
       });
     }
     void held(std::string_view, Token token, Nanos, Nanos until) override {
-      replica->held(clock(), token, until);
+      replica->lease_held(clock(), token, until);
     }
-    void lost(std::string_view, Token token, LostWhy) override { replica->lost(clock(), token); }
+    void lost(std::string_view, Token token, LossReason) override { replica->lease_lost(clock(), token); }
 
     // ---- of the replica
     void prepare(MemberId to, Token token, std::uint32_t round) override {
@@ -107,7 +107,7 @@
       });
     }
     void promise(MemberId to, Incarnation of, Token token, std::uint32_t round,
-                 const LogStanding& standing) override {
+                 const LogStatus& standing) override {
       to_replica(to, [from = self, me = incarnation(), of, token, round, standing](Replica& at, Nanos now) {
         at.promised(now, from, me, of, token, round, standing);
       });
@@ -140,22 +140,24 @@
         at.chunked(now, from, me, of, chunk);
       });
     }
-    void pass(MemberId to, Incarnation of, Token token, const PassedPut& put) override {
+    void pass(MemberId to, Incarnation of, Token token, const ForwardedPut& put) override {
       to_replica(to, [from = self, me = incarnation(), of, token, put](Replica& at, Nanos now) {
         at.passed(now, from, me, of, token, put);
       });
     }
-    void answer(MemberId to, Incarnation of, Token token, PutNo put, PutEnd end, Version version,
+    void answer(MemberId to, Incarnation of, Token token, PutNumber put, PutOutcome end, Version version,
                 std::string_view why) override {
       to_replica(to, [from = self, me = incarnation(), of, token, put, end, version,
                       why = std::string(why)](Replica& at, Nanos now) {
         at.answered(now, from, me, of, token, put, end, version, why);
       });
     }
-    std::string why_not(const Entry& entry) override { return entry.value == "bad" ? "it is bad" : ""; }
+    std::string rejection_reason(const Entry& entry) override {
+      return entry.value == "bad" ? "it is bad" : "";
+    }
     void committed(const Record& record) override { fleet.committed(*this, record); }
     void replaced() override { fleet.replaced(*this); }
-    void ended(PutNo put, PutEnd end, Version version, std::string_view) override {
+    void ended(PutNumber put, PutOutcome end, Version version, std::string_view) override {
       fleet.ended(*this, put, end, version);
     }
     void began(Token token, bool after_loss) override { fleet.began(*this, token, after_loss); }
@@ -163,11 +165,11 @@
     void superseded(Token, Token seen) override { refused_tokens.push_back(seen); }
   };
 
-  using PutId = std::tuple<MemberId, Incarnation, PutNo>;
+  using PutId = std::tuple<MemberId, Incarnation, PutNumber>;
   struct PutKnown {
     std::string key;
     std::optional<Version> expected;
-    std::optional<PutEnd> end;
+    std::optional<PutOutcome> end;
     Version done{}, written{};
   };
   struct Link { // of the one order, as committed anywhere
@@ -217,7 +219,7 @@
     trouble(plan.crashes, [this] { crash(any()); });
     trouble(plan.writer_crashes, [this] {
       for (auto& one : members_)
-        if (one->up && one->replica->writes(one->clock())) return crash(*one);
+        if (one->up && one->replica->is_writer(one->clock())) return crash(*one);
     });
     trouble(plan.losses, [this] { lose_most(); });
     trouble(plan.pauses, [this] { pause(any(), part(3 * plan_.term)); });
@@ -245,7 +247,7 @@
   }
 
  private:
-  Given figures() const {
+  Settings figures() const {
     return {{"control.most_entries", 60.0},
             {"control.most_bytes", 3000.0},
             {"control.most_key", 100.0},
@@ -308,22 +310,23 @@
     const double settle = static_cast<double>(plan_.term) * (1 + plan_.drift) / (1 - plan_.drift);
     one.voters = std::make_unique<Voters>(one.clock(), one.self, VoterList{Epoch{1}, voter_ids_, {}},
                                           static_cast<Nanos>(settle) + 1);
-    const Given leases{{"leases.term", static_cast<double>(plan_.term)},
-                       {"leases.longest_term", static_cast<double>(plan_.term)},
-                       {"leases.drift", plan_.drift},
-                       {"leases.first_token", static_cast<double>(now / ms)},
-                       {"leases.most", 16.0}};
+    const Settings leases{{"leases.term", static_cast<double>(plan_.term)},
+                          {"leases.longest_term", static_cast<double>(plan_.term)},
+                          {"leases.drift", plan_.drift},
+                          {"leases.first_token", static_cast<double>(now / ms)},
+                          {"leases.most", 16.0}};
     one.leases = std::make_unique<Leases>(one.clock(), one.self, one.incarnation(), *one.voters, leases,
                                           plan_.seed * 1000 + one.self.raw * 50 + one.lives, one);
     one.replica = std::make_unique<Replica>(one.clock(), one.self, one.incarnation(), all_ids_, voter_ids_,
                                             figures(), one);
     one.woken_for = -1;
-    if (plan_.by_chance == 0) one.leases->want(one.clock(), control_lease);
+    if (plan_.by_chance == 0) one.leases->acquire(one.clock(), control_lease);
     wake(one);
   }
   void hold(Member& one, std::uint64_t back) {
     granted_ += 3;
-    one.replica->held(one.clock(), Token{(granted_ - back) << 16 | one.self.raw}, one.clock() + 20 * second);
+    one.replica->lease_held(one.clock(), Token{(granted_ - back) << 16 | one.self.raw},
+                            one.clock() + 20 * second);
     wake(one);
   }
   void hold_by_chance() {
@@ -464,7 +467,7 @@
   PutId put_at(Member& one, const std::string& key, std::string value, std::optional<Version> expected,
                bool deleted = false) {
     // It may end within the call: the referee has to know it before.
-    const PutId id{one.self, one.incarnation(), PutNo{one.replica->standing().puts_so_far + 1}};
+    const PutId id{one.self, one.incarnation(), PutNumber{one.replica->status().puts_so_far + 1}};
     puts_[id] = {key, expected, std::nullopt, {}, {}};
     if (one.replica->put(one.clock(), key, std::move(value), deleted, expected).raw == 0)
       puts_.erase(id);
@@ -513,7 +516,7 @@
   }
   void take(const Record& record) {
     if (record.put.raw == 0) return;
-    const auto put = puts_.find({record.entry.writer, record.of, record.put});
+    const auto put = puts_.find({record.entry.writer, record.writer_incarnation, record.put});
     if (put == puts_.end()) return wrong("a put that nobody made");
     PutKnown& p = put->second;
     if (p.written != Version{})
@@ -522,7 +525,7 @@
     const Entry* held = reference_.find(record.entry.key);
     if (p.expected && (held && !held->deleted ? held->version != *p.expected : *p.expected != Version{}))
       wrong("a put over what was changed meanwhile, " + name_of(p.written));
-    if (p.end == PutEnd::refused) wrong("a put that was refused, " + name_of(record.entry.version));
+    if (p.end == PutOutcome::refused) wrong("a put that was refused, " + name_of(record.entry.version));
   }
   void replaced(Member& one) {
     ++verdict_.transfers;
@@ -536,17 +539,17 @@
       wrong("member " + name_of(one) + " was transferred another state at " + name_of(version));
     one.told = version;
   }
-  void ended(Member& one, PutNo number, PutEnd end, Version version) {
+  void ended(Member& one, PutNumber number, PutOutcome end, Version version) {
     const auto put = puts_.find({one.self, one.incarnation(), number});
     if (put == puts_.end() || put->second.end) return wrong("an answer to no put");
     PutKnown& p = put->second;
     p.end = end;
     p.done = version;
-    if (end == PutEnd::done) {
+    if (end == PutOutcome::done) {
       ++verdict_.done;
       if (p.written != version)
         wrong("a put answered as done at " + name_of(version) + " that is not committed there");
-    } else if (end == PutEnd::refused) {
+    } else if (end == PutOutcome::refused) {
       ++verdict_.refused;
       if (p.written != Version{}) wrong("a put that was committed, refused");
     } else {
@@ -591,10 +594,10 @@
           digest_of(one->replica->entries()) != digest_of(first->replica->entries()))
         wrong("members " + name_of(*one) + " and " + name_of(*first) + " are not level in the end");
       if (one->replica->no_room() > 0) wrong("no room for what was committed");
-      if (one->replica->standing().puts > 0) wrong("puts that never end");
+      if (one->replica->status().puts > 0) wrong("puts that never end");
     }
     for (const PutId& id : last_puts_)
-      if (const auto put = puts_.find(id); put == puts_.end() || put->second.end != PutEnd::done)
+      if (const auto put = puts_.find(id); put == puts_.end() || put->second.end != PutOutcome::done)
         wrong("a put in quiet times is not done");
     if (first && first->replica->committed() != head_) wrong("the order's end is not held");
   }
--- a/tests/forms.cpp
+++ b/tests/forms.cpp
@@ -13,14 +13,14 @@
 void say(const char* what) { std::printf("# %s\n", what); }
 
 // Each op is refused as soon as it is read, unless it is to stay open; what was read of it is kept in words.
-struct Told final : Front::Taker {
+struct Told final : Front::Handler {
   Front* front = nullptr;
   bool leave_open = false;
   std::string words;
   std::size_t ops = 0;
-  void op_came(Line line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door, Nanos limit,
-               double held_kb, double rank, std::string_view mark, std::string_view subject,
-               std::string_view body) override {
+  void op_received(StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
+                   Nanos limit, double held_kb, double rank, std::string_view mark, std::string_view subject,
+                   std::string_view body) override {
     char text[300];
     std::snprintf(
         text, sizeof text,
@@ -35,26 +35,30 @@
     ++ops;
     if (!leave_open) front->refused(line, 0, false);
   }
-  void line_lost(Line) override { words += "lost\n"; }
+  void stream_lost(StreamRef) override { words += "lost\n"; }
   std::string take() { return std::exchange(words, {}); }
 };
 
 struct Bench {
   asio::io_context io;
   Told told;
-  Front front{io,  Peer::at(5050), 24, 256 * 1024, {{"look", "book"}, {false, true}, {"acme", "other"}, true},
+  Front front{io,
+              TestConnection::at(5050),
+              24,
+              256 * 1024,
+              {{"look", "book"}, {false, true}, {"acme", "other"}, true},
               told};
-  Peer peer;
-  Bench() : peer((begin(), Peer::to(5050))) {}
+  TestConnection peer;
+  Bench() : peer((begin(), TestConnection::to(5050))) {}
   ~Bench() {
-    Peer::turn = [] {};
+    TestConnection::turn = [] {};
   }
   void begin() {
     told.front = &front;
-    front.accept_again(ms);
-    front.when_full({Eviction::newest}, 4000);
-    front.leave_to_end(second);
-    Peer::turn = [this] {
+    front.accept_retry_delay(ms);
+    front.set_eviction_order({Eviction::newest}, 4000);
+    front.connection_drain_delay(second);
+    TestConnection::turn = [this] {
       io.restart();
       io.poll();
       front.flush(second);
@@ -71,12 +75,12 @@
 void in_pieces() {
   say("a request, a check and a keyed request: cut at each place, and byte by byte");
   Bench b;
-  b.peer.at_once();
+  b.peer.set_no_delay();
   std::uint32_t stream = 0;
   const auto three = [&] {
     stream += 3;
     return ask(stream - 2, "9b1f03aa5c7e2d41", {{"item", "7f3a9c21e0b4d655"}}, "a body") +
-           frame_of(frames::check, stream - 1, {{"at", "1"}}) +
+           frame_of(frames::health_check, stream - 1, {{"at", "1"}}) +
            ask(stream, "9b1f03aa5c7e2d42", {{"verb", "book"}, {"unique", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}},
                "");
   };
@@ -122,7 +126,7 @@
     std::printf("  %s  %s\n", words.c_str(), answer.c_str());
   };
   const std::string txn = "00000000000000ff";
-  read(frame_of(frames::ask, ++stream,
+  read(frame_of(frames::request, ++stream,
                 {{"standing", "0"},
                  {"ram", "0.001"},
                  {"limit", "1"},
@@ -144,18 +148,18 @@
       {"limit", "10"},  {"ram", "1.5"}, {"standing", "0.5"}, {"", ""},    {"unique", std::string(64, 'u')},
       {"item", ""}};
   for (int i = 0; many.size() < 255; ++i) many.emplace_back("f" + std::to_string(i), i % 2 ? "" : "value");
-  read(frame_of(frames::ask, ++stream, many, "b"));
+  read(frame_of(frames::request, ++stream, many, "b"));
   read(ask(++stream, txn, {{"unique", "a mark where none is asked for"}}, ""));
   read(ask(++stream, txn, {}, every_byte()));
 
   say("checks: on any stream, the same again, without fields, as long as a frame may be");
-  for (const std::uint32_t on : {0u, 7u, 7u, 4294967295u}) read(frame_of(frames::check, on, {}));
+  for (const std::uint32_t on : {0u, 7u, 7u, 4294967295u}) read(frame_of(frames::health_check, on, {}));
   Fields longest;
   for (int i = 0; i < 5; ++i) longest.emplace_back("f" + std::to_string(i), std::string(50'000, 'x'));
-  std::string frame = frame_of(frames::check, 1, longest);
-  frame.append(frames::most_length + 4 - frame.size(), 'y'); // bytes behind the fields
+  std::string frame = frame_of(frames::health_check, 1, longest);
+  frame.append(frames::max_length + 4 - frame.size(), 'y'); // bytes behind the fields
   for (int i = 0; i < 4; ++i)
-    frame[static_cast<std::size_t>(i)] = static_cast<char>(frames::most_length >> 8 * i);
+    frame[static_cast<std::size_t>(i)] = static_cast<char>(frames::max_length >> 8 * i);
   read(frame);
   read(ask(++stream, txn));
 
@@ -176,7 +180,7 @@
               answered == asked);
 
   say("one that is still open is not new, however many came since");
-  Peer other = Peer::to(5050);
+  TestConnection other = TestConnection::to(5050);
   b.told.leave_open = true;
   other.say(ask(10, txn));
   b.told.leave_open = false;
@@ -185,7 +189,7 @@
   std::printf("  %s\n", other.frame().c_str());
 }
 
-struct Heard final : Interpreter::Taker {
+struct Heard final : InterpreterLink::Handler {
   std::string words;
   int caught = 0;
   void machine_up(Nanos since) override { words += "  up for " + std::to_string(since / ms) + "\n"; }
@@ -201,7 +205,7 @@
     words += "  gauges " + std::to_string(values.size()) + ", last " +
              std::to_string(values.empty() ? 0 : static_cast<int>(values.back())) + "\n";
   }
-  void not_carried_out(OpId id, std::string_view command) override {
+  void command_rejected(OpId id, std::string_view command) override {
     words += "  " + std::string(command) + " " + std::to_string(id.raw) + " not carried out\n";
   }
 };
@@ -224,21 +228,21 @@
       "{\"action\":\"VALUE\",\"pos\":5,\"uid\":\"000000000000000c\",\"code\":\"fine\",\"content\":\"\","
       "\"wall_ms\":7}\n";
   const std::string gauges = "{\"meters\":[0.5, 1E1 ,3,12e1],\"echo\":\"1\",\"action\":\"TOPS\"}\n";
-  Peer machines = Peer::listening(7300);
+  TestConnection machines = TestConnection::listening(7300);
   std::string first;
   std::size_t cuts = 0, alike = 0;
   for (std::size_t cut = 0; cut <= more.size(); ++cut) { // whole first, byte by byte last
     asio::io_context io;
     Heard heard;
-    Interpreter link(io, Peer::at(7300), 1 << 20, heard);
-    link.link_again(ms);
-    Peer::turn = [&] {
+    InterpreterLink link(io, TestConnection::at(7300), 1 << 20, heard);
+    link.link_reconnect_delay(ms);
+    TestConnection::turn = [&] {
       io.restart();
       io.poll();
       link.flush();
     };
-    Peer at = machines.next();
-    at.at_once();
+    TestConnection at = machines.next();
+    at.set_no_delay();
     at.line();
     at.say(up);
     at.line();
@@ -249,11 +253,11 @@
       at.say(std::string_view(more).substr(cut));
     }
     at.say(gauges);
-    Peer::until("gauges", [&] { return heard.caught == 1; });
+    TestConnection::until("gauges", [&] { return heard.caught == 1; });
     if (cut == 0) std::printf("%s", (first = heard.words).c_str());
     ++cuts;
     alike += heard.words == first;
-    Peer::turn = [] {};
+    TestConnection::turn = [] {};
   }
   std::printf("  over 500 cuts: %d, all alike: %d\n", cuts > 500, alike == cuts);
 }
--- a/tests/frames.cpp
+++ b/tests/frames.cpp
@@ -10,7 +10,7 @@
 void read(const char* what, std::string_view payload) {
   std::string_view rest;
   std::string said;
-  const bool whole = frames::fields(
+  const bool whole = frames::for_each_field(
       payload, [&](auto name, auto value) { said.append(name).append("=").append(value).append(" "); }, rest);
   std::printf("%-24s %s, %zu left: %s\n", what, whole ? "read" : "overrun", whole ? rest.size() : 0,
               said.c_str());
@@ -18,13 +18,13 @@
 
 int main() {
   std::string out;
-  frames::put_answer(out, frames::answer, 7, frames::good, -1, 0, false, 2);
+  frames::put_answer(out, frames::response, 7, frames::ok, -1, 0, false, 2);
   show("served", out + "ok");
   out.clear();
-  frames::put_answer(out, frames::answer, 0x01020304, frames::refused, 0.25, 120, true, 0);
+  frames::put_answer(out, frames::response, 0x01020304, frames::refused, 0.25, 120, true, 0);
   show("refused", out);
   out.clear();
-  frames::put_answer(out, frames::checked, 2, frames::bad, 0, 0, false, 0);
+  frames::put_answer(out, frames::health_response, 2, frames::unhealthy, 0, 0, false, 0);
   show("checked", out);
   out.clear();
   frames::put_no_more(out);
@@ -40,7 +40,7 @@
   read("fewer than counted", "\2\1a\0\0"s);
 
   for (const std::uint32_t length : {4u, 5u, 262'144u, 262'145u})
-    std::printf("length %u: %s\n", length, frames::possible(length) ? "possible" : "out of range");
+    std::printf("length %u: %s\n", length, frames::is_valid_length(length) ? "possible" : "out of range");
   for (const char* text :
        {"9b1f03aa5c7e2d41", "9b1f03aa5c7e2d4", "9b1f03aa5c7e2d4g", "-b1f03aa5c7e2d41", ""}) {
     std::uint64_t id = 0;
--- a/tests/front.cpp
+++ b/tests/front.cpp
@@ -6,14 +6,14 @@
 
 constexpr Nanos second = 1000 * ms;
 
-struct Told final : Front::Taker {
-  std::vector<Line> lines;
-  std::vector<Line> lost;
+struct Told final : Front::Handler {
+  std::vector<StreamRef> lines;
+  std::vector<StreamRef> lost;
   bool quiet = false;
 
-  void op_came(Line line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door, Nanos limit,
-               double held_kb, double rank, std::string_view mark, std::string_view subject,
-               std::string_view body) override {
+  void op_received(StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
+                   Nanos limit, double held_kb, double rank, std::string_view mark, std::string_view subject,
+                   std::string_view body) override {
     lines.push_back(line);
     if (quiet) return;
     std::printf("  op %llx type %u tenant %u caller %llu door %lld limit %lld kb %.1f rank %.3f", // as told
@@ -23,52 +23,53 @@
     std::printf(" mark %s subject %s body of %zu\n", std::string(mark).c_str(), std::string(subject).c_str(),
                 body.size());
   }
-  void line_lost(Line line) override { lost.push_back(line); }
+  void stream_lost(StreamRef line) override { lost.push_back(line); }
 };
 
 struct Bench {
   asio::io_context io;
   Told told;
   Nanos now = second;
-  Front front{io,  Peer::at(5050), 4, 64 * 1024, {{"look", "book"}, {false, true}, {"acme", "other"}, true},
-              told};
+  Front front{
+      io,  TestConnection::at(5050), 4, 64 * 1024, {{"look", "book"}, {false, true}, {"acme", "other"}, true},
+      told};
   Bench() {
-    front.accept_again(ms);
-    front.when_full({Eviction::mute, Eviction::idle, Eviction::newest}, 4000);
-    front.leave_to_end(second);
-    Peer::turn = [this] {
+    front.accept_retry_delay(ms);
+    front.set_eviction_order({Eviction::no_frame, Eviction::idle, Eviction::newest}, 4000);
+    front.connection_drain_delay(second);
+    TestConnection::turn = [this] {
       io.restart();
       io.poll();
       front.flush(now);
     };
   }
-  Line asked(Peer& peer, const std::string& bytes) {
+  StreamRef asked(TestConnection& peer, const std::string& bytes) {
     const std::size_t before = told.lines.size();
     peer.say(bytes);
     return last(before + 1);
   }
-  Line last(std::size_t count) {
-    Peer::until("op", [&] { return told.lines.size() >= count; });
+  StreamRef last(std::size_t count) {
+    TestConnection::until("op", [&] { return told.lines.size() >= count; });
     return told.lines.back();
   }
 };
 
 void say(const char* what) { std::printf("# %s\n", what); }
-void heard(Peer& peer) { std::printf("  %s\n", peer.frame().c_str()); }
+void heard(TestConnection& peer) { std::printf("  %s\n", peer.frame().c_str()); }
 
 int main() {
   const std::string txn = "9b1f03aa5c7e2d41";
   Bench b;
-  Peer good = Peer::to(5050);
+  TestConnection good = TestConnection::to(5050);
   say("an op and its answer; checks; the free value from when it is told; a good connection stays good");
   good.say(ask(1, txn, {{"item", "7f3a"}}));
   b.front.served(b.last(1), "result");
   heard(good);
-  good.say(frame_of(frames::check, 9, {{"x", "y"}}));
+  good.say(frame_of(frames::health_check, 9, {{"x", "y"}}));
   heard(good);
   b.front.feedback(0.25);
   b.front.health(false);
-  good.say(frame_of(frames::check, 10, {}));
+  good.say(frame_of(frames::health_check, 10, {}));
   heard(good);
 
   say("readable, but not to be understood: one refusal each, and nothing else hears of them");
@@ -96,7 +97,7 @@
   for (const Fields& fields : wrong) good.say(ask(++stream, txn, fields)), heard(good);
   good.say(ask(++stream, txn, {}, std::string(2049, 'x')));
   heard(good);
-  good.say(frame_of(frames::ask, ++stream, {{"verb", "look"}, {"verb", "look"}}));
+  good.say(frame_of(frames::request, ++stream, {{"verb", "look"}, {"verb", "look"}}));
   heard(good);
   good.say(ask(++stream, txn, {}, std::string(200'000, 'x')));
   heard(good);
@@ -118,15 +119,15 @@
       {"a length under the least", std::string("\4\0\0\0", 4)},
       {"a length over the most", std::string("\1\0\4\0", 4)},
       {"an unknown type", frame_of(12, 3, {})},
-      {"a type only servers send", frame_of(frames::answer, 3, {})},
+      {"a type only servers send", frame_of(frames::response, 3, {})},
       {"fields that overrun it", head},
       {"stream 0", ask(0, txn)},
       {"a stream used twice", ask(1, txn)}};
   for (const auto& [what, bytes] : unreadable) {
     say(what);
-    Peer bad = Peer::to(5050);
+    TestConnection bad = TestConnection::to(5050);
     bad.say(ask(1, txn));
-    const Line open = b.last(3);
+    const StreamRef open = b.last(3);
     bad.say(bytes + ask(2, txn));
     heard(bad), heard(bad);
     b.front.served(open, "settled first");
@@ -142,11 +143,11 @@
 
   say("half a frame for ever, then a reset: its open op is lost, once");
   {
-    Peer half = Peer::to(5050);
+    TestConnection half = TestConnection::to(5050);
     half.say(ask(5, txn) + ask(6, txn).substr(0, 30));
     b.last(4);
     half.reset();
-    Peer::until("loss", [&] { return !b.told.lost.empty(); });
+    TestConnection::until("loss", [&] { return !b.told.lost.empty(); });
     std::printf("  lost: %zu, stream %u, read %zu, connections %zu\n", b.told.lost.size(),
                 b.told.lost[0].stream.raw, b.told.lines.size(), b.front.connections());
     b.front.served(b.told.lost[0], "nobody hears it");
@@ -154,9 +155,9 @@
 
   say("an end of what it sends still leaves it its answer");
   {
-    Peer done = Peer::to(5050);
+    TestConnection done = TestConnection::to(5050);
     done.say(ask(5, txn));
-    const Line line = b.last(5);
+    const StreamRef line = b.last(5);
     done.stop_sending();
     b.front.served(line, "late");
     heard(done);
@@ -165,9 +166,9 @@
 
   say("a peer that never reads is dropped before it fills the memory");
   {
-    Peer deaf = Peer::to(5050);
+    TestConnection deaf = TestConnection::to(5050);
     std::uint32_t asked = 0;
-    Peer::until("drop", [&] {
+    TestConnection::until("drop", [&] {
       const std::size_t before = b.told.lines.size();
       if (b.front.connections() == 2) {
         deaf.say(ask(++asked, txn));
@@ -180,29 +181,30 @@
 
   say("no room: the mute one goes, then the longest idle; where each has an op open, the newest is closed");
   {
-    const auto asking = [&](Peer& peer) { return b.asked(peer, ask(++stream, txn)); };
-    Peer idle = Peer::to(5050), mute = Peer::to(5050), busy = Peer::to(5050);
-    std::vector<Line> open{asking(busy)};
-    idle.say(frame_of(frames::check, 1, {}));
+    const auto asking = [&](TestConnection& peer) { return b.asked(peer, ask(++stream, txn)); };
+    TestConnection idle = TestConnection::to(5050), mute = TestConnection::to(5050),
+                   busy = TestConnection::to(5050);
+    std::vector<StreamRef> open{asking(busy)};
+    idle.say(frame_of(frames::health_check, 1, {}));
     heard(idle);
     b.now += second;
-    Peer::turn();
-    good.say(frame_of(frames::check, 1, {}));
+    TestConnection::turn();
+    good.say(frame_of(frames::health_check, 1, {}));
     heard(good);
-    Peer fifth = Peer::to(5050);
+    TestConnection fifth = TestConnection::to(5050);
     heard(mute), mute.to_end();
     open.push_back(asking(fifth));
-    Peer sixth = Peer::to(5050);
+    TestConnection sixth = TestConnection::to(5050);
     heard(idle), idle.to_end();
     open.push_back(asking(sixth));
     open.push_back(asking(good));
-    Peer seventh = Peer::to(5050);
+    TestConnection seventh = TestConnection::to(5050);
     seventh.to_end();
     std::printf("  %zu connections\n", b.front.connections());
-    for (const Line line : open) b.front.served(line, "still here");
+    for (const StreamRef line : open) b.front.served(line, "still here");
     heard(busy), heard(fifth), heard(sixth), heard(good);
   }
-  Peer::until("ends", [&] { return b.front.connections() == 1; });
+  TestConnection::until("ends", [&] { return b.front.connections() == 1; });
 
   say("no descriptor is free: it goes on with those it has, and accepts once one is");
   {
@@ -212,23 +214,23 @@
     getrlimit(RLIMIT_NOFILE, &most);
     limit = {static_cast<rlim_t>(next) + 1, most.rlim_max};
     setrlimit(RLIMIT_NOFILE, &limit);
-    Peer outside = Peer::to(5050); // takes the last
-    outside.say(frame_of(frames::check, 1, {}));
-    good.say(frame_of(frames::check, 11, {}));
+    TestConnection outside = TestConnection::to(5050); // takes the last
+    outside.say(frame_of(frames::health_check, 1, {}));
+    good.say(frame_of(frames::health_check, 11, {}));
     heard(good);
     std::printf("  %zu connections\n", b.front.connections());
     setrlimit(RLIMIT_NOFILE, &most);
     heard(outside);
   }
-  Peer::until("ends", [&] { return b.front.connections() == 1; });
+  TestConnection::until("ends", [&] { return b.front.connections() == 1; });
 
   say("silent for too long: told that it takes no more, then closed; not with an op open");
   {
-    b.front.silent_close(30 * second);
-    Peer silent = Peer::to(5050);
-    silent.say(frame_of(frames::check, 1, {}));
+    b.front.silent_connection_timeout(30 * second);
+    TestConnection silent = TestConnection::to(5050);
+    silent.say(frame_of(frames::health_check, 1, {}));
     heard(silent);
-    const Line line = b.asked(good, ask(++stream, txn));
+    const StreamRef line = b.asked(good, ask(++stream, txn));
     b.now += 31 * second;
     heard(silent);
     b.now += second;
@@ -240,14 +242,14 @@
   say("says nothing, or never ends a frame however it trickles: told, then closed; what idles between frames "
       "stays");
   {
-    b.front.first_word(2 * second);
-    Peer mute = Peer::to(5050), half = Peer::to(5050);
-    half.say(frame_of(frames::check, 1, {}));
+    b.front.frame_timeout(2 * second);
+    TestConnection mute = TestConnection::to(5050), half = TestConnection::to(5050);
+    half.say(frame_of(frames::health_check, 1, {}));
     heard(half);
     for (const char byte : ask(5, txn).substr(0, 4)) {
       half.say(std::string(1, byte));
       b.now += second / 2;
-      Peer::turn();
+      TestConnection::turn();
     }
     heard(mute), heard(half), heard(half);
     b.now += second;
@@ -257,41 +259,41 @@
 
   say("goes on though it was told to end, or brings op after op that nobody would send: no more is read");
   {
-    const Line kept = b.asked(good, ask(++stream, txn));
-    Peer late = Peer::to(5050);
-    late.say(frame_of(frames::check, 1, {}));
+    const StreamRef kept = b.asked(good, ask(++stream, txn));
+    TestConnection late = TestConnection::to(5050);
+    late.say(frame_of(frames::health_check, 1, {}));
     heard(late);
-    b.front.idle_close(second);
+    b.front.set_idle_timeout(second);
     b.now += second;
     heard(late);
-    const Line crossing = b.asked(late, ask(2, txn));
+    const StreamRef crossing = b.asked(late, ask(2, txn));
     b.now += second;
-    Peer::turn();
-    b.front.when_full({Eviction::newest}, 3);
-    std::vector<Line> past; // three that may have been on the way are read and answered, a fourth is not
+    TestConnection::turn();
+    b.front.set_eviction_order({Eviction::newest}, 3);
+    std::vector<StreamRef> past; // three that may have been on the way are read and answered, a fourth is not
     for (std::uint32_t i = 3; i < 6; ++i) past.push_back(b.asked(late, ask(i, txn)));
     const std::size_t read = b.told.lines.size();
     late.say(ask(6, txn));
     if (b.told.lines.size() != read) std::puts("  more was read");
     b.front.served(crossing, "settled");
-    for (const Line line : past) b.front.refused(line, 0, false);
+    for (const StreamRef line : past) b.front.refused(line, 0, false);
     for (int i = 0; i < 5; ++i) heard(late);
-    Peer again = Peer::to(5050);
+    TestConnection again = TestConnection::to(5050);
     for (std::uint32_t i = 1; i < 9; ++i) again.say(ask(i, "no id"));
     for (int i = 0; i < 5; ++i) heard(again);
     b.now += second;
     late.to_end(), again.to_end();
-    b.front.idle_close(0);
+    b.front.set_idle_timeout(0);
     b.front.served(kept, "still here");
     heard(good);
   }
 
   say("doors closed: what was connected before is told so, still read and answered, then closed; no others");
-  const Line line = b.asked(good, ask(++stream, txn));
-  const auto turn = std::exchange(Peer::turn, [] {});
-  Peer waiting = Peer::to(5050); // connected, and not accepted yet
+  const StreamRef line = b.asked(good, ask(++stream, txn));
+  const auto turn = std::exchange(TestConnection::turn, [] {});
+  TestConnection waiting = TestConnection::to(5050); // connected, and not accepted yet
   b.front.stop_accepting();
-  Peer::turn = turn;
+  TestConnection::turn = turn;
   heard(waiting), heard(good);
   std::printf("  closed: %d\n", b.front.closed());
   b.front.refused(b.asked(good, ask(++stream, txn)), 0, false);
@@ -302,8 +304,8 @@
   good.to_end(), waiting.to_end();
   std::printf("  closed: %d\n", b.front.closed()); // not while their sides stand open, for as long again
   b.now += second;
-  Peer::turn();
+  TestConnection::turn();
   std::printf("  closed: %d\n", b.front.closed());
-  Peer late = Peer::to(5050);
+  TestConnection late = TestConnection::to(5050);
   std::printf("  after it: %s\n", late.refused() ? "refused" : "taken");
 }
--- a/tests/host.cpp
+++ b/tests/host.cpp
@@ -10,10 +10,12 @@
     World w("3000");
     const auto commanded = [&] { std::printf("  link: %s\n", w.command().c_str()); };
     const auto answered = [&] { std::printf("  balancer: %s\n", w.balancer.frame().c_str()); };
-    const auto called = [&](Peer& at) { std::printf("  records: %s\n", at.request({"Op-Of"}).c_str()); };
+    const auto called = [&](TestConnection& at) {
+      std::printf("  records: %s\n", at.request({"Op-Of"}).c_str());
+    };
 
     say("before the machine is up checks are answered; an op is started once it is");
-    w.balancer.say(frame_of(frames::check, 1, {}));
+    w.balancer.say(frame_of(frames::health_check, 1, {}));
     answered();
     w.ask(1, a);
     w.link_up();
@@ -21,7 +23,7 @@
 
     say("its call, the reply and its result");
     w.notice(1, "AWAIT", a, ",\"content\":\"Y2FsbA==\"");
-    Peer records = w.below.next();
+    TestConnection records = w.below.next();
     called(records);
     records.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue");
     commanded();
@@ -43,7 +45,7 @@
     w.notice(4, "VALUE", b, fine);
     w.notice(5, "VALUE", "ffffffffffffffff", fine);
     w.notice(6, "AWAIT", b, ",\"content\":\"\"");
-    w.balancer.say(frame_of(frames::check, 2, {}));
+    w.balancer.say(frame_of(frames::health_check, 2, {}));
     answered();
 
     say("a command that is not carried out: the op is answered");
@@ -71,7 +73,7 @@
 
     say("a balancer resets with an op on the cores: forgotten, and its slot is free once the run ends");
     w.balancer.reset();
-    w.balancer = Peer::to(5050);
+    w.balancer = TestConnection::to(5050);
     w.notice(8, "VALUE", "bbbbbbbbbbbbbbb1", fine);
     w.notice(9, "VALUE", "bbbbbbbbbbbbbbb2", fine);
     w.book(1, "ccccccccccccccc1", "m3");
@@ -82,7 +84,7 @@
     w.ask(3, "ddddddddddddddd2"), commanded();
     w.book(4, "ddddddddddddddd3", "m4");
     w.balancer.reset();
-    w.balancer = Peer::to(5050);
+    w.balancer = TestConnection::to(5050);
     w.book(1, "ddddddddddddddd4", "m4");
     w.notice(10, "VALUE", "ddddddddddddddd1", fine);
     commanded();
@@ -101,7 +103,7 @@
       w.list.say("HTTP/1.1 204 No Content\r\n\r\n");
     }
     std::printf("  announce: %s\n", report.c_str());
-    w.balancer.say(frame_of(frames::check, 3, {}));
+    w.balancer.say(frame_of(frames::health_check, 3, {}));
     answered();
     w.ask(2, "ccccccccccccccc2");
     commanded();
@@ -112,7 +114,7 @@
     w.notice(13, "VALUE", "ccccccccccccccc2", fine);
     answered();
     w.balancer.to_end();
-    Peer::until("end", [&] { return w.over; });
+    TestConnection::until("end", [&] { return w.over; });
     std::printf("  over: %d\n", w.over);
   }
   {
@@ -165,39 +167,42 @@
     w.ask(1, a), w.command();
     w.ask(2, b), w.command();
     w.notice(1, "AWAIT", a, ",\"content\":\"Y2FsbA==\"");
-    Peer records = w.below.next();
+    TestConnection records = w.below.next();
     records.request({});
     const std::string elsewhere = World::json("3000", 1);
     World::hang_up(elsewhere.substr(0, 300));
     World::hang_up("{}");
     w.notice(2, "AWAIT", b, ",\"content\":\"Y2FsbA==\"");
-    Peer second = w.below.next();
+    TestConnection second = w.below.next();
     std::printf("  records: %s\n", second.request({"Op-Of"}).c_str());
-    Peer machines = Peer::listening(7301), lists = Peer::listening(2380), below = Peer::listening(5433);
+    TestConnection machines = TestConnection::listening(7301), lists = TestConnection::listening(2380),
+                   below = TestConnection::listening(5433);
     World::hang_up(elsewhere);
     World::hang_up(elsewhere); // once more changes nothing
-    Peer list = lists.next();
+    TestConnection list = lists.next();
     std::printf("  announce there: %s\n", list.request({}).c_str());
     records.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"); // in hand, ends where it was
     records.to_end();
-    w.ask(3, c);                             // both cores are free, as the others wait for calls
-    Peer::until("end of the old link", [&] { // once its last question is answered; nothing else is on it
-      if (w.machine.has_line()) {
-        const std::string line = w.machine.line();
-        w.question = line.substr(line.find("\"echo\":\"") + 8);
-        w.question.resize(w.question.find('"'));
-        if (line.find("TOP") == std::string::npos) std::printf("  on the old link: %s\n", line.c_str());
-        w.answer_gauges();
-      }
-      return w.machine.ended();
-    });
+    w.ask(3, c); // both cores are free, as the others wait for calls
+    TestConnection::until("end of the old link",
+                          [&] { // once its last question is answered; nothing else is on it
+                            if (w.machine.has_line()) {
+                              const std::string line = w.machine.line();
+                              w.question = line.substr(line.find("\"echo\":\"") + 8);
+                              w.question.resize(w.question.find('"'));
+                              if (line.find("TOP") == std::string::npos)
+                                std::printf("  on the old link: %s\n", line.c_str());
+                              w.answer_gauges();
+                            }
+                            return w.machine.ended();
+                          });
     w.machine = machines.next();
     std::printf("  link there: %s\n", w.command().c_str());
     w.question.clear();
     w.link_up();
     for (int i = 0; i < 2; ++i) std::printf("  link there: %s\n", w.command().c_str());
     w.notice(3, "AWAIT", c, ",\"content\":\"Y2FsbA==\"");
-    Peer third = below.next();
+    TestConnection third = below.next();
     std::printf("  records there: %s\n", third.request({"Op-Of"}).c_str());
     w.notice(4, "VALUE", a, fine);
     answered();
@@ -214,7 +219,7 @@
     for (std::string frame; frame.find("on 1") == std::string::npos;)
       std::printf("  balancer: %s\n", (frame = w.balancer.frame()).c_str());
     w.balancer.to_end();
-    Peer::until("end", [&] { return w.over; });
+    TestConnection::until("end", [&] { return w.over; });
     std::printf("  over: %d\n", w.over);
   }
 }
--- a/tests/lasting.cpp
+++ b/tests/lasting.cpp
@@ -45,55 +45,55 @@
   ~Counted() { in_core = before_; }
 };
 
-// A Place whose calls into the core are counted as the core's, and those out of it as the test's.
-struct Watched final : Place {
-  using Place::Place;
+// A SimulatedServer whose calls into the core are counted as the core's, and those out of it as the test's.
+struct Watched final : SimulatedServer {
+  using SimulatedServer::SimulatedServer;
   template <class What>
   void told(What what) {
     const Counted as_core(true);
     what();
   }
-  void served(Line l, OpId op, Content c) override {
+  void served(StreamRef l, OpId op, Content c) override {
     const Counted as_test(false);
-    Place::served(l, op, std::move(c));
+    SimulatedServer::served(l, op, std::move(c));
   }
-  void failed(Line l, OpId op, Reason why) override {
+  void failed(StreamRef l, OpId op, Reason why) override {
     const Counted as_test(false);
-    Place::failed(l, op, why);
+    SimulatedServer::failed(l, op, why);
   }
   void start(OpId op, OpTypeId type, const Content& c, StartNo n) override {
     const Counted as_test(false);
-    Place::start(op, type, c, n);
+    SimulatedServer::start(op, type, c, n);
   }
   void resume(OpId op, const Content& c) override {
     const Counted as_test(false);
-    Place::resume(op, c);
+    SimulatedServer::resume(op, c);
   }
   void call(OpId op, Nanos time_out, const Content& c) override {
     const Counted as_test(false);
-    Place::call(op, time_out, c);
+    SimulatedServer::call(op, time_out, c);
   }
-  void give_up_call(OpId op) override {
+  void cancel_call(OpId op) override {
     const Counted as_test(false);
-    Place::give_up_call(op);
+    SimulatedServer::cancel_call(op);
   }
 };
 
 } // namespace
 
 int main() {
-  Service service;
+  RecordsStub service;
   Watched place(service, 1);
   Pcg chance(11);
   std::uint64_t callers = 0;
-  std::queue<std::tuple<Nanos, OpId, Line>> lost; // connections that end a while after their op came
+  std::queue<std::tuple<Nanos, OpId, StreamRef>> lost; // connections that end a while after their op came
   std::int64_t early = 0, late = 0, most = 0;
   constexpr Nanos minute = 60 * second;
   for (Nanos t = 0; t < 45 * minute; t += ms) {
     const Nanos into = t % (3 * minute); // each three minutes the same troubles
-    service.takes = into > 60 * second && into < 70 * second ? 300 * ms : 5 * ms;
-    service.mute = into > 90 * second && into < 120 * second ? 0.02 : 0;
-    if (into == 130 * second) service.stands_until = t + second;
+    service.call_duration = into > 60 * second && into < 70 * second ? 300 * ms : 5 * ms;
+    service.reply_loss = into > 90 * second && into < 120 * second ? 0.02 : 0;
+    if (into == 130 * second) service.stalled_until = t + second;
     if (t % second == 0) callers += 10; // that many are new each second, and others never heard of again
     place.told([&] {
       place.step(t, false);
@@ -106,9 +106,9 @@
       const std::uint64_t third = (place.ops / 3 - 1) * 3; // a keyed one, some tries ago
       const OpId op = place.ask(connection, caller, again ? std::to_string(third * 100 + 1) : "");
       if (chance.unit() < 0.05)
-        lost.emplace(t + 20 * ms, op, Line{connection, StreamId{static_cast<std::uint32_t>(place.ops)}});
+        lost.emplace(t + 20 * ms, op, StreamRef{connection, StreamId{static_cast<std::uint32_t>(place.ops)}});
       for (; !lost.empty() && std::get<Nanos>(lost.front()) <= t; lost.pop())
-        place.lose(std::get<OpId>(lost.front()), std::get<Line>(lost.front()));
+        place.lose(std::get<OpId>(lost.front()), std::get<StreamRef>(lost.front()));
     });
     most = std::max(most, held);
     if (t % (5 * minute) == 0 && t > 0) {
--- a/tests/leases.cpp
+++ b/tests/leases.cpp
@@ -124,7 +124,7 @@
 }
 
 // One member's orders, printed.
-struct Printed final : LeaseOrders {
+struct Printed final : LeaseActions {
   void ask(MemberId v, Epoch, std::string_view l, AskNo n, Token t, Nanos term) override {
     std::printf("  ask %u for %.*s, ask %llu, token %llx, %lld ms\n", v.raw, static_cast<int>(l.size()),
                 l.data(), static_cast<unsigned long long>(n.raw), static_cast<unsigned long long>(t.raw),
@@ -146,13 +146,13 @@
     std::printf("  held under %llx from %lld to %lld ms\n", static_cast<unsigned long long>(t.raw),
                 static_cast<long long>(from / ms), static_cast<long long>(until / ms));
   }
-  void lost(std::string_view, Token t, LostWhy why) override {
+  void lost(std::string_view, Token t, LossReason why) override {
     std::printf("  lost %llx: %s\n", static_cast<unsigned long long>(t.raw),
-                std::string(word_of(why)).c_str());
+                std::string(to_text(why)).c_str());
   }
 };
 
-Given figures(Nanos longest_act = 0) {
+Settings figures(Nanos longest_act = 0) {
   return {{"leases.term", 1e9},
           {"leases.longest_term", 1e9},
           {"leases.drift", 0.01},
@@ -201,7 +201,7 @@
   const Incarnation me{5};
   Leases m(0, MemberId{9}, me, voters, figures(100 * ms), 1, out);
   say("who asks: a majority of one ask makes it a holder, counted from when the ask left, less the drift");
-  m.want(0, "t");
+  m.acquire(0, "t");
   m.due(0);
   m.granted(10 * ms, MemberId{1}, me, "t", AskNo{1}, false);
   m.granted(10 * ms, MemberId{1}, me, "t", AskNo{1}, false); // twice is once
@@ -226,17 +226,17 @@
   m.end_act(renew + 6 * ms, "t", token);
   say("a grant that comes when it has ended is none");
   Leases late(0, MemberId{9}, me, voters, figures(), 1, out);
-  late.want(0, "t");
+  late.acquire(0, "t");
   late.due(0);
   late.granted(970 * ms, MemberId{1}, me, "t", AskNo{1}, false);
   late.granted(981 * ms, MemberId{2}, me, "t", AskNo{1}, false);
   say("voters an eighth of a term away and more: asked again before they have answered; told how far, waited "
       "for");
   for (const bool told : {false, true}) {
-    Given far = figures();
+    Settings far = figures();
     if (told) far["leases.answer"] = 200e6;
     Leases away(0, MemberId{9}, me, voters, far, 1, out);
-    away.want(0, "t");
+    away.acquire(0, "t");
     away.due(0);
     away.due(126 * ms);
     away.granted(150 * ms, MemberId{1}, me, "t", AskNo{1}, false);
@@ -244,7 +244,7 @@
   }
   say("a token that is too small: at once a greater one");
   Leases small(0, MemberId{9}, me, voters, figures(), 1, out);
-  small.want(0, "t");
+  small.acquire(0, "t");
   small.due(0);
   small.refused(5 * ms, MemberId{1}, me, "t", AskNo{1}, Token{0x70003}, 0);
   small.refused(5 * ms, MemberId{2}, me, "t", AskNo{1}, Token{0x70003}, 0);
--- a/tests/link.cpp
+++ b/tests/link.cpp
@@ -3,7 +3,7 @@
 
 #include <asio/io_context.hpp>
 
-struct Told final : Interpreter::Taker {
+struct Told final : InterpreterLink::Handler {
   int caught = 0;
   int heard = 0;
 
@@ -27,7 +27,7 @@
     ++heard;
     std::printf("  gauges %zu, first %.2f\n", values.size(), values.empty() ? -1 : values[0]);
   }
-  void not_carried_out(OpId id, std::string_view command) override {
+  void command_rejected(OpId id, std::string_view command) override {
     ++heard;
     std::printf("  %s %llx not carried out\n", std::string(command).c_str(),
                 static_cast<unsigned long long>(id.raw));
@@ -37,25 +37,27 @@
 int main() {
   asio::io_context io;
   Told told;
-  Peer machine = Peer::listening(7300);
-  Interpreter link(io, Peer::at(7300), 1 << 20, told);
-  link.link_again(ms);
-  Peer::turn = [&] {
+  TestConnection machine = TestConnection::listening(7300);
+  InterpreterLink link(io, TestConnection::at(7300), 1 << 20, told);
+  link.link_reconnect_delay(ms);
+  TestConnection::turn = [&] {
     io.restart();
     io.poll();
     link.flush();
   };
   const auto say = [](const char* what) { std::printf("# %s\n", what); };
-  const auto heard = [](Peer& peer) { std::printf("> %s\n", peer.line().c_str()); };
-  const auto caught_up = [&](int times) { Peer::until("link", [&] { return told.caught == times; }); };
+  const auto heard = [](TestConnection& peer) { std::printf("> %s\n", peer.line().c_str()); };
+  const auto caught_up = [&](int times) {
+    TestConnection::until("link", [&] { return told.caught == times; });
+  };
   const auto notices = [&](int more) -> std::function<void()> {
     const int all = told.heard + more;
-    return [&told, all] { Peer::until("notices", [&] { return told.heard >= all; }); };
+    return [&told, all] { TestConnection::until("notices", [&] { return told.heard >= all; }); };
   };
   const std::string run = R"("uid":"9b1f03aa5c7e2d41")";
 
   say("the machine comes up late: nothing but CONNECT until then");
-  Peer at = machine.next();
+  TestConnection at = machine.next();
   heard(at);
   link.ask_gauges(); // too early: the answer to CONNECT has not come
   std::printf("  up: %d\n", link.up());
@@ -97,9 +99,9 @@
   link.ask_gauges();
   heard(at);
   at.reset();
-  Peer::until("break", [&] { return !link.up(); });
+  TestConnection::until("break", [&] { return !link.up(); });
   link.ask_gauges();
-  Peer again = machine.next();
+  TestConnection again = machine.next();
   heard(again);
   all = notices(2);
   again.say(
@@ -111,8 +113,8 @@
   all();
 
   say("notices missing, or one that can't be read: asked for once more, then passed over");
-  const auto link_again = [&](const char* first, int times) {
-    Peer next = machine.next();
+  const auto link_reconnect_delay = [&](const char* first, int times) {
+    TestConnection next = machine.next();
     heard(next);
     next.say("{\"action\":\"BANNER\",\"code\":\"starting\",\"wall_ms\":950}\n" + std::string(first));
     std::printf("> %s\n", next.line().c_str());
@@ -123,33 +125,33 @@
   };
   const std::string thirteen = "{\"action\":\"AWAIT\",\"pos\":13," + run + ",\"content\":\"eg==\"}\n";
   again.say(thirteen);
-  Peer third = link_again(thirteen.c_str(), 3);
+  TestConnection third = link_reconnect_delay(thirteen.c_str(), 3);
   const std::string spoilt = "{\"action\":\"AWAIT\",\"pos\":14," + run + ",\"content\":\"e?==\"}\n";
   third.say(spoilt);
-  Peer fourth = link_again(spoilt.c_str(), 4);
+  TestConnection fourth = link_reconnect_delay(spoilt.c_str(), 4);
   const std::string no_result =
       "{\"action\":\"VALUE\",\"pos\":15," + run + ",\"code\":\"fine\",\"content\":7}\n";
   fourth.say(no_result);
-  Peer fifth = link_again(no_result.c_str(), 5);
+  TestConnection fifth = link_reconnect_delay(no_result.c_str(), 5);
 
   say("a line without end: the link is made anew");
   fifth.say(std::string(70'000, 'x'));
-  Peer sixth = machine.next();
+  TestConnection sixth = machine.next();
   heard(sixth);
 
   say("a link that is taken and never speaks, or falls silent with a question out: made anew; trickling is "
       "speaking");
   link.silent_for(100 * ms);
   sixth.reset();
-  Peer mute = machine.next();
+  TestConnection mute = machine.next();
   heard(mute);
-  Peer seventh = machine.next();
+  TestConnection seventh = machine.next();
   heard(seventh);
   mute.to_end();
   const std::string banner = "{\"action\":\"BANNER\",\"code\":\"running\",\"wall_ms\":990}\n";
   const auto pass = [&](Nanos time) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::nanoseconds(time);
-    Peer::until("time", [&] { return std::chrono::steady_clock::now() >= end; });
+    TestConnection::until("time", [&] { return std::chrono::steady_clock::now() >= end; });
   };
   for (const char c : banner) seventh.say(std::string(1, c)), pass(2 * ms);
   seventh.line();
@@ -159,47 +161,47 @@
   pass(250 * ms); // nothing is owed
   std::printf("  up: %d\n", link.up());
   link.ask_gauges();
-  Peer eighth = machine.next();
+  TestConnection eighth = machine.next();
   heard(eighth);
 
   say("no descriptor is free for it: made once one is");
   {
-    link.link_again(30 * ms);
+    link.link_reconnect_delay(30 * ms);
     eighth.reset();
     pass(10 * ms); // the link has ended, its descriptor is free, and the test takes it
     {
-      const NoneFree none;
+      const NoFreeDescriptors none;
       pass(90 * ms);
       std::printf("  up: %d\n", link.up());
     }
-    Peer ninth = machine.next();
+    TestConnection ninth = machine.next();
     heard(ninth);
   }
 
   say("it does not read: made anew before what waits for it fills the memory");
   {
-    Peer small = Peer::listening(7302);
+    TestConnection small = TestConnection::listening(7302);
     Told quiet;
-    Interpreter other(io, Peer::at(7302), 64 * 1024, quiet);
-    other.link_again(ms);
-    Peer::turn = [&] {
+    InterpreterLink other(io, TestConnection::at(7302), 64 * 1024, quiet);
+    other.link_reconnect_delay(ms);
+    TestConnection::turn = [&] {
       io.restart();
       io.poll();
       other.flush();
     };
-    Peer stuck = small.next();
-    stuck.small_window();
+    TestConnection stuck = small.next();
+    stuck.set_small_window();
     stuck.line();
     stuck.say("{\"action\":\"BANNER\",\"code\":\"running\",\"wall_ms\":5}\n");
     stuck.line();
     stuck.say("{\"action\":\"TOPS\",\"echo\":\"1\",\"meters\":[1]}\n");
-    Peer::until("link", [&] { return quiet.caught == 1; });
+    TestConnection::until("link", [&] { return quiet.caught == 1; });
     std::size_t sent = 0;
-    Peer::until("break", [&] {
+    TestConnection::until("break", [&] {
       if (other.up()) other.run(OpId{7}, "look", std::string(2048, 'x')), ++sent;
       return !other.up();
     });
-    Peer again = small.next();
+    TestConnection again = small.next();
     heard(again);
     std::printf("  made anew before %s\n", sent < 20'000 ? "50 MB waited" : "nothing");
   }
--- a/tests/link_costs.cpp
+++ b/tests/link_costs.cpp
@@ -47,10 +47,10 @@
 using Members = std::vector<std::unique_ptr<Member>>; // by number, from 0: nobody
 
 // A member with its link and its list of voters, and no leases: what it asks and answers stands for them.
-struct Member final : PeerOrders, words::Listener {
+struct Member final : PeerActions, peer_codec::Listener {
   Net& net;
   Members& all;
-  words::Speaker self;
+  peer_codec::Sender self;
   Voters voting;
   Peers peers;
   Nanos armed = -1, learnt_at = -1;
@@ -58,7 +58,7 @@
   std::uint64_t next_line = 0;
 
   Member(Net& n, Members& members, MemberId number, const VoterList& list, std::vector<MemberId> others,
-         const Given& figures)
+         const Settings& figures)
       : net(n), all(members), self{"rig", number, MemberId{}, Incarnation{number.raw + 1000}},
         voting(n.now, number, list, second),
         peers(n.now, self, std::move(others), voting, figures, number.raw, *this) {
@@ -90,38 +90,41 @@
     later(to, [this, to] {
       if (!other(to)) return peers.broken(net.now, to);
       peers.connected(net.now, to);
-      peers.say(to, Peers::Slot::telling, "", words::voters(voting.on_file(), voting.list()));
+      peers.enqueue(to, Peers::MessageClass::update, "", peer_codec::voters(voting.on_file(), voting.list()));
     });
   }
-  void hang_up(MemberId to) override { lines[to] = 0; }
+  void disconnect(MemberId to) override { lines[to] = 0; }
   void send(MemberId to, std::string frame) override {
     later(to, [this, to, frame = std::move(frame)] {
       Member* const hearer = other(to);
       if (!hearer) return peers.broken(net.now, to);
-      words::Speaker speaker = self;
-      speaker.to = to;
-      words::read_letter(std::string_view(frame).substr(9), speaker, *hearer);
+      peer_codec::Sender sender = self;
+      sender.to = to;
+      peer_codec::decode_message(std::string_view(frame).substr(9), sender, *hearer);
       hearer->turn();
       peers.written(net.now, to);
     });
   }
-  void news(MemberId, Hearing, Hearing now) override { silences += now == Hearing::silent; }
-  void doubled(MemberId) override {}
+  void peer_state_changed(MemberId, PeerState, PeerState now) override {
+    silences += now == PeerState::unresponsive;
+  }
+  void duplicate_member(MemberId) override {}
   int silences = 0;
 
-  bool letter(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard, Incarnation heard_of,
-              bool leaving, const words::Rhythm& rhythm) override {
-    return peers.heard(net.now, from, of, number, heard, heard_of, leaving, rhythm);
+  bool message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
+               Incarnation acked_incarnation, bool leaving,
+               const peer_codec::HeartbeatTerms& heartbeat) override {
+    return peers.received(net.now, from, of, number, heard, acked_incarnation, leaving, heartbeat);
   }
   void voters(MemberId from, Epoch on_file, const VoterList& list) override {
-    voting.heard(net.now, from, on_file);
+    voting.file_epoch_received(net.now, from, on_file);
     const Epoch before = voting.epoch();
-    voting.learnt(net.now, list);
+    voting.list_received(net.now, list);
     if (voting.epoch() > before) learnt_at = net.now;
   }
   void asked(MemberId from, Incarnation of, Epoch, std::string_view lease, AskNo number, Token,
              Nanos) override {
-    peers.say(from, Peers::Slot::answering, lease, words::grant(of, lease, number, false));
+    peers.enqueue(from, Peers::MessageClass::response, lease, peer_codec::grant(of, lease, number, false));
   }
   void released(MemberId, Incarnation, std::string_view, AskNo) override {}
   void granted(MemberId, Incarnation, std::string_view, AskNo, bool) override {}
@@ -129,7 +132,7 @@
   void done(MemberId, std::string_view, Token, Nanos) override {}
 };
 
-Given figures(double more_members = 0) {
+Settings figures(double more_members = 0) {
   return {{"peers.beat", 500e6},    {"peers.silent", 2e9},        {"peers.rest_least", 50e6},
           {"peers.rest_most", 2e9}, {"peers.most_words", 1024.0}, {"peers.most_members", more_members}};
 }
@@ -151,7 +154,7 @@
 }
 
 struct Cost {
-  double looked = 0, letters = 0, bytes = 0, heard = 0, dials = 0;
+  double looked = 0, messages = 0, bytes = 0, heard = 0, dials = 0;
 };
 
 // One voter, or one member that chooses (`by_choice`), among N that speak with it.
@@ -162,7 +165,7 @@
   explicit Star(std::size_t members, bool by_choice) : size(members) {
     const VoterList list{Epoch{1}, {MemberId{1}}, {}};
     all.resize(members + 2);
-    Given centre = figures(static_cast<double>(members));
+    Settings centre = figures(static_cast<double>(members));
     if (by_choice) centre["peers.by_choice"] = 1.0;
     all[1] = std::make_unique<Member>(net, all, MemberId{1}, list, std::vector<MemberId>{}, centre);
     const auto start = [this, list, by_choice](std::uint32_t number) {
@@ -176,10 +179,11 @@
   }
   Cost sum() const {
     const Peers::Costs& costs = all[1]->peers.costs();
-    Cost cost{static_cast<double>(costs.looked), static_cast<double>(costs.letters),
-              static_cast<double>(costs.bytes + tcp_ip * costs.letters), 0, static_cast<double>(costs.dials)};
+    Cost cost{static_cast<double>(costs.peers_examined), static_cast<double>(costs.messages),
+              static_cast<double>(costs.bytes + tcp_ip * costs.messages), 0,
+              static_cast<double>(costs.dials)};
     for (const auto& member : all)
-      if (member && member != all[1]) cost.heard += static_cast<double>(member->peers.costs().letters);
+      if (member && member != all[1]) cost.heard += static_cast<double>(member->peers.costs().messages);
     return cost;
   }
   Cost during(Nanos span) {
@@ -187,15 +191,15 @@
     net.to(net.now + span);
     const Cost after = sum();
     const double seconds = static_cast<double>(span) / 1e9;
-    return {(after.looked - before.looked) / seconds, (after.letters - before.letters) / seconds,
+    return {(after.looked - before.looked) / seconds, (after.messages - before.messages) / seconds,
             (after.bytes - before.bytes) / seconds, (after.heard - before.heard) / seconds,
             (after.dials - before.dials) / seconds};
   }
   // Each asks the voter for something every two seconds.
   void ask(std::uint32_t number, std::uint64_t ask_number) {
     Member& member = *all[number];
-    member.peers.say(MemberId{1}, Peers::Slot::asking, "t",
-                     words::ask(Epoch{1}, "t", AskNo{ask_number}, Token{1}, second));
+    member.peers.enqueue(MemberId{1}, Peers::MessageClass::request, "t",
+                         peer_codec::ask(Epoch{1}, "t", AskNo{ask_number}, Token{1}, second));
     member.turn();
     net.at(net.now + 2 * second, [this, number, ask_number] { ask(number, ask_number + 1); });
   }
@@ -221,11 +225,11 @@
     const Cost busy = star.during(10 * second);
     std::printf("  %4zu: cold %.0f looked, %.0f letters, %.0f dials; idle %.1f looked, %.1f letters, %.0f "
                 "bytes, %.1f heard, %.1f dials, %d silences; busy %.0f looked, %.0f letters\n",
-                size, cold.looked, cold.letters, cold.dials, idle.looked, idle.letters, idle.bytes,
-                idle.heard, idle.dials, silences, busy.looked, busy.letters);
+                size, cold.looked, cold.messages, cold.dials, idle.looked, idle.messages, idle.bytes,
+                idle.heard, idle.dials, silences, busy.looked, busy.messages);
     sizes.push_back(static_cast<double>(size));
     cold_looked.push_back(cold.looked);
-    cold_letters.push_back(cold.letters);
+    cold_letters.push_back(cold.messages);
     idle_looked.push_back(idle.looked);
     idle_bytes.push_back(idle.bytes);
     idle_heard.push_back(idle.heard);
--- a/tests/many.cpp
+++ b/tests/many.cpp
@@ -37,13 +37,13 @@
   std::unique_ptr<Machine> machine;
   std::unique_ptr<AnnounceService> announce;
   std::unique_ptr<Child> process;
-  std::unique_ptr<Peer> caller;
+  std::unique_ptr<TestConnection> caller;
   Nanos began = 0, ready = -1, last_asked = 0;
   std::uint32_t stream = 0;
   int answers = 0, acked = 0;
 
   static Tcp::endpoint at(int port) {
-    const std::string place = Peer::at(port);
+    const std::string place = TestConnection::at(port);
     return {asio::ip::make_address(place.substr(0, place.find(':'))), static_cast<unsigned short>(port)};
   }
   explicit Server(int n) : number(n), listen(at(20000 + n)), vm(at(21000 + n)), list(at(22000 + n)) {}
@@ -65,16 +65,17 @@
   }
   // Asks ten times a second, on a connection that is made anew as long as none is taken.
   void ask_on(Nanos now, Nanos every) {
-    if (!caller || caller->ended()) caller = std::make_unique<Peer>(Peer::to(listen.port())), stream = 0;
+    if (!caller || caller->ended())
+      caller = std::make_unique<TestConnection>(TestConnection::to(listen.port())), stream = 0;
     take();
     if (now - last_asked < every) return;
     last_asked = now;
     char txn[17];
     std::snprintf(txn, sizeof txn, "%08x%08x", number + 1, ++asked_);
     const std::string door = std::to_string(unix_now() / ms);
-    caller->slip_in(ask(++stream, txn,
-                        {{"verb", "bay-check"}, {"team", "main-lot"}, {"door", door}, {"limit", "1800"}},
-                        "w=2000;c=1;"));
+    caller->send_without_turn(
+        ask(++stream, txn, {{"verb", "bay-check"}, {"team", "main-lot"}, {"door", door}, {"limit", "1800"}},
+            "w=2000;c=1;"));
   }
   void take() {
     while (caller->has(4)) {
@@ -213,8 +214,8 @@
   for (int i = 0; i < 5; ++i) {
     run_for(50 * ms); // what was asked is over
     const std::size_t before = server.descriptors();
-    Peer fresh = Peer::to(server.listen.port());
-    fresh.slip_in(
+    TestConnection fresh = TestConnection::to(server.listen.port());
+    fresh.send_without_turn(
         ask(1, "ffffffff0000000" + std::to_string(i), {{"verb", "bay-check"}, {"team", "main-lot"}}));
     const Nanos written = steady_now();
     while (server.descriptors() <= before && steady_now() - written < second) {
@@ -270,10 +271,10 @@
   server.with_machine();
   server.start(program, {.leave_time = 3 * second, .sockets = limit}, records.address(), limit);
   while (!server.machine->linked() && steady_now() - server.began < 10 * second) run_for(5 * ms);
-  std::vector<Peer> idle;
+  std::vector<TestConnection> idle;
   for (int n = 0; n < 2 * limit; ++n) {
-    idle.push_back(Peer::to(server.listen.port()));
-    if (n % 2) idle.back().slip_in(frame_of(frames::check, 1, {}));
+    idle.push_back(TestConnection::to(server.listen.port()));
+    if (n % 2) idle.back().send_without_turn(frame_of(frames::health_check, 1, {}));
     if (n % 16 == 0) run_for(ms);
   }
   run_for(200 * ms);
@@ -305,7 +306,7 @@
   setrlimit(RLIMIT_NOFILE, &files);
   std::filesystem::remove_all(folder);
   std::filesystem::create_directories(folder);
-  Peer::turn = [] { io.poll(); };
+  TestConnection::turn = [] { io.poll(); };
   ready(words[1]);
   cold_sum(words[1]);
   killed(words[1]);
--- a/tests/peers.cpp
+++ b/tests/peers.cpp
@@ -10,7 +10,7 @@
 
 constexpr Nanos ms = 1'000'000;
 
-Given figures() {
+Settings figures() {
   return {{"peers.beat", 100e6},
           {"peers.silent", 300e6},
           {"peers.rest_least", 50e6},
@@ -26,10 +26,10 @@
   Peers peers;
   Nanos now = 0;
   explicit Driver(std::vector<MemberId> others = three, std::vector<MemberId> voters = three,
-                  const Given& more = {})
+                  const Settings& more = {})
       : voting(0, MemberId{1}, {Epoch{1}, {voters.begin(), voters.end()}, {}}, ms),
         peers(0, speaker_of(1, 0), std::move(others), voting, with(more), 1, out) {}
-  static Given with(Given more) {
+  static Settings with(Settings more) {
     more.merge(figures());
     return more;
   }
@@ -44,9 +44,9 @@
     peers.flush(now);
   }
   void heard(std::uint32_t from, std::uint64_t number, std::uint64_t echo, std::uint64_t of = 70,
-             bool leaving = false, const words::Rhythm& rhythm = {}) {
-    const bool taken =
-        peers.heard(now, MemberId{from}, Incarnation{of}, number, echo, Incarnation{7}, leaving, rhythm);
+             bool leaving = false, const peer_codec::HeartbeatTerms& heartbeat = {}) {
+    const bool taken = peers.received(now, MemberId{from}, Incarnation{of}, number, echo, Incarnation{7},
+                                      leaving, heartbeat);
     if (!taken)
       std::printf("  %6lld letter %llu of %u is not taken\n", static_cast<long long>(now / ms),
                   static_cast<unsigned long long>(number), from);
@@ -60,12 +60,14 @@
         "time");
     Driver s(two, two);
     s.to(0);
-    s.peers.say(MemberId{2}, Peers::Slot::asking, "t", words::ask(Epoch{1}, "t", AskNo{1}, Token{5}, ms));
-    s.peers.say(MemberId{2}, Peers::Slot::asking, "t", words::release("t", AskNo{2}));
-    s.peers.say(MemberId{2}, Peers::Slot::answering, "t", words::grant(Incarnation{70}, "t", AskNo{9}, true));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t",
+                    peer_codec::ask(Epoch{1}, "t", AskNo{1}, Token{5}, ms));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", peer_codec::release("t", AskNo{2}));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::response, "t",
+                    peer_codec::grant(Incarnation{70}, "t", AskNo{9}, true));
     s.peers.connected(10 * ms, MemberId{2});
     s.to(10);
-    s.peers.say(MemberId{2}, Peers::Slot::telling, "u", words::done("u", Token{6}, 0));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::update, "u", peer_codec::done("u", Token{6}, 0));
     s.to(20);
     s.peers.written(30 * ms, MemberId{2});
     s.to(30);
@@ -75,11 +77,14 @@
     s.to(130);
     say("no room for a fourth matter; a word too long for one is none");
     for (const char* matter : {"a", "b", "c", "d"})
-      std::printf("  %s\n", s.peers.say(MemberId{2}, Peers::Slot::asking, matter, "x") ? "taken" : "no room");
+      std::printf("  %s\n", s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, matter, "x")
+                                ? "taken"
+                                : "no room");
     std::printf("  %s, and to nobody of that number %s\n",
-                s.peers.say(MemberId{2}, Peers::Slot::asking, "a", std::string(1000, 'x')) ? "taken"
-                                                                                           : "not taken",
-                s.peers.say(MemberId{9}, Peers::Slot::asking, "a", "x") ? "taken" : "not taken");
+                s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "a", std::string(1000, 'x'))
+                    ? "taken"
+                    : "not taken",
+                s.peers.enqueue(MemberId{9}, Peers::MessageClass::request, "a", "x") ? "taken" : "not taken");
   }
   {
     say("one that takes nothing: hung up after the time of silence, dialled again after rests that grow");
@@ -94,7 +99,7 @@
       s.to(s.now / ms);
     }
     say("it answers: the next rest is the shortest again");
-    s.heard(2, 1, static_cast<std::uint64_t>(s.out.letters));
+    s.heard(2, 1, static_cast<std::uint64_t>(s.out.messages));
     s.peers.broken(s.now, MemberId{2});
     s.to(s.now / ms + 80);
   }
@@ -115,7 +120,7 @@
     s.peers.written(310 * ms, MemberId{2});
     for (Nanos at = 400; at <= 700; at += 100) {
       s.to(at);
-      s.heard(2, static_cast<std::uint64_t>(at), 0); // of no letter that this member sent
+      s.heard(2, static_cast<std::uint64_t>(at), 0); // of no message that this member sent
       s.peers.written(s.now, MemberId{2});
     }
     s.to(700);
@@ -163,7 +168,7 @@
       voter.peers.written(voter.now, MemberId{3});
     }
     voter.out.quiet = false;
-    std::printf("  after 13 s: %s\n", voter.peers.standing()[1].dials > 1 && voter.peers.next_wake() < 0
+    std::printf("  after 13 s: %s\n", voter.peers.status()[1].dials > 1 && voter.peers.next_wake() < 0
                                           ? "nothing is due"
                                           : "it still tries");
   }
@@ -174,12 +179,12 @@
     s.peers.connected(0, MemberId{2});
     s.to(0);
     s.peers.written(0, MemberId{2});
-    s.peers.say(MemberId{2}, Peers::Slot::asking, "t", words::release("t", AskNo{4}));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", peer_codec::release("t", AskNo{4}));
     s.peers.leave(10 * ms);
-    std::printf("  all said: %s\n", s.peers.all_said() ? "yes" : "no");
+    std::printf("  all said: %s\n", s.peers.all_sent() ? "yes" : "no");
     s.to(10);
     s.peers.written(10 * ms, MemberId{2});
-    std::printf("  all said: %s\n", s.peers.all_said() ? "yes" : "no");
+    std::printf("  all said: %s\n", s.peers.all_sent() ? "yes" : "no");
     s.peers.broken(20 * ms, MemberId{2});
     s.to(1000);
   }
@@ -208,12 +213,13 @@
     s.to(1500);
     s.heard(2, 2, 0);
     s.to(1799);
-    std::printf("  until then: %s\n", std::string(word_of(s.peers.hearing(MemberId{2}))).c_str());
+    std::printf("  until then: %s\n", std::string(to_text(s.peers.peer_state(MemberId{2}))).c_str());
     s.out.quiet = true;
     s.to(1800);
-    std::printf("  then: %s\n", std::string(word_of(s.peers.hearing(MemberId{2}))).c_str());
+    std::printf("  then: %s\n", std::string(to_text(s.peers.peer_state(MemberId{2}))).c_str());
     s.heard(2, 3, 0, 70, false, {Nanos{1} << 60, 0, false});
-    std::printf("  patience %lld s\n", static_cast<long long>(s.peers.standing()[0].patience / (1000 * ms)));
+    std::printf("  patience %lld s\n",
+                static_cast<long long>(s.peers.status()[0].unresponsive_timeout / (1000 * ms)));
   }
   {
     say("asked for fewer letters: it promises what it will keep; what there is to say goes at once; asked "
@@ -228,7 +234,7 @@
     s.to(100);
     s.peers.written(100 * ms, MemberId{2});
     s.heard(2, 2, 2, 70, false, {250 * ms, 250 * ms, false});
-    s.peers.say(MemberId{2}, Peers::Slot::asking, "t", words::release("t", AskNo{2}));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", peer_codec::release("t", AskNo{2}));
     s.to(200);
     s.peers.written(200 * ms, MemberId{2});
     s.heard(2, 3, 3);
@@ -254,18 +260,18 @@
       for (const MemberId member : members(2, 31)) {
         s.peers.written(s.now, member);
         if (at % 100 == 0)
-          s.heard(member.raw, number + 1, s.peers.standing()[member.raw - 2].letters, 70, false,
+          s.heard(member.raw, number + 1, s.peers.status()[member.raw - 2].messages, 70, false,
                   {member == MemberId{31} ? 0 : 100 * ms, 0, false});
       }
       number += at % 100 == 0;
-      if (at == 1000) before = s.out.letters, to_old = s.peers.standing()[29].letters;
+      if (at == 1000) before = s.out.messages, to_old = s.peers.status()[29].messages;
       s.to(at + 10);
     }
-    std::printf("  letters in two seconds: %d, of them %llu to that one\n", s.out.letters - before,
-                static_cast<unsigned long long>(s.peers.standing()[29].letters - to_old));
+    std::printf("  letters in two seconds: %d, of them %llu to that one\n", s.out.messages - before,
+                static_cast<unsigned long long>(s.peers.status()[29].messages - to_old));
     s.out.quiet = false;
     s.peers.written(s.now, MemberId{2});
-    s.peers.say(MemberId{2}, Peers::Slot::asking, "t", words::release("t", AskNo{2}));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", peer_codec::release("t", AskNo{2}));
     s.to(s.now / ms);
   }
   {
@@ -279,13 +285,13 @@
                 yes(s.peers.add(0, MemberId{3})));
     std::printf(", 4: %s, known: %zu\n", yes(s.peers.add(0, MemberId{4})), s.peers.known());
     s.to(5);
-    s.peers.say(MemberId{2}, Peers::Slot::asking, "t", words::release("t", AskNo{2}));
-    std::printf("  all said: %s\n", yes(s.peers.all_said()));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", peer_codec::release("t", AskNo{2}));
+    std::printf("  all said: %s\n", yes(s.peers.all_sent()));
     s.peers.remove(6 * ms, MemberId{2});
     s.peers.remove(6 * ms, MemberId{2});
     s.peers.written(6 * ms, MemberId{2});
     s.peers.broken(6 * ms, MemberId{2});
-    std::printf("  all said: %s, known: %zu, lines: %zu\n", yes(s.peers.all_said()), s.peers.known(),
+    std::printf("  all said: %s, known: %zu, lines: %zu\n", yes(s.peers.all_sent()), s.peers.known(),
                 s.peers.lines());
     s.to(10);
     s.heard(2, 1, 0);
@@ -300,22 +306,22 @@
     Driver s(three, three, {{"peers.by_choice", 1.0}});
     s.to(0);
     s.heard(3, 1, 0);
-    s.peers.say(MemberId{3}, Peers::Slot::control, "", words::control("ab"));
+    s.peers.enqueue(MemberId{3}, Peers::MessageClass::control, "", peer_codec::control("ab"));
     s.to(10);
     std::printf("  next wake %lld, room %zu\n", static_cast<long long>(s.peers.next_wake() / ms),
                 s.peers.room(MemberId{3}));
     s.to(20);
     s.peers.keep(20 * ms, MemberId{3}, true);
     s.to(20);
-    s.peers.say(MemberId{3}, Peers::Slot::control, "", words::control("ab"));
-    s.peers.tell(Peers::Slot::telling, "t", words::done("t", Token{1}, 0));
+    s.peers.enqueue(MemberId{3}, Peers::MessageClass::control, "", peer_codec::control("ab"));
+    s.peers.enqueue_all(Peers::MessageClass::update, "t", peer_codec::done("t", Token{1}, 0));
     s.peers.connected(22 * ms, MemberId{3});
     s.to(22);
     s.peers.written(22 * ms, MemberId{3});
     s.heard(3, 2, 1);
     std::printf("  up: %s\n", yes(s.peers.up(MemberId{3})));
     s.to(30);
-    s.peers.say(MemberId{3}, Peers::Slot::control, "", words::control("abc"));
+    s.peers.enqueue(MemberId{3}, Peers::MessageClass::control, "", peer_codec::control("abc"));
     s.peers.keep(30 * ms, MemberId{3}, false);
     s.to(30);
     std::printf("  kept, where nobody has the number: %s; up: %s, room %zu\n",
@@ -359,25 +365,26 @@
         "before those of control, which wait for a letter at the most");
     Driver s(two, two, {{"peers.most_waiting_bytes", 60'000.0}, {"peers.most_words", 100.0}});
     const auto control = [&](const char* about, std::size_t bytes) {
-      return s.peers.say(MemberId{2}, Peers::Slot::control, about, words::control(std::string(bytes, 'x')));
+      return s.peers.enqueue(MemberId{2}, Peers::MessageClass::control, about,
+                             peer_codec::control(std::string(bytes, 'x')));
     };
     s.to(0);
     const auto room = [&](const char* what, bool taken) {
       std::printf("  %s: %s, room %zu\n", what, yes(taken), s.peers.room(MemberId{2}));
     };
-    room("a word over the most", control("a", words::most_control + 1));
+    room("a word over the most", control("a", peer_codec::most_control + 1));
     int taken = 0;
     for (const char* about : {"a", "b", "c", "d", "e", "f", "g", "h"})
-      taken += control(about, words::most_control);
+      taken += control(about, peer_codec::most_control);
     std::printf("  of eight the largest: %d\n", taken);
     room("about the same, smaller", control("a", 100));
-    room("one more of the largest", control("h", words::most_control));
-    room("and another", control("i", words::most_control));
-    room("about the same, larger", control("a", words::most_control));
-    s.peers.say(MemberId{2}, Peers::Slot::asking, "t", words::release("t", AskNo{2}));
+    room("one more of the largest", control("h", peer_codec::most_control));
+    room("and another", control("i", peer_codec::most_control));
+    room("about the same, larger", control("a", peer_codec::most_control));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", peer_codec::release("t", AskNo{2}));
     s.peers.connected(10 * ms, MemberId{2});
     s.to(10);
-    s.peers.say(MemberId{2}, Peers::Slot::asking, "t", words::release("t", AskNo{3}));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", peer_codec::release("t", AskNo{3}));
     for (int n = 0; n < 3; ++n) {
       s.peers.written(20 * ms, MemberId{2});
       s.to(20);
@@ -389,9 +396,9 @@
 // Lines on which TCP sends again and again, between members that promised little.
 void stalled() {
   const std::vector<MemberId> two = members(1, 2);
-  const words::Rhythm rarely{100'000 * ms, 0, false};
+  const peer_codec::HeartbeatTerms rarely{100'000 * ms, 0, false};
   const auto ask = [](int n) {
-    return words::ask(Epoch{1}, "t", AskNo{static_cast<std::uint64_t>(n)}, Token{5}, ms);
+    return peer_codec::ask(Epoch{1}, "t", AskNo{static_cast<std::uint64_t>(n)}, Token{5}, ms);
   };
   const auto up = [&](Driver& s, Nanos at) { // a line that takes what is written
     s.to(at);
@@ -406,16 +413,17 @@
     up(s, 0);
     s.heard(2, 1, 1, 70, false, rarely);
     s.to(20);
-    s.peers.say(MemberId{2}, Peers::Slot::asking, "t", ask(1));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", ask(1));
     s.to(20);
     s.peers.written(s.now, MemberId{2});
     s.to(200); // a beat on the way
     s.peers.written(s.now, MemberId{2});
-    s.peers.say(MemberId{2}, Peers::Slot::asking, "t", ask(2));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", ask(2));
     s.to(200);
-    s.peers.say(MemberId{2}, Peers::Slot::asking, "t", ask(3));
-    s.peers.say(MemberId{2}, Peers::Slot::answering, "t", words::grant(Incarnation{70}, "t", AskNo{9}, true));
-    s.peers.say(MemberId{2}, Peers::Slot::telling, "t", words::done("t", Token{6}, 0));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", ask(3));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::response, "t",
+                    peer_codec::grant(Incarnation{70}, "t", AskNo{9}, true));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::update, "t", peer_codec::done("t", Token{6}, 0));
     s.to(319);
     std::printf("  until then: %d hung up\n", s.out.hang_ups);
     s.to(320);
@@ -423,15 +431,16 @@
     s.heard(2, 2, 5, 70, false, rarely);
     s.to(490);
     std::printf("  it answers: %d hung up, the member %s\n", s.out.hang_ups,
-                std::string(word_of(s.peers.hearing(MemberId{2}))).c_str());
+                std::string(to_text(s.peers.peer_state(MemberId{2}))).c_str());
     s.out.quiet = true;
     const auto waits = [&](const char* what) {
-      std::printf("  %zu words wait %s\n", s.peers.standing()[0].waiting, what);
+      std::printf("  %zu words wait %s\n", s.peers.status()[0].waiting, what);
     };
     s.peers.broken(s.now, MemberId{2});
-    s.peers.say(MemberId{2}, Peers::Slot::asking, "t", ask(4));
-    s.peers.say(MemberId{2}, Peers::Slot::answering, "t", words::grant(Incarnation{70}, "t", AskNo{9}, true));
-    s.peers.say(MemberId{2}, Peers::Slot::control, "t", words::control("ab"));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", ask(4));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::response, "t",
+                    peer_codec::grant(Incarnation{70}, "t", AskNo{9}, true));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::control, "t", peer_codec::control("ab"));
     waits("for a line");
     for (const int before = s.out.dials; s.out.dials == before;) s.to(s.now / ms + 10);
     s.peers.broken(s.now, MemberId{2});
@@ -444,20 +453,20 @@
     up(s, 0);
     s.heard(2, 1, 1, 70, false, rarely);
     s.to(50);
-    s.peers.say(MemberId{2}, Peers::Slot::control, "t", words::control("ab"));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::control, "t", peer_codec::control("ab"));
     s.to(50);
     s.peers.written(s.now, MemberId{2});
     s.to(60);
     s.heard(2, 2, 2, 70, false, rarely);
     s.out.quiet = true;
-    s.peers.say(MemberId{2}, Peers::Slot::asking, "t", words::release("t", AskNo{2}));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", peer_codec::release("t", AskNo{2}));
     for (Nanos at = 150; at <= 1000; at += 10) {
       s.to(at);
       s.peers.written(s.now, MemberId{2});
     }
     s.out.quiet = false;
     std::printf("  a release, and beats for the rest of a second: %d hung up\n", s.out.hang_ups);
-    s.peers.say(MemberId{2}, Peers::Slot::control, "t", words::control("ab"));
+    s.peers.enqueue(MemberId{2}, Peers::MessageClass::control, "t", peer_codec::control("ab"));
     s.to(1000);
     s.peers.written(s.now, MemberId{2});
     s.out.quiet = true;
@@ -488,7 +497,7 @@
       s.to(at);
       s.peers.written(s.now, MemberId{2});
     }
-    s.heard(2, 5, s.peers.standing()[0].letters, 70, false, {500 * ms, 500 * ms, false});
+    s.heard(2, 5, s.peers.status()[0].messages, 70, false, {500 * ms, 500 * ms, false});
     say("deafness by what was promised, on one line");
     Driver other(two, two);
     other.out.words_too = false;
@@ -547,17 +556,18 @@
 // As bytes: nothing that was spoilt is taken.
 void bytes() {
   say("words as bytes: each kind, in one letter");
-  const std::string said =
-      words::ask(Epoch{1}, "lease", AskNo{3}, Token{0x10002}, 5 * ms) + words::release("other", AskNo{4}) +
-      words::grant(Incarnation{9}, "lease", AskNo{5}, true) +
-      words::refuse(Incarnation{9}, "third", AskNo{6}, Token{1}, ms) + words::done("sweep", Token{2}, ms) +
-      words::voters(Epoch{2}, {Epoch{3}, {MemberId{1}}, {MemberId{2}}});
-  const words::Speaker speaker = speaker_of(1, 2);
-  const std::string frame = words::letter(speaker, 8, 3, Incarnation{70}, false, said);
+  const std::string said = peer_codec::ask(Epoch{1}, "lease", AskNo{3}, Token{0x10002}, 5 * ms) +
+                           peer_codec::release("other", AskNo{4}) +
+                           peer_codec::grant(Incarnation{9}, "lease", AskNo{5}, true) +
+                           peer_codec::refuse(Incarnation{9}, "third", AskNo{6}, Token{1}, ms) +
+                           peer_codec::done("sweep", Token{2}, ms) +
+                           peer_codec::voters(Epoch{2}, {Epoch{3}, {MemberId{1}}, {MemberId{2}}});
+  const peer_codec::Sender sender = speaker_of(1, 2);
+  const std::string frame = peer_codec::message(sender, 8, 3, Incarnation{70}, false, said);
   const std::string payload = frame.substr(9);
   SaidWords out;
   std::printf("  %zu bytes, %s\n", frame.size(),
-              words::read_letter(payload, speaker, out) ? "read" : "not read");
+              peer_codec::decode_message(payload, sender, out) ? "read" : "not read");
   say("each bit of it turned; cut at each byte; said by another, to another, in another life, in another "
       "fleet; noise");
   SaidWords none;
@@ -566,25 +576,25 @@
   for (std::size_t bit = 0; bit < payload.size() * 8; ++bit) {
     std::string spoilt = payload;
     spoilt[bit / 8] = static_cast<char>(spoilt[bit / 8] ^ (1 << bit % 8));
-    bits += words::read_letter(spoilt, speaker, none);
+    bits += peer_codec::decode_message(spoilt, sender, none);
   }
   for (std::size_t size = 0; size < payload.size(); ++size)
-    cuts += words::read_letter(payload.substr(0, size), speaker, none);
-  others += words::read_letter(payload, speaker_of(3, 2), none) +
-            words::read_letter(payload, speaker_of(1, 3), none) +
-            words::read_letter(payload, speaker_of(1, 2, 8), none) +
-            words::read_letter(payload, {"other", MemberId{1}, MemberId{2}, Incarnation{7}}, none);
+    cuts += peer_codec::decode_message(payload.substr(0, size), sender, none);
+  others += peer_codec::decode_message(payload, speaker_of(3, 2), none) +
+            peer_codec::decode_message(payload, speaker_of(1, 3), none) +
+            peer_codec::decode_message(payload, speaker_of(1, 2, 8), none) +
+            peer_codec::decode_message(payload, {"other", MemberId{1}, MemberId{2}, Incarnation{7}}, none);
   Pcg chance(1);
-  words::Speaker who;
+  peer_codec::Sender who;
   for (int n = 0; n < 20'000; ++n) {
     std::string noise(chance.next() % 200, '\0');
     for (char& c : noise) c = static_cast<char>(chance.next());
-    noises += words::read_letter(noise, speaker, none) + words::read_hello(noise, who);
+    noises += peer_codec::decode_message(noise, sender, none) + peer_codec::decode_hello(noise, who);
   }
   std::printf("  taken: %d of %zu, %d of %zu, %d of 4, %d of 40000\n", bits, payload.size() * 8, cuts,
               payload.size(), others, noises);
-  const std::string hello = words::hello(speaker).substr(9);
-  const bool greeted = words::read_hello(hello, who);
+  const std::string hello = peer_codec::hello(sender).substr(9);
+  const bool greeted = peer_codec::decode_hello(hello, who);
   std::printf("  a greeting: %s, member %u of %s to %u\n", greeted ? "read" : "not read", who.from.raw,
               who.fleet.c_str(), who.to.raw);
 }
@@ -602,25 +612,25 @@
     int alarms = 0;
     double mean = 500, square = 500 * 500 + 15 * 15;
     Nanos last = 0, latest = 0;
-    Nanos patience = 0;
+    Nanos unresponsive_timeout = 0;
     for (Nanos at = 0; at < static_cast<Nanos>(hours * 3600e9); at += beat) {
       double delay = 2 - 10 * std::log(1 - chance.unit());
       if (chance.unit() < 0.005) delay += 1000 * chance.unit();
       latest = std::max(latest, at + static_cast<Nanos>(delay * 1e6)); // one connection: order is kept
       const double gap = static_cast<double>(latest - last) / 1e6;
       const double spread = std::sqrt(std::max(1.0, square - mean * mean));
-      patience = silent > 0 ? silent * beat : static_cast<Nanos>((mean + 5.6 * spread) * 1e6);
-      if (latest - last >= patience) ++alarms;
+      unresponsive_timeout = silent > 0 ? silent * beat : static_cast<Nanos>((mean + 5.6 * spread) * 1e6);
+      if (latest - last >= unresponsive_timeout) ++alarms;
       mean += (gap - mean) / 200;
       square += (gap * gap - square) / 200;
       last = latest;
     }
     if (silent > 0)
       std::printf("  %2d beats: %.1f an hour; an end is known after at most %lld ms\n", silent,
-                  alarms / hours, static_cast<long long>(patience / ms));
+                  alarms / hours, static_cast<long long>(unresponsive_timeout / ms));
     else
       std::printf("  learnt:   %.1f an hour; an end is known after some %lld ms\n", alarms / hours,
-                  static_cast<long long>(patience / ms / 10 * 10));
+                  static_cast<long long>(unresponsive_timeout / ms / 10 * 10));
   }
 }
 
--- a/tests/pools.cpp
+++ b/tests/pools.cpp
@@ -6,10 +6,10 @@
 
 constexpr Nanos second = 1000 * ms;
 
-Given site(std::initializer_list<Given::value_type> more) {
-  Given given{{"pools.on", 1.0},         {"op_type.0.name", "look"}, {"op_type.1.name", "book"},
-              {"tenant.0.name", "main"}, {"tenant.0.quota", 60.0},   {"tenant.1.name", "long"},
-              {"tenant.1.quota", 40.0}};
+Settings site(std::initializer_list<Settings::value_type> more) {
+  Settings given{{"pools.on", 1.0},         {"op_type.0.name", "look"}, {"op_type.1.name", "book"},
+                 {"tenant.0.name", "main"}, {"tenant.0.quota", 60.0},   {"tenant.1.name", "long"},
+                 {"tenant.1.quota", 40.0}};
   for (const auto& [name, value] : more) given[name] = value;
   return given;
 }
@@ -26,7 +26,7 @@
   std::deque<OpId> line;
   double slow = 1;
 
-  explicit Stand(std::initializer_list<Given::value_type> more) : pools(0, site(more)) {}
+  explicit Stand(std::initializer_list<Settings::value_type> more) : pools(0, site(more)) {}
   void begin() {
     while (running.size() < 2 && !line.empty()) {
       const OpId id = line.front();
@@ -116,7 +116,7 @@
     s.load("a flood of looks", 100, 10, 4 * second);
     for (;;)
       if (const Pools::Verdict v = s.came(0); !v.pass) {
-        std::printf("  refused: %s, come back in %lld ms\n", std::string(word_of(v.why)).c_str(),
+        std::printf("  refused: %s, come back in %lld ms\n", std::string(to_text(v.why)).c_str(),
                     static_cast<long long>(v.come_back / ms));
         s.to(s.now + v.come_back);
         break;
@@ -174,7 +174,7 @@
   }
   {
     say("what can't be");
-    const auto wrong = [](std::initializer_list<Given::value_type> more) {
+    const auto wrong = [](std::initializer_list<Settings::value_type> more) {
       try {
         Pools(0, site(more));
         std::printf("  taken\n");
--- a/tests/printed_peers.hpp
+++ b/tests/printed_peers.hpp
@@ -1,4 +1,4 @@
-// What tests of peers/ print: the orders of one Peers, and the words of letters.
+// What tests of peers/ print: the orders of one Peers, and the words of messages.
 #pragma once
 
 #include "peers.hpp"
@@ -7,22 +7,22 @@
 
 using namespace cometshift;
 
-struct SaidWords final : words::Listener {
+struct SaidWords final : peer_codec::Listener {
   int taken = 0;
   bool quiet = false;
   std::uint64_t number = 0;
   Nanos beat = 100'000'000; // of the figures: a promise of it is not printed
-  bool letter(MemberId from, Incarnation, std::uint64_t n, std::uint64_t heard, Incarnation, bool leaving,
-              const words::Rhythm& rhythm) override {
+  bool message(MemberId from, Incarnation, std::uint64_t n, std::uint64_t heard, Incarnation, bool leaving,
+               const peer_codec::HeartbeatTerms& heartbeat) override {
     ++taken, number = n;
     if (!quiet) {
       std::printf("    letter %llu of member %u, heard %llu%s", static_cast<unsigned long long>(n), from.raw,
                   static_cast<unsigned long long>(heard), leaving ? ", leaving" : "");
-      if (rhythm.next_in != 0 && rhythm.next_in != beat)
-        std::printf(", next in %lld", static_cast<long long>(rhythm.next_in / 1'000'000));
-      if (rhythm.rarely > 0)
-        std::printf(", one in %lld will do", static_cast<long long>(rhythm.rarely / 1'000'000));
-      std::printf("%s\n", rhythm.lonely ? ", lonely" : "");
+      if (heartbeat.next_in != 0 && heartbeat.next_in != beat)
+        std::printf(", next in %lld", static_cast<long long>(heartbeat.next_in / 1'000'000));
+      if (heartbeat.rarely > 0)
+        std::printf(", one in %lld will do", static_cast<long long>(heartbeat.rarely / 1'000'000));
+      std::printf("%s\n", heartbeat.lonely ? ", lonely" : "");
     }
     return true;
   }
@@ -52,33 +52,33 @@
   }
 };
 
-inline words::Speaker speaker_of(std::uint32_t from, std::uint32_t to, std::uint64_t incarnation = 7) {
+inline peer_codec::Sender speaker_of(std::uint32_t from, std::uint32_t to, std::uint64_t incarnation = 7) {
   return {"rig", MemberId{from}, MemberId{to}, Incarnation{incarnation}};
 }
 
-// Prints what is ordered; of letters, the words if asked to.
-struct PrintedPeers final : PeerOrders {
+// Prints what is ordered; of messages, the words if asked to.
+struct PrintedPeers final : PeerActions {
   std::uint32_t self = 1;
   Nanos now = 0;
   bool quiet = false, words_too = true;
-  int letters = 0, dials = 0, hang_ups = 0;
+  int messages = 0, dials = 0, hang_ups = 0;
   void line(const char* what, MemberId of) const {
     if (!quiet) std::printf("  %6lld %s %u\n", static_cast<long long>(now / 1'000'000), what, of.raw);
   }
   void dial(MemberId to) override { ++dials, line("dial", to); }
-  void hang_up(MemberId to) override { ++hang_ups, line("hang up", to); }
+  void disconnect(MemberId to) override { ++hang_ups, line("hang up", to); }
   void send(MemberId to, std::string frame) override {
-    ++letters;
+    ++messages;
     line("send to", to);
     SaidWords said;
     said.quiet = quiet || !words_too;
-    if (!words::read_letter(std::string_view(frame).substr(9), speaker_of(self, to.raw), said))
+    if (!peer_codec::decode_message(std::string_view(frame).substr(9), speaker_of(self, to.raw), said))
       std::printf("    can't be read\n");
   }
-  void news(MemberId of, Hearing before, Hearing after) override {
+  void peer_state_changed(MemberId of, PeerState before, PeerState after) override {
     if (!quiet)
       std::printf("  %6lld member %u: %s, %s before\n", static_cast<long long>(now / 1'000'000), of.raw,
-                  std::string(word_of(after)).c_str(), std::string(word_of(before)).c_str());
+                  std::string(to_text(after)).c_str(), std::string(to_text(before)).c_str());
   }
-  void doubled(MemberId number) override { line("two under the number", number); }
+  void duplicate_member(MemberId number) override { line("two under the number", number); }
 };
--- a/tests/recorded.cpp
+++ b/tests/recorded.cpp
@@ -33,7 +33,7 @@
       const auto repeat = [&] { s.came(2, 1, "m1"); };
       const auto result = [&] {
         s.on_core.clear();
-        s.tape.run_over(s.now, OpId{1}, Outcome::done, 20 * ms, Content("the result"));
+        s.tape.run_finished(s.now, OpId{1}, Outcome::done, 20 * ms, Content("the result"));
       };
       s.pass(5 * ms);
       before ? (repeat(), result()) : (result(), repeat());
@@ -96,7 +96,7 @@
     s.link();
     for (std::uint64_t id = 1; id < 30; ++id) s.came(id, id % 2, "m" + std::to_string(id));
     s.pass(50 * ms);
-    s.tape.leave(s.now);
+    s.tape.drain(s.now);
     s.pass(1500 * ms);
     s.prints = true;
     s.came(99);
--- a/tests/recorded_core.hpp
+++ b/tests/recorded_core.hpp
@@ -74,8 +74,8 @@
   std::string why() const override { return why_; }
 };
 
-inline Given recorded_settings() {
-  Given given{
+inline Settings recorded_settings() {
+  Settings given{
       {"cores", 2.0},      {"fall_multiple", 4.0},  {"memory_kb", 4000.0},     {"run_factor", 4.0},
       {"key_kb", 2.0},     {"drain_grace_ns", 1e9}, {"fleet_size", 1.0},       {"callers", 3.0},
       {"call_share", 6.0}, {"calls_over_ns", 5e9},  {"call_linger_ns", 2e8},   {"tells_patience", 1.0},
@@ -103,11 +103,11 @@
   return given;
 }
 
-class RecordedCore : public Orders {
+class RecordedCore : public Actions {
  public:
   Nanos now = 1'764'576'000 * second;
   Tape tape{*this};
-  Given given = recorded_settings();
+  Settings given = recorded_settings();
   std::unique_ptr<Core> core;
   std::shared_ptr<Disk> disk = std::make_shared<Disk>();
   Nanos run_time = 40 * ms, call_time = 10 * ms; // of what runs from now on
@@ -122,10 +122,10 @@
     tape.bind(*core);
   }
 
-  void record(const Given& more = {}) {
-    Given wanted{{"segment_bytes", 1e9}, {"segment_age_ns", 3600e9},
-                 {"total_bytes", 1e9},   {"queue_bytes", 8e6},
-                 {"bodies", 0.0},        {"conceal", 0.0}};
+  void record(const Settings& more = {}) {
+    Settings wanted{{"segment_bytes", 1e9}, {"segment_age_ns", 3600e9},
+                    {"total_bytes", 1e9},   {"queue_bytes", 8e6},
+                    {"bodies", 0.0},        {"conceal", 0.0}};
     for (const auto& [name, value] : more) wanted[name] = value;
     tape.begin(now, wanted, std::make_unique<DiskFiles>(disk));
   }
@@ -140,15 +140,15 @@
   }
   void came(std::uint64_t id, unsigned type = 0, const std::string& mark = {},
             const std::string& body = "body", Nanos limit = 2 * second, Nanos waited = ms) {
-    tape.op_came(now, {ConnectionId{id % 3 + 1}, StreamId{static_cast<std::uint32_t>(id)}}, OpId{id},
-                 OpTypeId{type}, TenantId{static_cast<std::uint32_t>(id % 2)}, CallerId{id % 3}, now - waited,
-                 limit, 10, 0.5, mark, type == 0 ? "subject" + std::to_string(id % 5) : "", Content(body),
-                 {std::hash<std::string>{}(body), 7});
+    tape.op_received(now, {ConnectionId{id % 3 + 1}, StreamId{static_cast<std::uint32_t>(id)}}, OpId{id},
+                     OpTypeId{type}, TenantId{static_cast<std::uint32_t>(id % 2)}, CallerId{id % 3},
+                     now - waited, limit, 10, 0.5, mark, type == 0 ? "subject" + std::to_string(id % 5) : "",
+                     Content(body), {std::hash<std::string>{}(body), 7});
     turn();
   }
   void turn() {
     if (core->anything_due(now)) tape.due(now);
-    while (core->unsettled()) tape.settle(now);
+    while (core->has_repeats_to_answer()) tape.answer_repeats(now);
   }
   void later(Nanos after, std::function<void()> what) { due_.emplace(now + after, std::move(what)); }
   // Lets time pass, with wake-ups and what was put off, in order.
@@ -217,24 +217,24 @@
     }
     on_core.erase(op);
     const bool fails = chance.unit() < failing;
-    tape.run_over(now, op, fails ? Outcome::failed : Outcome::done, run_time,
-                  fails ? Content() : Content("result " + std::to_string(op.raw)));
+    tape.run_finished(now, op, fails ? Outcome::failed : Outcome::done, run_time,
+                      fails ? Content() : Content("result " + std::to_string(op.raw)));
   }
   std::set<OpId> waiting_; // for a reply
 
-  void served(Line, OpId op, Content result) override {
+  void served(StreamRef, OpId op, Content result) override {
     ++answers;
     say("served", op, ": " + result.bytes);
   }
-  void refused(Line, OpId op, Reason why, Nanos, bool) override {
+  void refused(StreamRef, OpId op, Reason why, Nanos, bool) override {
     ++answers;
-    say("nacked", op, ", " + std::string(word_of(why)));
+    say("nacked", op, ", " + std::string(to_text(why)));
   }
-  void failed(Line, OpId op, Reason why) override {
+  void failed(StreamRef, OpId op, Reason why) override {
     ++answers;
-    say("failed", op, ", " + std::string(word_of(why)));
+    say("failed", op, ", " + std::string(to_text(why)));
   }
-  void penalize(Line) override {}
+  void penalize(StreamRef) override {}
   void start(OpId op, OpTypeId, const Content&, StartNo number) override {
     starts = number.raw;
     say("start", op);
@@ -253,18 +253,18 @@
     const auto over = [this, op, turn](Outcome outcome) {
       if (turns_[op] != turn) return;
       ++turns_[op];
-      tape.call_over(now, op, outcome, outcome == Outcome::done ? Content("reply") : Content());
+      tape.call_finished(now, op, outcome, outcome == Outcome::done ? Content("reply") : Content());
     };
     later(std::min(time_out, 2 * second), [over] { over(Outcome::timed_out); });
     if (chance.unit() >= lost_calls) later(call_time, [over] { over(Outcome::done); });
   }
   std::map<OpId, std::uint64_t> turns_;
-  void give_up_call(OpId op) override { ++turns_[op]; }
+  void cancel_call(OpId op) override { ++turns_[op]; }
   void health(bool) override {}
-  void tell_callers(double) override {}
-  void idle_close(Nanos) override {}
-  void timing(Timing, Nanos) override {}
-  void when_full(std::span<const Eviction>, int) override {}
+  void notify_callers(double) override {}
+  void set_idle_timeout(Nanos) override {}
+  void set_timing(Timing, Nanos) override {}
+  void set_eviction_order(std::span<const Eviction>, int) override {}
   void stop_accepting() override {}
   void note(const char* kind, std::string_view words) override {
     if (std::string_view(kind) == "recording") notes.emplace_back(words);
--- a/tests/recorded_seeds.cpp
+++ b/tests/recorded_seeds.cpp
@@ -10,8 +10,8 @@
 std::vector<std::string> day(std::uint64_t seed, bool from_middle, bool conceal) {
   RecordedCore s(seed);
   Pcg chance(seed * 7 + 3);
-  const Given wanted{{"segment_bytes", 12'000.0}, {"conceal", conceal ? 1.0 : 0.0}};
-  Given pools{{"pools.on", 1.0}, {"pools.reserve", 0.1}, {"pools.repeats", 0.1}};
+  const Settings wanted{{"segment_bytes", 12'000.0}, {"conceal", conceal ? 1.0 : 0.0}};
+  Settings pools{{"pools.on", 1.0}, {"pools.reserve", 0.1}, {"pools.repeats", 0.1}};
   pools["pool.0.name"] = "bookings";
   pools["pool.0.op_types"] = "book\n";
   pools["pool.0.floor"] = 0.5;
@@ -38,7 +38,8 @@
            static_cast<Nanos>((200 + 1800 * chance.unit()) * ms),
            static_cast<Nanos>(20 * chance.unit() * ms));
     if (chance.unit() < 0.05)
-      s.tape.line_lost(s.now, {ConnectionId{id % 3 + 1}, StreamId{static_cast<std::uint32_t>(id)}}), s.turn();
+      s.tape.stream_lost(s.now, {ConnectionId{id % 3 + 1}, StreamId{static_cast<std::uint32_t>(id)}}),
+          s.turn();
     if (chance.unit() < 0.02) s.tape.start_refused(s.now, OpId{id}), s.on_core.erase(OpId{id}), s.turn();
     if (chance.unit() < 0.02) {
       s.break_link();
@@ -47,7 +48,7 @@
     }
     if (i == ops / 3 && seed % 4 == 1) s.tape.set_pools(s.now, pools), s.turn(); // by reload, under load
     if (i == ops * 4 / 5 && seed % 6 == 0) s.tape.set_pools(s.now, {}), s.turn();
-    if (i == ops * 3 / 4 && chance.unit() < 0.3) s.tape.leave(s.now), s.turn();
+    if (i == ops * 3 / 4 && chance.unit() < 0.3) s.tape.drain(s.now), s.turn();
     s.pass(static_cast<Nanos>(-std::log(1 - chance.unit()) / rate * 1e9));
   }
   s.pass(3 * second);
--- a/tests/records.cpp
+++ b/tests/records.cpp
@@ -7,16 +7,16 @@
   asio::io_context io;
   int all_over = 0;
   bool quiet = false;
-  Records records(io, Peer::at(5432), 2);
-  Peer::turn = [&] {
+  Records records(io, TestConnection::at(5432), 2);
+  TestConnection::turn = [&] {
     io.restart();
     io.poll();
   };
   const auto say = [](const char* what) { std::printf("# %s\n", what); };
-  const auto heard = [](Peer& peer) { std::printf("> %s\n", peer.request({"Op-"}).c_str()); };
+  const auto heard = [](TestConnection& peer) { std::printf("> %s\n", peer.request({"Op-"}).c_str()); };
   const auto over = [&]() -> std::function<void()> {
     const int before = all_over;
-    return [&all_over, before] { Peer::until("end", [&] { return all_over > before; }); };
+    return [&all_over, before] { TestConnection::until("end", [&] { return all_over > before; }); };
   };
   const auto reply = [](const std::string& status, const std::string& body, const std::string& more = "") {
     return "HTTP/1.1 " + status + "\r\n" + more + "Content-Length: " + std::to_string(body.size()) +
@@ -39,9 +39,9 @@
   ended();
 
   say("each call on a connection of its own, and what each reply means");
-  Peer service = Peer::listening(5432);
+  TestConnection service = TestConnection::listening(5432);
   call(++id, 250 * ms + 1, "second");
-  Peer at = service.next();
+  TestConnection at = service.next();
   heard(at);
   ended = over();
   at.say(reply("200 OK", "value"));
@@ -66,7 +66,7 @@
   ended();
   at = service.next();
   heard(at);
-  Peer other = service.next();
+  TestConnection other = service.next();
   heard(other);
 
   say("given up: by closing, without a word; a second call for the same op gives up the first");
@@ -103,7 +103,7 @@
   say("1xx before a reply; a second copy and noise behind it are nobody's reply");
   call(40, 5000 * ms, "x");
   at = service.next(); // of the brief call, perhaps
-  if (!at.ended()) Peer::until("request or end", [&] { return at.ended() || at.has(1); });
+  if (!at.ended()) TestConnection::until("request or end", [&] { return at.ended() || at.has(1); });
   if (at.ended()) at = service.next();
   heard(at);
   ended = over();
@@ -120,20 +120,20 @@
   std::printf("  connections %zu\n", records.connections());
 
   say("a reply, whole or byte by byte, in the instant of the time-out: one end, whichever it is");
-  const auto idle = std::exchange(Peer::turn, [] {});
+  const auto idle = std::exchange(TestConnection::turn, [] {});
   for (int i = 0; i < 2; ++i) {
-    Peer::turn = idle;
+    TestConnection::turn = idle;
     quiet = true;
     const int before = all_over;
     call(50, 100 * ms, "z");
     at = service.next();
     at.request({});
-    Peer::turn = [] {};
+    TestConnection::turn = [] {};
     const std::string late = reply("200 OK", "late");
-    if (i == 0) at.slip_in(late);
-    for (const char byte : i == 1 ? late : "") at.slip_in(std::string_view(&byte, 1));
+    if (i == 0) at.send_without_turn(late);
+    for (const char byte : i == 1 ? late : "") at.send_without_turn(std::string_view(&byte, 1));
     usleep(120'000); // both are there now
-    Peer::turn = idle;
+    TestConnection::turn = idle;
     at.to_end();
     std::printf("  ends %d, connections %zu\n", all_over - before, records.connections());
   }
@@ -141,9 +141,9 @@
 
   say("no descriptor is free: the call never leaves; the next does, once one is");
   {
-    at = Peer(dup(0)); // nothing else of the test's may come free meanwhile
+    at = TestConnection(dup(0)); // nothing else of the test's may come free meanwhile
     {
-      const NoneFree none;
+      const NoFreeDescriptors none;
       ended = over();
       call(51, 5000 * ms, "none");
       ended();
--- a/tests/rules.cpp
+++ b/tests/rules.cpp
@@ -4,7 +4,7 @@
 
 int main() {
   constexpr Nanos second = 1000 * ms;
-  const Rules::Figures site{.repeats = {Repeats::retryable, Repeats::keyed},
+  const Rules::Figures site{.repeats = {RetryClass::retryable, RetryClass::keyed},
                             .op_timeouts = {second, second},
                             .key_windows = {0, 5 * second},
                             .grace = second};
@@ -28,7 +28,7 @@
   });
   look("no answer", [&](Rules& r) { came(r, 0, a); });
   look("no answer, but its line is lost", [&](Rules& r) {
-    came(r, 0, a), r.line_lost({ConnectionId{1}, StreamId{1}});
+    came(r, 0, a), r.stream_lost({ConnectionId{1}, StreamId{1}});
   });
   look("an answer after its due time",
        [&](Rules& r) { came(r, 0, a), r.answered(1500 * ms, a, Rules::Final::failed); });
--- a/tests/server_fixture.hpp
+++ b/tests/server_fixture.hpp
@@ -15,9 +15,10 @@
 struct World {
   std::string question;
   bool over = false;
-  Peer machines = Peer::listening(7300), lists = Peer::listening(2379), below = Peer::listening(5432);
+  TestConnection machines = TestConnection::listening(7300), lists = TestConnection::listening(2379),
+                 below = TestConnection::listening(5432);
   std::unique_ptr<Host> host;
-  Peer machine, list, balancer;
+  TestConnection machine, list, balancer;
 
   // With other effects look is keyed, and book may not simply be repeated.
   static std::string json(const std::string& stop_ms, int elsewhere = 0,
@@ -42,29 +43,30 @@
       json.replace(json.find(keyed), keyed.size(), "\"non_idempotent\"");
       json.replace(json.find(read), read.size(), keyed + ",\"key_ttl_ns\":" + window_ns);
     }
-    for (const auto& [name, port] : ports) json.replace(json.find(name), 3, '"' + Peer::at(port) + '"');
+    for (const auto& [name, port] : ports)
+      json.replace(json.find(name), 3, '"' + TestConnection::at(port) + '"');
     return json;
   }
 
   explicit World(const std::string& stop_ms, const std::string& window_ns = "9000000000",
                  bool other_effects = false)
-      : host(std::make_unique<Host>(configuration_in(json(stop_ms, 0, window_ns, other_effects)),
+      : host(std::make_unique<Host>(parse_configuration(json(stop_ms, 0, window_ns, other_effects)),
                                     world_file.c_str())),
-        machine((start(), machines.next())), list(lists.next()), balancer(Peer::to(5050)) {
+        machine((start(), machines.next())), list(lists.next()), balancer(TestConnection::to(5050)) {
     machine.line(); // CONNECT
     list.request({});
   }
   ~World() {
-    Peer::turn = [] {};
+    TestConnection::turn = [] {};
   }
   void start() {
-    Peer::turn = [this] { over = over || !host->poll(); };
+    TestConnection::turn = [this] { over = over || !host->poll(); };
   }
   static void hang_up(const std::string& file) {
     std::FILE* out = std::fopen(world_file.c_str(), "w");
     std::fputs(file.c_str(), out);
     std::fclose(out);
-    std::raise(SIGHUP), Peer::turn();
+    std::raise(SIGHUP), TestConnection::turn();
   }
   void link_up(const std::string& notices = {}) {
     machine.say("{\"action\":\"BANNER\",\"code\":\"running\",\"wall_ms\":5000}\n" + notices);
--- a/tests/settings.cpp
+++ b/tests/settings.cpp
@@ -1,6 +1,7 @@
 #include "driver.hpp"
 
-static void build(std::initializer_list<Given::value_type> more, std::initializer_list<const char*> without) {
+static void build(std::initializer_list<Settings::value_type> more,
+                  std::initializer_list<const char*> without) {
   try {
     Driver s(more, without);
     s.say("taken");
--- a/tests/share.cpp
+++ b/tests/share.cpp
@@ -14,21 +14,21 @@
 struct Day {
   const char* what;
   bool one_life;
-  std::function<void(Nanos at, Service&, std::vector<std::unique_ptr<Place>>&)> at; // each ms
+  std::function<void(Nanos at, RecordsStub&, std::vector<std::unique_ptr<SimulatedServer>>&)> at; // each ms
 };
 
 bool play(const Day& day) {
   std::printf("# %s\n", day.what);
-  Service service;
-  std::vector<std::unique_ptr<Place>> places;
-  for (unsigned n = 0; n < servers; ++n) places.push_back(std::make_unique<Place>(service, n));
+  RecordsStub service;
+  std::vector<std::unique_ptr<SimulatedServer>> places;
+  for (unsigned n = 0; n < servers; ++n) places.push_back(std::make_unique<SimulatedServer>(service, n));
   double most_sum = 0;
   for (Nanos t = 0; t < 14 * second; t += ms) {
     day.at(t, service, places);
     double sum = 0;
     for (auto& place : places) {
       place->step(t, t / ms % 50 == 7 * place->number);
-      sum += place->in_hand.mean_with(place->in_hand.count(), 0);
+      sum += place->in_flight.mean_with(place->in_flight.count(), 0);
     }
     most_sum = std::max(most_sum, sum / (servers * share));
     if (t % (2 * second) == 0 && t > 0)
@@ -53,13 +53,14 @@
 const double slack = 2 * std::sqrt(budget) + 2;
 
 bool cold(unsigned count, Nanos apart) {
-  Service service;
-  service.takes = 60 * ms;
-  std::vector<std::unique_ptr<Place>> places;
+  RecordsStub service;
+  service.call_duration = 60 * ms;
+  std::vector<std::unique_ptr<SimulatedServer>> places;
   for (unsigned n = 0; n < count; ++n)
-    places.push_back(std::make_unique<Place>(
+    places.push_back(std::make_unique<SimulatedServer>(
         service, n,
-        Given{{"call_share", budget / count}, {"cold", 1.0}, {"cold_from", 0.25}, {"warm_after_ns", 9e9}}));
+        Settings{
+            {"call_share", budget / count}, {"cold", 1.0}, {"cold_from", 0.25}, {"warm_after_ns", 9e9}}));
   double most = 0, most_mean = 0, calls = 0;
   WindowMean all(window, 0);
   for (Nanos t = 0; t < 8 * second; t += ms) {
@@ -68,7 +69,7 @@
       const Nanos begins = apart * (place->number % 4);
       if (t == begins) place->begin(t, 100 * ms);
       place->step(t, place->core && t / ms % 50 == place->number % 50);
-      in_hand += place->in_hand.count();
+      in_hand += place->in_flight.count();
     }
     all.change(t, in_hand - all.count());
     most = std::max(most, in_hand);
@@ -85,22 +86,22 @@
 } // namespace
 
 int main() {
-  const auto calm = [](Nanos, Service&, auto&) {};
-  const auto stands = [](Nanos t, Service& s, auto&) {
-    if (t == 5 * second) s.stands_until = t + 1300 * ms;
+  const auto calm = [](Nanos, RecordsStub&, auto&) {};
+  const auto stands = [](Nanos t, RecordsStub& s, auto&) {
+    if (t == 5 * second) s.stalled_until = t + 1300 * ms;
   };
-  const auto slow = [](Nanos t, Service& s, auto&) {
-    if (t == 4 * second) s.takes = 400 * ms;
-    if (t == 9 * second) s.takes = 5 * ms;
+  const auto slow = [](Nanos t, RecordsStub& s, auto&) {
+    if (t == 4 * second) s.call_duration = 400 * ms;
+    if (t == 9 * second) s.call_duration = 5 * ms;
   };
-  const auto mute = [](Nanos t, Service& s, auto&) {
-    if (t == 2 * second) s.mute = 0.03;
+  const auto mute = [](Nanos t, RecordsStub& s, auto&) {
+    if (t == 2 * second) s.reply_loss = 0.03;
   };
-  const auto hangs = [](Nanos t, Service& s, auto&) {
-    if (t == 3 * second) s.takes = 60 * second;
+  const auto hangs = [](Nanos t, RecordsStub& s, auto&) {
+    if (t == 3 * second) s.call_duration = 60 * second;
   };
-  const auto killed = [](Nanos t, Service& s, auto& places) {
-    if (t == 3 * second) s.takes = 300 * ms;
+  const auto killed = [](Nanos t, RecordsStub& s, auto& places) {
+    if (t == 3 * second) s.call_duration = 300 * ms;
     const auto k = static_cast<unsigned>(t / (500 * ms)) % servers;
     if (t > 4 * second && t < 9 * second && t % (500 * ms) == 0) places[k]->kill();
     if (t > 4 * second && t < 9 * second && t % (500 * ms) == 400 * ms) places[k]->begin(t, 100 * ms);
--- a/tests/simulated_server.hpp
+++ b/tests/simulated_server.hpp
@@ -22,15 +22,15 @@
 constexpr double share = 0.55;
 constexpr Nanos hop = 5 * ms; // until a start is on the cores, a reply with its run
 
-inline Given settings(unsigned server) {
-  Given given{{"cores", 2.0},         {"fall_multiple", 4.0},
-              {"memory_kb", 40000.0}, {"run_factor", 4.0},
-              {"key_kb", 2.0},        {"drain_grace_ns", 2e9},
-              {"callers", 3.0},       {"call_share", share},
-              {"calls_over_ns", 5e9}, {"call_linger_ns", static_cast<double>(linger)},
-              {"memory_mb", 64.0},    {"stop_ns", 3e9},
-              {"seed_high", 1.0},     {"seed_low", 2.0 + server},
-              {"name", "n"},          {"tells_patience", 1.0}};
+inline Settings settings(unsigned server) {
+  Settings given{{"cores", 2.0},         {"fall_multiple", 4.0},
+                 {"memory_kb", 40000.0}, {"run_factor", 4.0},
+                 {"key_kb", 2.0},        {"drain_grace_ns", 2e9},
+                 {"callers", 3.0},       {"call_share", share},
+                 {"calls_over_ns", 5e9}, {"call_linger_ns", static_cast<double>(linger)},
+                 {"memory_mb", 64.0},    {"stop_ns", 3e9},
+                 {"seed_high", 1.0},     {"seed_low", 2.0 + server},
+                 {"name", "n"},          {"tells_patience", 1.0}};
   for (int t = 0; t < 2; ++t) {
     const std::string at = "op_type." + std::to_string(t) + ".";
     given[at + "name"] = t == 0 ? "look" : "book";
@@ -44,18 +44,18 @@
 }
 
 // The service: how long its calls take from now on. While it stands still nothing ends.
-struct Service {
-  Nanos takes = 5 * ms;
-  Nanos stands_until = 0;
-  double mute = 0; // part of the replies that never come
+struct RecordsStub {
+  Nanos call_duration = 5 * ms;
+  Nanos stalled_until = 0;
+  double reply_loss = 0; // part of the replies that never come
 };
 
-struct Place : Orders {
+struct SimulatedServer : Actions {
   struct Call {
     Nanos made = 0, ends = 0, times_out = 0;
-    bool mute = false;
+    bool reply_loss = false;
   };
-  const Service& service;
+  const RecordsStub& service;
   unsigned number;
   Pcg chance;
   Nanos now = 0;
@@ -66,18 +66,21 @@
   std::multimap<Nanos, std::function<void()>> later;
   std::uint64_t ops = 0;
   int acked = 0, failed_ops = 0, nacked = 0;
-  WindowMean in_hand{window, 0}; // as the service has it
-  std::multiset<Nanos> given_up; // ends of those that stay
+  WindowMean in_flight{window, 0}; // as the service has it
+  std::multiset<Nanos> given_up;   // ends of those that stay
   double most = 0;
 
-  Given more; // set beside the usual, or instead
+  Settings more; // set beside the usual, or instead
 
-  Place(const Service& s, unsigned n) : service(s), number(n), chance(n + 1) { begin(0, 3600 * second); }
+  SimulatedServer(const RecordsStub& s, unsigned n) : service(s), number(n), chance(n + 1) {
+    begin(0, 3600 * second);
+  }
   // One that is begun later.
-  Place(const Service& s, unsigned n, Given m) : service(s), number(n), chance(n + 1), more(std::move(m)) {}
+  SimulatedServer(const RecordsStub& s, unsigned n, Settings m)
+      : service(s), number(n), chance(n + 1), more(std::move(m)) {}
   void begin(Nanos at, Nanos machine_up_for) {
     now = at;
-    Given given = more;
+    Settings given = more;
     given.merge(settings(number));
     core.reset(new Core(now, given, *this));
     core->machine_up(now, machine_up_for);
@@ -93,7 +96,7 @@
     core.reset();
   }
   void leave(const Call& call) {
-    const Nanos end = std::min(std::max(call.ends, service.stands_until), now + linger);
+    const Nanos end = std::min(std::max(call.ends, service.stalled_until), now + linger);
     given_up.insert(std::max(now, end));
   }
   void after(Nanos time, std::function<void()> what) { later.emplace(now + time, std::move(what)); }
@@ -102,42 +105,42 @@
     const Call call = calls.at(op);
     calls.erase(op);
     if (outcome == Outcome::done)
-      in_hand.change(now, -1);
+      in_flight.change(now, -1);
     else
       leave(call);
-    core->call_over(now, op, outcome, Content("reply"));
+    core->call_finished(now, op, outcome, Content("reply"));
   }
   // Its op is over: a run at its call ends there, one on the way to it when it comes there.
   void end_at_call(OpId op) {
     if (waiting.erase(op) > 0)
-      after(hop, [this, op] { core->run_over(now, op, Outcome::halted, 20 * ms, {}); });
+      after(hop, [this, op] { core->run_finished(now, op, Outcome::halted, 20 * ms, {}); });
     else if (on_way.contains(op))
       over_ops.insert(op);
   }
-  void lose(OpId op, Line line) {
-    core->line_lost(now, line);
+  void lose(OpId op, StreamRef line) {
+    core->stream_lost(now, line);
     end_at_call(op);
   }
   // An op of the next number, each third keyed; with the mark of an earlier one where that is given.
   OpId ask(ConnectionId connection, CallerId caller, const std::string& mark) {
     const OpId id{++ops * 100 + number};
     const OpTypeId type{!mark.empty() || ops % 3 == 0};
-    core->op_came(now, {connection, StreamId{static_cast<std::uint32_t>(ops)}}, id, type, TenantId{0}, caller,
-                  now - ms, 4 * second, 10, 0.5,
-                  type.raw == 0  ? ""
-                  : mark.empty() ? std::to_string(id.raw)
-                                 : mark,
-                  "", Content("body"), {type.raw, 7});
+    core->op_received(now, {connection, StreamId{static_cast<std::uint32_t>(ops)}}, id, type, TenantId{0},
+                      caller, now - ms, 4 * second, 10, 0.5,
+                      type.raw == 0  ? ""
+                      : mark.empty() ? std::to_string(id.raw)
+                                     : mark,
+                      "", Content("body"), {type.raw, 7});
     return id;
   }
   void step(Nanos at, bool asks) {
     now = at;
     while (!given_up.empty() && *given_up.begin() <= now) {
-      in_hand.change(now, -1);
+      in_flight.change(now, -1);
       given_up.erase(given_up.begin());
     }
-    in_hand.advance(now);
-    most = std::max(most, in_hand.mean_with(in_hand.count(), 0));
+    in_flight.advance(now);
+    most = std::max(most, in_flight.mean_with(in_flight.count(), 0));
     if (!core) return;
     while (!later.empty() && later.begin()->first <= now) {
       const auto what = std::move(later.begin()->second);
@@ -146,7 +149,7 @@
     }
     std::vector<OpId> done, late;
     for (const auto& [op, call] : calls) {
-      if (!call.mute && call.ends <= now && service.stands_until <= now)
+      if (!call.reply_loss && call.ends <= now && service.stalled_until <= now)
         done.push_back(op);
       else if (call.times_out <= now)
         late.push_back(op);
@@ -159,44 +162,44 @@
       core->gauges(now, gauges);
       core->due(now);
     }
-    while (core->unsettled()) core->settle(now);
+    while (core->has_repeats_to_answer()) core->answer_repeats(now);
   }
 
-  void served(Line, OpId, Content) override { ++acked; }
-  void refused(Line, OpId, Reason, Nanos, bool) override { ++nacked; }
-  void failed(Line, OpId op, Reason) override {
+  void served(StreamRef, OpId, Content) override { ++acked; }
+  void refused(StreamRef, OpId, Reason, Nanos, bool) override { ++nacked; }
+  void failed(StreamRef, OpId op, Reason) override {
     ++failed_ops;
     end_at_call(op);
   }
-  void penalize(Line) override {}
+  void penalize(StreamRef) override {}
   void start(OpId op, OpTypeId, const Content&, StartNo) override {
     on_way.insert(op);
     after(hop + 10 * ms, [this, op] {
       on_way.erase(op);
-      if (over_ops.erase(op) > 0) return core->run_over(now, op, Outcome::halted, 20 * ms, {});
+      if (over_ops.erase(op) > 0) return core->run_finished(now, op, Outcome::halted, 20 * ms, {});
       waiting.insert(op);
       core->call_wanted(now, op, Content("call"));
     });
   }
   void resume(OpId op, const Content&) override {
     waiting.erase(op);
-    after(hop, [this, op] { core->run_over(now, op, Outcome::done, 20 * ms, Content("result")); });
+    after(hop, [this, op] { core->run_finished(now, op, Outcome::done, 20 * ms, Content("result")); });
   }
   void call(OpId op, Nanos time_out, const Content&) override {
-    in_hand.change(now, 1);
-    calls[op] = {now, now + service.takes, now + time_out, chance.unit() < service.mute};
+    in_flight.change(now, 1);
+    calls[op] = {now, now + service.call_duration, now + time_out, chance.unit() < service.reply_loss};
   }
-  void give_up_call(OpId op) override {
+  void cancel_call(OpId op) override {
     const auto at = calls.find(op);
     if (at == calls.end()) return;
     leave(at->second);
     calls.erase(at);
   }
   void health(bool) override {}
-  void tell_callers(double) override {}
-  void idle_close(Nanos) override {}
-  void timing(Timing, Nanos) override {}
-  void when_full(std::span<const Eviction>, int) override {}
+  void notify_callers(double) override {}
+  void set_idle_timeout(Nanos) override {}
+  void set_timing(Timing, Nanos) override {}
+  void set_eviction_order(std::span<const Eviction>, int) override {}
   void stop_accepting() override {}
   void note(const char*, std::string_view) override {}
 };
--- a/tests/tasks.cpp
+++ b/tests/tasks.cpp
@@ -17,7 +17,7 @@
 void say(const char* what) { std::printf("# %s\n", what); }
 
 // A member that is the one voter: what it asks itself is heard at the end of each step.
-struct Driver final : LeaseOrders, TaskOrders {
+struct Driver final : LeaseActions, TaskActions {
   Nanos now = 0;
   std::deque<std::function<void()>> own;
   bool deaf = false; // its asks get lost
@@ -26,7 +26,7 @@
   std::unique_ptr<Tasks> tasks;
   std::map<std::uint32_t, Token> under_way;
 
-  explicit Driver(const Given& of_tasks)
+  explicit Driver(const Settings& of_tasks)
       : leases(0, MemberId{1}, Incarnation{7}, voters,
                {{"leases.term", 1e9},
                 {"leases.longest_term", 1e9},
@@ -53,8 +53,8 @@
     });
   }
   void held(std::string_view l, Token, Nanos from, Nanos) override { tasks->held(l, from); }
-  void lost(std::string_view l, Token, LostWhy why) override {
-    std::printf("  %6lld %s lost: %s\n", at(), std::string(l).c_str(), std::string(word_of(why)).c_str());
+  void lost(std::string_view l, Token, LossReason why) override {
+    std::printf("  %6lld %s lost: %s\n", at(), std::string(l).c_str(), std::string(to_text(why)).c_str());
     tasks->lost(l);
   }
   void begin(TaskId t, Token token, Nanos limit) override {
@@ -62,10 +62,10 @@
     std::printf("  %6lld begin %s, within %lld ms\n", at(), tasks->name(t).c_str(),
                 static_cast<long long>(limit / ms));
   }
-  void tell_done(TaskId t, Token) override {
+  void notify_done(TaskId t, Token) override {
     std::printf("  %6lld tell that %s is done\n", at(), tasks->name(t).c_str());
   }
-  void resting(TaskId t, Nanos rest) override {
+  void released_after_failures(TaskId t, Nanos rest) override {
     std::printf("  %6lld %s is let go for %lld ms\n", at(), tasks->name(t).c_str(),
                 static_cast<long long>(rest / ms));
   }
@@ -92,7 +92,7 @@
     now = time * ms;
     step();
   }
-  void end(std::uint32_t t, TaskEnd end, Token seen = {}) {
+  void end(std::uint32_t t, TaskOutcome end, Token seen = {}) {
     const Token token = under_way[t];
     under_way.erase(t);
     tasks->ended(now, TaskId{t}, token, end, seen);
@@ -100,15 +100,15 @@
   }
 };
 
-Given task(int n, const char* name, Nanos every, Nanos limit, Given more = {}) {
+Settings task(int n, const char* name, Nanos every, Nanos limit, Settings more = {}) {
   const std::string at = "task." + std::to_string(n) + ".";
-  Given given{{at + "name", std::string(name)},
-              {at + "every", static_cast<double>(every * ms)},
-              {at + "limit", static_cast<double>(limit * ms)}};
+  Settings given{{at + "name", std::string(name)},
+                 {at + "every", static_cast<double>(every * ms)},
+                 {at + "limit", static_cast<double>(limit * ms)}};
   for (const auto& [key, value] : more) given[at + key] = value;
   return given;
 }
-Given with(Given a, const Given& b) {
+Settings with(Settings a, const Settings& b) {
   a.insert(b.begin(), b.end());
   return a;
 }
@@ -120,34 +120,34 @@
     Driver s(task(0, "sweep", 400, 300));
     s.to(1100); // a voter that starts is silent for a term
     s.to(1250);
-    s.end(0, TaskEnd::done);
+    s.end(0, TaskOutcome::done);
     s.to(1600);
-    s.end(0, TaskEnd::done);
+    s.end(0, TaskOutcome::done);
     s.deaf = true; // no renewal from here on
     s.to(3000);
   }
   {
     say("most important first, so many at once");
-    Given all = with(
+    Settings all = with(
         task(0, "low", 200, 50, {{"priority", 1.0}}),
         with(task(1, "high", 200, 50, {{"priority", 9.0}}), task(2, "middle", 200, 50, {{"priority", 5.0}})));
     all["tasks.at_once"] = 2.0;
     Driver s(all);
     s.to(1150);
-    s.end(1, TaskEnd::done);
+    s.end(1, TaskOutcome::done);
     s.to(1160);
-    s.end(2, TaskEnd::failed);
-    s.end(0, TaskEnd::done);
+    s.end(2, TaskOutcome::failed);
+    s.end(0, TaskOutcome::done);
   }
   {
     say("equals, one at once: each in its turn");
-    Given all = with(task(0, "a", 100, 50), with(task(1, "b", 100, 50), task(2, "c", 100, 50)));
+    Settings all = with(task(0, "a", 100, 50), with(task(1, "b", 100, 50), task(2, "c", 100, 50)));
     all["tasks.at_once"] = 1.0;
     Driver s(all);
     s.to(1150);
     for (int n = 0; n < 5; ++n) {
       s.to(s.now / ms + 120);
-      s.end(s.under_way.begin()->first, TaskEnd::done);
+      s.end(s.under_way.begin()->first, TaskOutcome::done);
     }
   }
   {
@@ -155,11 +155,11 @@
     Driver s(task(0, "sweep", 100, 50));
     s.to(1150);
     for (int n = 0; n < 7; ++n) {
-      s.end(0, n % 2 ? TaskEnd::failed : TaskEnd::unknown);
+      s.end(0, n % 2 ? TaskOutcome::failed : TaskOutcome::unknown);
       while (!s.under_way.contains(0)) s.to(s.now / ms + 10);
     }
     say("the target knows a greater token: let go, and held again under one above it");
-    s.end(0, TaskEnd::refused, Token{0x5000000});
+    s.end(0, TaskOutcome::refused, Token{0x5000000});
     while (!s.under_way.contains(0)) s.to(s.now / ms + 10);
     std::printf("  under %llx\n", static_cast<unsigned long long>(s.under_way[0].raw));
   }
@@ -168,11 +168,11 @@
         "nothing");
     Driver s(task(0, "sweep", 400, 100));
     s.now = 700 * ms;
-    s.tasks->heard_done(s.now, "sweep", Token{9}, 100 * ms);
-    s.tasks->heard_done(s.now, "sweep", Token{8}, 0);
-    s.tasks->heard_done(s.now, "unknown", Token{8}, 0);
+    s.tasks->completed_elsewhere(s.now, "sweep", Token{9}, 100 * ms);
+    s.tasks->completed_elsewhere(s.now, "sweep", Token{8}, 0);
+    s.tasks->completed_elsewhere(s.now, "unknown", Token{8}, 0);
     s.to(1300);
-    std::printf("  next at %lld\n", static_cast<long long>(s.tasks->standing()[0].next / ms));
+    std::printf("  next at %lld\n", static_cast<long long>(s.tasks->status()[0].next / ms));
   }
   for (const double catch_up : {0.0, 1.0}) {
     say(catch_up > 0 ? "missed periods are caught up with" : "missed periods are left out");
@@ -180,9 +180,9 @@
     s.to(1105);
     for (int n = 0; n < 3; ++n) {
       s.to(s.now / ms + 20);
-      if (s.under_way.contains(0)) s.end(0, TaskEnd::done);
+      if (s.under_way.contains(0)) s.end(0, TaskOutcome::done);
     }
-    const Tasks::Standing stands = s.tasks->standing()[0];
+    const Tasks::Status stands = s.tasks->status()[0];
     std::printf("  done %llu, left out %llu, next at %lld\n", static_cast<unsigned long long>(stands.done),
                 static_cast<unsigned long long>(stands.missed), static_cast<long long>(stands.next / ms));
   }
@@ -191,7 +191,7 @@
     Driver s(task(0, "sweep", 1000, 50, {{"most_an_hour", 16.0}}));
     s.to(1050);
     for (int n = 0; n < 4; ++n) {
-      s.end(0, TaskEnd::done);
+      s.end(0, TaskOutcome::done);
       while (!s.under_way.contains(0)) s.to(s.now / ms + 100);
     }
   }
@@ -199,16 +199,16 @@
     say("leaving while one is under way: its lease is given up when it has ended, and none begins");
     Driver s(with(task(0, "sweep", 200, 100), task(1, "other", 200, 100)));
     s.to(1150);
-    s.end(1, TaskEnd::done);
+    s.end(1, TaskOutcome::done);
     s.tasks->leave(s.now);
     s.leases.leave(s.now);
     s.to(1200);
-    s.end(0, TaskEnd::done);
+    s.end(0, TaskOutcome::done);
     s.to(2000);
-    std::printf("  still wanted: %zu\n", s.leases.standing().size());
+    std::printf("  still wanted: %zu\n", s.leases.status().size());
   }
   say("senseless settings");
-  for (const Given& bad :
+  for (const Settings& bad :
        {task(0, "a", 100, 200), task(0, "a", 0, 0), task(0, "a", 100, 50, {{"most_an_hour", -1.0}}),
         with(task(0, "a", 100, 50), {{"tasks.at_once", 0.0}})})
     try {
@@ -239,7 +239,7 @@
   };
   for (const Case& one : cases)
     for (const bool first : {true, false}) {
-      CarefulClock clock(100 * second, 100 * second);
+      LeaseClock clock(100 * second, 100 * second);
       const Nanos early0 = clock.early(), late0 = clock.late();
       Nanos apart = 0, before_early = early0, before_late = late0;
       bool back = false, early_short = false, late_long = false;
@@ -250,7 +250,7 @@
         before_early = clock.early(), before_late = clock.late();
         early_short = early_short || clock.early() - early0 < t;
         late_long = late_long || clock.late() - late0 > t;
-        apart = std::max(apart, clock.apart());
+        apart = std::max(apart, clock.divergence());
       }
       std::printf("  %s (%s): %lld ms, %lld ms%s%s%s%s\n", one.what, first ? "first" : "second",
                   static_cast<long long>((clock.early() - early0) / ms),
--- a/tests/trials.cpp
+++ b/tests/trials.cpp
@@ -38,7 +38,7 @@
 };
 
 class Fleet {
-  struct Server final : LeaseOrders, TrialOrders {
+  struct Server final : LeaseActions, TrialActions {
     Fleet& fleet;
     MemberId self;
     Voters voters;
@@ -77,7 +77,7 @@
       fleet.holder = this;
       trials->held(fleet.now, token, from);
     }
-    void lost(std::string_view, Token, LostWhy) override {
+    void lost(std::string_view, Token, LossReason) override {
       if (fleet.holder == this) fleet.holder = nullptr;
       trials->lost(fleet.now);
     }
@@ -112,8 +112,8 @@
   Server* holder = nullptr;
 
   explicit Fleet(const Day& day) : day_(day), chance_(day.seed) {
-    const Given figures{{"leases.term", 1e9}, {"leases.longest_term", 1e9}, {"leases.drift", 0.01},
-                        {"leases.most", 4.0}, {"trials.unheard", 2e9},      {"trials.spread", 5e8}};
+    const Settings figures{{"leases.term", 1e9}, {"leases.longest_term", 1e9}, {"leases.drift", 0.01},
+                           {"leases.most", 4.0}, {"trials.unheard", 2e9},      {"trials.spread", 5e8}};
     for (unsigned s = 1; s <= day.servers; ++s) {
       servers_.push_back(std::make_unique<Server>(*this, MemberId{s}));
       Server& one = *servers_.back();
@@ -209,13 +209,13 @@
 
 void say(const char* what) { std::printf("# %s\n", what); }
 
-struct Printed final : LeaseOrders, TrialOrders {
+struct Printed final : LeaseActions, TrialActions {
   void ask(MemberId, Epoch, std::string_view, AskNo, Token, Nanos) override {}
   void release(MemberId, std::string_view, AskNo) override {}
   void grant(MemberId, Incarnation, std::string_view, AskNo, bool) override {}
   void refuse(MemberId, Incarnation, std::string_view, AskNo, Token, Nanos) override {}
   void held(std::string_view, Token, Nanos, Nanos) override {}
-  void lost(std::string_view, Token, LostWhy) override {}
+  void lost(std::string_view, Token, LossReason) override {}
   void others_try(Nanos until) override {
     std::printf("  others try until %lld ms\n", static_cast<long long>(until / ms));
   }
@@ -229,8 +229,8 @@
 void steps() {
   Printed out;
   const Voters voters(0, MemberId{9}, {Epoch{1}, {MemberId{1}}, {}}, second);
-  const Given figures{{"leases.term", 1e9}, {"leases.longest_term", 1e9}, {"leases.drift", 0.01},
-                      {"leases.most", 4.0}, {"trials.unheard", 2e9},      {"trials.spread", 5e8}};
+  const Settings figures{{"leases.term", 1e9}, {"leases.longest_term", 1e9}, {"leases.drift", 0.01},
+                         {"leases.most", 4.0}, {"trials.unheard", 2e9},      {"trials.spread", 5e8}};
   Leases leases(0, MemberId{9}, Incarnation{1}, voters, figures, 1, out);
   Trials t(figures, lease, leases, 1, out);
   say("stopped: it waits for another's word, and each bad one puts its own trial off");
@@ -258,7 +258,7 @@
   t.went(9300 * ms, true);
   say("too short a time without a word");
   try {
-    Given bad = figures;
+    Settings bad = figures;
     bad["trials.unheard"] = 1.9e9;
     Trials one(bad, lease, leases, 1, out);
     std::printf("  taken\n");
