--- a/tests/member.sh
+++ b/tests/member.sh
@@ -12,6 +12,7 @@
   while [ "$(grep -c "$2" member.log)" -lt "$1" ] && [ $n -lt 100 ]; do sleep 0.05; n=$((n + 1)); done
 }
 fleet 1
+: >member.log # exists before until_said reads it; the background shell may not have made it yet
 "$1" serve --config member.json --operator member.kdl 2>member.log &
 pid=$!
 until_said 1 'fails here'
