--- a/node/address.hpp
+++ b/node/address.hpp
@@ -10,24 +10,25 @@
 
 namespace cometshift {
 
-inline std::optional<asio::ip::tcp::endpoint> endpoint_in(const std::string& address) {
+inline std::optional<asio::ip::tcp::endpoint> parse_endpoint(const std::string& address) {
   const std::size_t colon = address.rfind(':');
   if (colon == std::string::npos) return std::nullopt;
   unsigned port = 0;
-  const char* last = address.data() + address.size();
-  const auto [end, wrong] = std::from_chars(address.data() + colon + 1, last, port);
-  if (wrong != std::errc() || end != last || port == 0 || port > 65535) return std::nullopt;
+  const char* address_end = address.data() + address.size();
+  const auto [parse_end, parse_error] = std::from_chars(address.data() + colon + 1, address_end, port);
+  if (parse_error != std::errc() || parse_end != address_end || port == 0 || port > 65535)
+    return std::nullopt;
   std::string host = address.substr(0, colon);
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
   asio::error_code error;
-  const asio::ip::address at = asio::ip::make_address(host, error);
+  const asio::ip::address ip = asio::ip::make_address(host, error);
   if (error) return std::nullopt;
-  return asio::ip::tcp::endpoint(at, static_cast<unsigned short>(port));
+  return asio::ip::tcp::endpoint(ip, static_cast<unsigned short>(port));
 }
 
 // Of one that has been checked.
-inline asio::ip::tcp::endpoint endpoint_of(const std::string& address) {
-  if (const auto end = endpoint_in(address)) return *end;
+inline asio::ip::tcp::endpoint require_endpoint(const std::string& address) {
+  if (const auto endpoint = parse_endpoint(address)) return *endpoint;
   throw std::invalid_argument(address + ": not an address with a port");
 }
 
--- a/node/announce.cpp
+++ b/node/announce.cpp
@@ -7,95 +7,98 @@
 
 namespace cometshift {
 
-Announce::Announce(asio::io_context& io, const std::string& address, std::string name)
-    : io_(io), address_(endpoint_of(address)), socket_(io), timer_(io), name_(std::move(name)) {}
+AnnounceClient::AnnounceClient(asio::io_context& io, const std::string& address, std::string name)
+    : io_(io), address_(require_endpoint(address)), socket_(io), timer_(io), name_(std::move(name)) {}
 
-void Announce::accepting(bool yes) {
-  if (told_ && accepting_ == yes) return;
+void AnnounceClient::set_accepting(bool yes) {
+  if (has_status_ && accepting_ == yes) return;
   accepting_ = yes;
-  told_ = true;
+  has_status_ = true;
   // A change does not wait for an answer to the report before it, which may never come.
-  if (busy_) cut_off();
+  if (report_in_flight_) close_connection();
   report();
 }
 
-void Announce::cut_off() {
+void AnnounceClient::close_connection() {
   asio::error_code ignored;
   socket_.close(ignored);
-  open_ = false;
+  connected_ = false;
 }
 
 // A list elsewhere knows nothing of this server yet: it is told at once.
-void Announce::move_to(const std::string& address) {
-  const asio::ip::tcp::endpoint to = endpoint_of(address);
+void AnnounceClient::set_address(const std::string& address) {
+  const asio::ip::tcp::endpoint to = require_endpoint(address);
   if (to == address_) return;
   address_ = to;
-  cut_off();
-  if (told_) report();
+  close_connection();
+  if (has_status_) report();
 }
 
-void Announce::report() {
-  const std::uint64_t turn = ++turn_;
-  busy_ = true;
+void AnnounceClient::report() {
+  const std::uint64_t generation = ++generation_;
+  report_in_flight_ = true;
   const std::string body = accepting_ ? "{\"accepting\":\"true\"}" : "{\"accepting\":\"false\"}";
-  out_ = "PUT /announce/" + name_ +
-         " HTTP/1.1\r\nHost: announce\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+  output_ = "PUT /announce/" + name_ +
+            " HTTP/1.1\r\nHost: announce\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+            body;
   reply_ = HttpReply();
-  timer_.expires_after(std::chrono::nanoseconds(patience_));
-  timer_.async_wait([this, turn](asio::error_code stopped) {
-    if (!stopped && turn == turn_) reported(false);
+  timer_.expires_after(std::chrono::nanoseconds(report_timeout_));
+  timer_.async_wait([this, generation](asio::error_code stopped) {
+    if (!stopped && generation == generation_) report_finished(false);
   });
-  reused_ = open_;
-  if (open_) return write();
+  connection_reused_ = connected_;
+  if (connected_) return write();
   socket_ = asio::ip::tcp::socket(io_);
-  socket_.async_connect(address_, [this, turn](asio::error_code error) {
-    if (turn != turn_) return;
-    if (error) return reported(false);
-    open_ = true;
+  socket_.async_connect(address_, [this, generation](asio::error_code error) {
+    if (generation != generation_) return;
+    if (error) return report_finished(false);
+    connected_ = true;
     asio::error_code ignored;
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
     write();
   });
 }
 
-void Announce::write() {
-  asio::async_write(socket_, asio::buffer(out_), [this, turn = turn_](asio::error_code error, std::size_t) {
-    if (turn == turn_ && error) broken();
-  });
+void AnnounceClient::write() {
+  asio::async_write(socket_, asio::buffer(output_),
+                    [this, generation = generation_](asio::error_code error, std::size_t) {
+                      if (generation == generation_ && error) connection_failed();
+                    });
   read();
 }
 
 // Against waiting for the next report where the service had only left the connection since the last one.
-void Announce::broken() {
-  if (!reused_) return reported(false);
-  cut_off();
+void AnnounceClient::connection_failed() {
+  if (!connection_reused_) return report_finished(false);
+  close_connection();
   report();
 }
 
-void Announce::read() {
-  socket_.async_read_some(asio::buffer(in_), [this, turn = turn_](asio::error_code error, std::size_t n) {
-    if (turn != turn_) return;
-    if (error) return broken();
-    const HttpReply::State state = reply_.feed({in_.data(), n});
-    if (state == HttpReply::State::reading) return read();
-    reported(state == HttpReply::State::whole && reply_.status() == 204);
-  });
+void AnnounceClient::read() {
+  socket_.async_read_some(asio::buffer(input_),
+                          [this, generation = generation_](asio::error_code error, std::size_t n) {
+                            if (generation != generation_) return;
+                            if (error) return connection_failed();
+                            const HttpReply::State state = reply_.feed({input_.data(), n});
+                            if (state == HttpReply::State::reading) return read();
+                            report_finished(state == HttpReply::State::complete && reply_.status() == 204);
+                          });
 }
 
-void Announce::reported(bool well) {
-  ++turn_;
-  busy_ = false;
-  if (!well && !said_down_) note("announce", "not reported, the service is down or slow");
-  if (well && said_down_) note("announce", "reported again");
-  said_down_ = !well;
-  if (!well || !reply_.keeps_open()) cut_off();
-  rest();
+void AnnounceClient::report_finished(bool ok) {
+  ++generation_;
+  report_in_flight_ = false;
+  if (!ok && !failure_logged_) log_info("announce", "not reported, the service is down or slow");
+  if (ok && failure_logged_) log_info("announce", "reported again");
+  failure_logged_ = !ok;
+  if (!ok || !reply_.keep_alive()) close_connection();
+  schedule_next_report();
 }
 
-void Announce::rest() {
-  timer_.expires_after(std::chrono::nanoseconds(every_));
-  timer_.async_wait([this, turn = turn_](asio::error_code stopped) {
-    if (!stopped && turn == turn_) report();
+void AnnounceClient::schedule_next_report() {
+  timer_.expires_after(std::chrono::nanoseconds(report_interval_));
+  timer_.async_wait([this, generation = generation_](asio::error_code stopped) {
+    if (!stopped && generation == generation_) report();
   });
 }
 
--- a/node/configuration.cpp
+++ b/node/configuration.cpp
@@ -14,88 +14,89 @@
 using simdjson::dom::object;
 
 // A figure of the protocol that no key tells: how long a report counts.
-constexpr double list_lapse_ns = 3e9;
-constexpr double least_sockets = 64; // fewer leave no room for callers beside the server's own
-constexpr double least_memory_mb = 32;
+constexpr double listing_lifetime_ns = 3e9;
+constexpr double min_sockets = 64; // fewer leave no room for callers beside the server's own
+constexpr double min_memory_mb = 32;
 
-[[noreturn]] void bad(const std::string& key, const char* why) {
-  throw std::invalid_argument(key + ": " + why);
+[[noreturn]] void reject(const std::string& key, const char* reason) {
+  throw std::invalid_argument(key + ": " + reason);
 }
 
-element at(const object& from, const char* name, const std::string& path) {
+element required_member(const object& from, const char* name, const std::string& path) {
   element found;
-  if (from[name].get(found) != simdjson::SUCCESS) bad(path + name, "missing");
+  if (from[name].get(found) != simdjson::SUCCESS) reject(path + name, "missing");
   return found;
 }
-object part(const object& from, const char* name) {
+object object_member(const object& from, const char* name) {
   object found;
-  if (at(from, name, "").get(found) != simdjson::SUCCESS) bad(name, "not an object");
+  if (required_member(from, name, "").get(found) != simdjson::SUCCESS) reject(name, "not an object");
   return found;
 }
-std::string word(const object& from, const char* name) {
+std::string text_member(const object& from, const char* name) {
   std::string_view found;
-  if (at(from, name, "").get(found) != simdjson::SUCCESS) bad(name, "not a text");
-  if (found.empty()) bad(name, "empty");
+  if (required_member(from, name, "").get(found) != simdjson::SUCCESS) reject(name, "not a text");
+  if (found.empty()) reject(name, "empty");
   return std::string(found);
 }
-double figure(const object& from, const char* name, const std::string& path, double least, double most) {
+double number_member(const object& from, const char* name, const std::string& path, double least,
+                     double most) {
   double found = 0;
-  if (at(from, name, path).get(found) != simdjson::SUCCESS) bad(path + name, "not a number");
-  if (!(found >= least && found <= most)) bad(path + name, "out of range");
+  if (required_member(from, name, path).get(found) != simdjson::SUCCESS) reject(path + name, "not a number");
+  if (!(found >= least && found <= most)) reject(path + name, "out of range");
   return found;
 }
-std::string address(const object& from, const char* name) {
-  const std::string found = word(from, name);
-  if (!endpoint_in(found)) bad(name, "not an address with a port, such as 127.0.0.1:5050");
+std::string address_member(const object& from, const char* name) {
+  const std::string found = text_member(from, name);
+  if (!parse_endpoint(found)) reject(name, "not an address with a port, such as 127.0.0.1:5050");
   return found;
 }
 
 // What the module can't do without, by the names under which it is told.
-void check(const Settings& given, const std::string& path) {
-  const auto needs = [&](const std::string& ours, const std::string& wire, double least) {
-    if (!given.contains(ours)) bad(path + wire, "missing");
-    if (number(given, ours, 0) < least) bad(path + wire, "out of range");
+void check_settings(const Settings& settings, const std::string& path) {
+  const auto require = [&](const std::string& setting, const std::string& key, double least) {
+    if (!settings.contains(setting)) reject(path + key, "missing");
+    if (number(settings, setting, 0) < least) reject(path + key, "out of range");
   };
-  const auto one_of = [&](const std::string& ours, const std::string& wire, std::set<std::string> words) {
-    if (given.contains(ours) && !words.contains(text(given, ours, "")))
-      bad(path + wire, "not one of its words");
+  const auto one_of = [&](const std::string& setting, const std::string& key, std::set<std::string> allowed) {
+    if (settings.contains(setting) && !allowed.contains(text(settings, setting, "")))
+      reject(path + key, "not one of its words");
   };
-  needs("cores", "family_info.cpus", 1);
-  needs("memory_kb", "family_info.mem_limit_kb", 1);
-  needs("fall_multiple", "invariants.fall_multiple", 1);
-  needs("drain_grace_ns", "invariants.drain_grace_ns", 0);
-  if (given.contains("calls_over_ns")) needs("calls_over_ns", "family_info.calls_over_ns", 1);
+  require("cores", "family_info.cpus", 1);
+  require("memory_kb", "family_info.mem_limit_kb", 1);
+  require("fall_multiple", "invariants.fall_multiple", 1);
+  require("drain_grace_ns", "invariants.drain_grace_ns", 0);
+  if (settings.contains("calls_over_ns")) require("calls_over_ns", "family_info.calls_over_ns", 1);
   one_of("say", "family_info.say", {"level", "tokens", "bias", "none"});
   one_of("halt", "family_info.halt", {"none", "drop", "pause"});
   one_of("below", "family_info.below", {"common", "next_hop", "none"});
   one_of("value_by", "value_by", {"op", "work"});
   // Hands each entry of a list to `check`, with its names; each has a name of its own. How many there are.
-  const auto entries = [&](const char* list, const char* wire_list, auto check) {
+  const auto entries = [&](const char* list, const char* key_list, auto check_entry) {
     std::set<std::string> names;
     for (int i = 0;; ++i) {
       const std::string number = std::to_string(i);
-      const std::string ours = std::string(list).append(number).append(".");
-      const std::string wire = std::string(wire_list).append("[").append(number).append("].");
-      const auto first = given.lower_bound(ours);
-      if (first == given.end() || !first->first.starts_with(ours)) return i;
-      check(ours, wire);
-      const std::string name = text(given, ours + "name", "");
-      if (name.empty()) bad(path + wire + "name", "missing");
-      if (!names.insert(name).second) bad(path + wire + "name", "twice the same");
+      const std::string setting = std::string(list).append(number).append(".");
+      const std::string key = std::string(key_list).append("[").append(number).append("].");
+      const auto first = settings.lower_bound(setting);
+      if (first == settings.end() || !first->first.starts_with(setting)) return i;
+      check_entry(setting, key);
+      const std::string name = text(settings, setting + "name", "");
+      if (name.empty()) reject(path + key + "name", "missing");
+      if (!names.insert(name).second) reject(path + key + "name", "twice the same");
     }
   };
   const int op_types =
-      entries("op_type.", "categories", [&](const std::string& ours, const std::string& wire) {
-        needs(ours + "op_timeout_ns", wire + "deadline_ns", 1);
-        needs(ours + "target_latency_ns", wire + "target_ns", 1);
-        if (!given.contains(ours + "repeats")) bad(path + wire + "effect", "missing");
-        one_of(ours + "repeats", wire + "effect", {"retryable", "keyed", "non_retryable"});
-        if (text(given, ours + "repeats", "") == "keyed")
-          needs(ours + "key_window_ns", wire + "key_ttl_ns", 1);
+      entries("op_type.", "categories", [&](const std::string& setting, const std::string& key) {
+        require(setting + "op_timeout_ns", key + "deadline_ns", 1);
+        require(setting + "target_latency_ns", key + "target_ns", 1);
+        if (!settings.contains(setting + "repeats")) reject(path + key + "effect", "missing");
+        one_of(setting + "repeats", key + "effect", {"retryable", "keyed", "non_retryable"});
+        if (text(settings, setting + "repeats", "") == "keyed")
+          require(setting + "key_window_ns", key + "key_ttl_ns", 1);
       });
-  if (op_types == 0) bad(path + "categories", "missing");
-  entries("tenant.", "parties", [&](const std::string& ours, const std::string& wire) {
-    needs(ours + "quota", wire + "quota_rps", 0);
+  if (op_types == 0) reject(path + "categories", "missing");
+  entries("tenant.", "parties", [&](const std::string& setting, const std::string& key) {
+    require(setting + "quota", key + "quota_rps", 0);
   });
 }
 
@@ -103,36 +104,38 @@
 
 Settings parse_configuration(std::string_view json) {
   simdjson::dom::parser parser;
-  element all;
-  if (parser.parse(json.data(), json.size()).get(all) != simdjson::SUCCESS) bad("configuration", "not JSON");
-  object top;
-  if (all.get(top) != simdjson::SUCCESS) bad("configuration", "not an object");
+  element document;
+  if (parser.parse(json.data(), json.size()).get(document) != simdjson::SUCCESS)
+    reject("configuration", "not JSON");
+  object root;
+  if (document.get(root) != simdjson::SUCCESS) reject("configuration", "not an object");
 
-  Settings given = parse_settings(part(top, "settings"), "settings.");
-  check(given, "settings.");
-  given["name"] = word(top, "name");
-  for (const char c : text(given, "name", ""))
+  Settings settings = parse_settings(object_member(root, "settings"), "settings.");
+  check_settings(settings, "settings.");
+  settings["name"] = text_member(root, "name");
+  for (const char c : text(settings, "name", ""))
     // Against a name that would be another path or header in a report.
     if (static_cast<unsigned char>(c) <= ' ' || c == '/' || c == '?' || c == '#' || c == '%' || c > '~')
-      bad("name", "not a plain word");
-  for (const char* name : {"listen", "vm", "announce", "records"}) given[name] = address(top, name);
-  const std::string seed = word(top, "seed");
+      reject("name", "not a plain word");
+  for (const char* name : {"listen", "vm", "announce", "records"})
+    settings[name] = address_member(root, name);
+  const std::string seed = text_member(root, "seed");
   std::uint64_t raw = 0;
-  const auto [end, wrong] = std::from_chars(seed.data(), seed.data() + seed.size(), raw, 16);
-  if (wrong != std::errc() || end != seed.data() + seed.size()) bad("seed", "not a number in hex digits");
-  given["seed_high"] = static_cast<double>(raw >> 32);
-  given["seed_low"] = static_cast<double>(raw & 0xffffffff);
-  given["stop_ns"] = figure(top, "stop_ms", "", 0, 1e9) * 1e6;
-  const object limits = part(top, "limits");
-  figure(limits, "cores", "limits.", 1e-3, 1e6);
-  given["memory_mb"] = figure(limits, "memory_mb", "limits.", least_memory_mb, 1e9);
-  given["sockets"] = figure(limits, "sockets", "limits.", least_sockets, 1e9);
-  given["list_lapse_ns"] = list_lapse_ns;
+  const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), raw, 16);
+  if (error != std::errc() || end != seed.data() + seed.size()) reject("seed", "not a number in hex digits");
+  settings["seed_high"] = static_cast<double>(raw >> 32);
+  settings["seed_low"] = static_cast<double>(raw & 0xffffffff);
+  settings["stop_ns"] = number_member(root, "stop_ms", "", 0, 1e9) * 1e6;
+  const object limits = object_member(root, "limits");
+  number_member(limits, "cores", "limits.", 1e-3, 1e6);
+  settings["memory_mb"] = number_member(limits, "memory_mb", "limits.", min_memory_mb, 1e9);
+  settings["sockets"] = number_member(limits, "sockets", "limits.", min_sockets, 1e9);
+  settings["list_lapse_ns"] = listing_lifetime_ns;
   // This link has no commands to stop a run or to go on without a call: the module is not to count on them.
-  given["halt"] = std::string("none");
-  for (int t = 0; given.contains("op_type." + std::to_string(t) + ".name"); ++t)
-    given.erase("op_type." + std::to_string(t) + ".without_share");
-  return given;
+  settings["halt"] = std::string("none");
+  for (int t = 0; settings.contains("op_type." + std::to_string(t) + ".name"); ++t)
+    settings.erase("op_type." + std::to_string(t) + ".without_share");
+  return settings;
 }
 
 Settings read_configuration(const std::string& path) {
--- a/node/frames.hpp
+++ b/node/frames.hpp
@@ -27,9 +27,9 @@
 constexpr std::uint32_t min_length = 5;
 constexpr std::uint32_t max_length = 262'144;
 
-inline std::uint32_t read_le(const char* at, int bytes) {
+inline std::uint32_t read_le(const char* data, int size) {
   std::uint32_t value = 0;
-  for (int i = bytes; i-- > 0;) value = value << 8 | static_cast<unsigned char>(at[i]);
+  for (int i = size; i-- > 0;) value = value << 8 | static_cast<unsigned char>(data[i]);
   return value;
 }
 inline bool is_valid_length(std::uint32_t length) { return length >= min_length && length <= max_length; }
@@ -41,7 +41,7 @@
   if (payload.empty()) return false;
   unsigned count = static_cast<unsigned char>(payload.front());
   payload.remove_prefix(1);
-  const auto cut = [&payload](int size_bytes, std::string_view& out) {
+  const auto take = [&payload](int size_bytes, std::string_view& out) {
     if (payload.size() < static_cast<std::size_t>(size_bytes)) return false;
     const std::size_t size = read_le(payload.data(), size_bytes);
     payload.remove_prefix(static_cast<std::size_t>(size_bytes));
@@ -52,7 +52,7 @@
   };
   for (; count > 0; --count) {
     std::string_view name, value;
-    if (!cut(1, name) || !cut(2, value)) return false;
+    if (!take(1, name) || !take(2, value)) return false;
     each(name, value);
   }
   rest = payload;
@@ -60,13 +60,13 @@
 }
 
 // What an answer may say beside its code; nothing is said by what is negative or false.
-void put_answer(std::string& out, Type type, std::uint32_t stream, Code code, double feedback,
-                std::int64_t later_ms, bool give_up, std::size_t body_size);
-void put_no_more(std::string& out);
+void put_response(std::string& out, Type type, std::uint32_t stream, Code code, double feedback,
+                  std::int64_t retry_after_ms, bool give_up, std::size_t body_size);
+void put_go_away(std::string& out);
 void put_frame(std::string& out, Type type, std::uint32_t stream, std::string_view payload);
 
 // Whole texts only: whole decimal numbers, and numbers with a fraction.
-bool read_whole(std::string_view text, std::int64_t& into);
-bool read_number(std::string_view text, double& into);
+bool parse_integer(std::string_view text, std::int64_t& into);
+bool parse_number(std::string_view text, double& into);
 
 } // namespace cometshift::frames
--- a/node/front.cpp
+++ b/node/front.cpp
@@ -13,30 +13,32 @@
 
 namespace {
 
-constexpr std::size_t kept_bytes = 8 * 1024; // of a connection's input: the largest request fits twice
-constexpr std::size_t most_body = 2 * 1024;  // of a request
-constexpr std::size_t most_open = 32;        // requests on a connection
-constexpr std::size_t most_text = 64;        // of a mark or a subject
-constexpr std::size_t most_used = 64;        // streams remembered beside the first ones, if all are used
-constexpr std::size_t most_pending =
-    256 * 1024;                          // bytes for a connection: 32 results fit; then its input waits
-constexpr std::size_t gathered = 32;     // pieces in one write
-constexpr std::size_t piece = 4 * 1024;  // smaller ones are put together
-constexpr int reads_a_turn = 4;          // of one connection: the others get their turn
-constexpr int accepts_a_turn = 64;       // against a flood of connections: those there are get their turn
-constexpr std::size_t endings_part = 24; // of the connections there may be: as many more may be ending
-constexpr const char* overrun = "fields that overrun it";
+constexpr std::size_t input_buffer_bytes =
+    8 * 1024;                                    // of a connection's input: the largest request fits twice
+constexpr std::size_t max_body_bytes = 2 * 1024; // of a request
+constexpr std::size_t max_open_streams = 32;     // requests on a connection
+constexpr std::size_t max_text_bytes = 64;       // of a mark or a subject
+constexpr std::size_t max_remembered_streams =
+    64; // streams remembered beside the first ones, if all are used
+constexpr std::size_t max_unread_output =
+    256 * 1024;                              // bytes for a connection: 32 results fit; then its input waits
+constexpr std::size_t max_write_pieces = 32; // pieces in one write
+constexpr std::size_t min_piece_bytes = 4 * 1024; // smaller ones are put together
+constexpr int reads_per_turn = 4;                 // of one connection: the others get their turn
+constexpr int accepts_per_turn = 64; // against a flood of connections: those there are get their turn
+constexpr std::size_t lingering_divisor = 24; // of the connections there may be: as many more may be ending
+constexpr const char* fields_overrun = "fields that overrun it";
 constexpr Nanos ms = 1'000'000;
-constexpr std::int64_t latest_time = std::int64_t{1} << 42; // ms: keeps times in whole nanoseconds
+constexpr std::int64_t max_time_ms = std::int64_t{1} << 42; // ms: keeps times in whole nanoseconds
 
 } // namespace
 
-Front::Front(asio::io_context& io, const std::string& listen, std::size_t most_connections,
-             std::size_t most_waiting, Names names, Handler& taker)
-    : io_(io), acceptor_(io), retry_(io), most_connections_(most_connections), most_waiting_(most_waiting),
-      names_(std::move(names)), taker_(taker) {
+Front::Front(asio::io_context& io, const std::string& listen, std::size_t max_connections,
+             std::size_t max_pending_bytes, Names names, Handler& handler)
+    : io_(io), acceptor_(io), accept_retry_timer_(io), max_connections_(max_connections),
+      max_pending_bytes_(max_pending_bytes), names_(std::move(names)), handler_(handler) {
   try {
-    const asio::ip::tcp::endpoint at = endpoint_of(listen);
+    const asio::ip::tcp::endpoint at = require_endpoint(listen);
     acceptor_.open(at.protocol());
     acceptor_.set_option(
         asio::socket_base::reuse_address(true)); // against waiting for an earlier life's ends
@@ -54,27 +56,29 @@
 // ---- connections come and go
 
 // Nothing is due on it.
-bool Front::spare(const Connection& c) const { return c.open.empty() && c.waiting == 0; }
+bool Front::is_idle(const Connection& c) const { return c.open_streams.empty() && c.pending_bytes == 0; }
 
 // Against a table full of connections that say nothing while callers wait outside: one goes, in the order
 // told. False if it is the newest that has to.
-bool Front::make_room() {
-  for (const Eviction way : order_) {
-    if (way == Eviction::newest) return false;
+bool Front::evict_one() {
+  for (const Eviction criterion : eviction_order_) {
+    if (criterion == Eviction::newest) return false;
     for (;;) {
-      Connection* goes = nullptr;
+      Connection* victim = nullptr;
       for (auto& [id, c] : connections_)
-        if (spare(*c) && c->heard == (way == Eviction::idle) && (!goes || c->last < goes->last))
-          goes = c.get();
-      if (!goes) break;
-      const ConnectionId id = goes->id;
-      readable(*goes); // against closing over a request that lies unread
+        if (is_idle(*c) && c->received_frame == (criterion == Eviction::idle) &&
+            (!victim || c->last_activity < victim->last_activity))
+          victim = c.get();
+      if (!victim) break;
+      const ConnectionId id = victim->id;
+      on_readable(*victim); // against closing over a request that lies unread
       const auto at = connections_.find(id);
       if (at == connections_.end()) return true;
-      if (!spare(*at->second) || at->second->heard != (way == Eviction::idle)) continue;
-      tell_no_more(*at->second);
-      write(*at->second);
-      if (const auto still = connections_.find(id); still != connections_.end()) end(*still->second);
+      if (!is_idle(*at->second) || at->second->received_frame != (criterion == Eviction::idle)) continue;
+      send_go_away(*at->second);
+      write_output(*at->second);
+      if (const auto still = connections_.find(id); still != connections_.end())
+        close_gracefully(*still->second);
       return true;
     }
   }
@@ -82,7 +86,7 @@
 }
 
 // Takes those that wait to be accepted.
-asio::error_code Front::accept_some(int most) {
+asio::error_code Front::accept_pending(int most) {
   asio::error_code error;
   while (most-- > 0) {
     asio::ip::tcp::socket socket(io_);
@@ -92,18 +96,18 @@
       continue;
     }
     if (error) break;
-    if (connections_.size() >= most_connections_ && !make_room()) {
-      note("accept", "no room, closed at once");
+    if (connections_.size() >= max_connections_ && !evict_one()) {
+      log_info("accept", "no room, closed at once");
       continue; // with nothing read: what was written on it has not run
     }
     asio::error_code ignored;
     socket.non_blocking(true, ignored);
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    const ConnectionId id{next_++};
+    const ConnectionId id{next_connection_++};
     Connection& c =
         *connections_.emplace(id, std::make_unique<Connection>(std::move(socket), id)).first->second;
-    c.last = c.begun = now_;
-    readable(c);
+    c.last_activity = c.frame_began = now_;
+    on_readable(c);
   }
   return error;
 }
@@ -114,161 +118,166 @@
   acceptor_.async_wait(asio::socket_base::wait_read, [this](asio::error_code error) {
     accepting_ = false;
     if (stopped_accepting_) return;
-    if (!error) error = accept_some(accepts_a_turn);
+    if (!error) error = accept_pending(accepts_per_turn);
     if (!error || error == asio::error::would_block || error == asio::error::connection_aborted)
       return accept();
     // Against spinning where no descriptor is free: what waits is accepted when one is.
-    note("accept", "%s", error.message().c_str());
-    if (!endings_.empty()) endings_.erase(endings_.begin());
-    retry_.expires_after(std::chrono::nanoseconds(accept_again_));
-    retry_.async_wait([this](asio::error_code stopped) {
+    log_info("accept", "%s", error.message().c_str());
+    if (!lingering_.empty()) lingering_.erase(lingering_.begin());
+    accept_retry_timer_.expires_after(std::chrono::nanoseconds(accept_retry_delay_));
+    accept_retry_timer_.async_wait([this](asio::error_code stopped) {
       if (!stopped) accept();
     });
   });
 }
 
 // Ends one on which all is said.
-void Front::end(Connection& c) {
-  if (!c.peer_ended) {
+void Front::close_gracefully(Connection& c) {
+  if (!c.peer_closed) {
     asio::error_code error;
     c.socket.shutdown(asio::socket_base::shutdown_send, error);
     if (!error) {
-      endings_.try_emplace(next_ending_, std::move(c.socket), now_);
-      linger(next_ending_++);
+      lingering_.try_emplace(next_lingering_, std::move(c.socket), now_);
+      drain_lingering(next_lingering_++);
       // Against those that end taking the descriptors of those that come.
-      while (connections_.size() + endings_.size() > most_connections_ + most_connections_ / endings_part + 1)
-        endings_.erase(endings_.begin());
+      while (connections_.size() + lingering_.size() >
+             max_connections_ + max_connections_ / lingering_divisor + 1)
+        lingering_.erase(lingering_.begin());
     }
   }
-  drop(c, nullptr);
+  remove(c, nullptr);
 }
 
 // Reads and drops what comes on one that ends, to its peer's end; sweep() sets the bound in time.
-void Front::linger(std::uint64_t number) {
-  const auto at = endings_.find(number);
-  if (at == endings_.end()) return;
-  std::array<char, kept_bytes> dropped;
-  for (int turn = 0; turn < reads_a_turn; ++turn) {
+void Front::drain_lingering(std::uint64_t number) {
+  const auto at = lingering_.find(number);
+  if (at == lingering_.end()) return;
+  std::array<char, input_buffer_bytes> dropped;
+  for (int turn = 0; turn < reads_per_turn; ++turn) {
     asio::error_code error;
     const std::size_t n = at->second.socket.read_some(asio::buffer(dropped), error);
     if (error && error != asio::error::would_block) {
-      endings_.erase(at);
+      lingering_.erase(at);
       return;
     }
     if (error || n < dropped.size()) break;
   }
   at->second.socket.async_wait(asio::socket_base::wait_read, [this, number](asio::error_code stopped) {
-    if (!stopped) linger(number);
+    if (!stopped) drain_lingering(number);
   });
 }
 
 // The one place where a connection is given back.
-void Front::drop(Connection& c, const char* why) {
-  if (why) note("connection", "closed: %s", why);
-  const std::set<StreamId> open = std::move(c.open);
+void Front::remove(Connection& c, const char* reason) {
+  if (reason) log_info("connection", "closed: %s", reason);
+  const std::set<StreamId> lost = std::move(c.open_streams);
   const ConnectionId id = c.id;
-  waiting_ -= c.waiting;
+  pending_bytes_ -= c.pending_bytes;
   connections_.erase(id);
-  for (const StreamId stream : open) taker_.stream_lost({id, stream});
+  for (const StreamId stream : lost) handler_.stream_lost({id, stream});
 }
 
 // A frame that is on its way has its time, also past the end: its caller wrote no new one.
-bool Front::over(const Connection& c) const {
-  if (!c.open.empty() || c.waiting > 0) return false;
-  if (c.peer_ended) return true;
-  const bool coming = c.filled > 0 && !c.input_ignored && now_ - c.begun < first_word_;
-  return !coming && c.draining_since >= 0 && now_ - c.draining_since >= leave_to_end_;
+bool Front::may_close(const Connection& c) const {
+  if (!c.open_streams.empty() || c.pending_bytes > 0) return false;
+  if (c.peer_closed) return true;
+  const bool coming = c.filled > 0 && !c.input_ignored && now_ - c.frame_began < frame_timeout_;
+  return !coming && c.draining_since >= 0 && now_ - c.draining_since >= drain_delay_;
 }
 
-void Front::sweep() {
+void Front::check_timeouts() {
   std::vector<ConnectionId> ended, stuck, slow;
-  const Nanos least = std::min(idle_ > 0 ? idle_ : silent_, silent_ > 0 ? silent_ : idle_);
+  const Nanos least = std::min(idle_timeout_ > 0 ? idle_timeout_ : silence_timeout_,
+                               silence_timeout_ > 0 ? silence_timeout_ : idle_timeout_);
   for (auto& [id, c] : connections_) {
-    if (least > 0 && c->open.empty() && now_ - c->last >= least) tell_no_more(*c);
+    if (least > 0 && c->open_streams.empty() && now_ - c->last_activity >= least) send_go_away(*c);
     // Against peers that say nothing, or that never end what they began, however it trickles.
-    if (first_word_ > 0 && c->begun >= 0 && now_ - c->begun >= first_word_ && !c->input_ignored)
-      c->heard || c->filled > 0 ? slow.push_back(id) : tell_no_more(*c);
-    if (over(*c)) ended.push_back(id);
-    if (unread_ > 0 && c->writing && now_ - c->stuck_since >= unread_) stuck.push_back(id);
+    if (frame_timeout_ > 0 && c->frame_began >= 0 && now_ - c->frame_began >= frame_timeout_ &&
+        !c->input_ignored)
+      c->received_frame || c->filled > 0 ? slow.push_back(id) : send_go_away(*c);
+    if (may_close(*c)) ended.push_back(id);
+    if (write_stall_timeout_ > 0 && c->write_pending && now_ - c->write_blocked_since >= write_stall_timeout_)
+      stuck.push_back(id);
   }
-  for (const ConnectionId id : stuck) drop(*connections_.at(id), "it does not read what it is sent");
+  for (const ConnectionId id : stuck) remove(*connections_.at(id), "it does not read what it is sent");
   for (const ConnectionId id : slow) {
     const auto at = connections_.find(id);
     if (at == connections_.end()) continue;
-    const Nanos begun = at->second->begun;
-    readable(*at->second); // against ending over the rest of the frame, which may lie unread
-    if (const auto still = connections_.find(id);
-        still != connections_.end() && still->second->begun == begun && !still->second->input_ignored)
-      unreadable(*still->second, "a frame that does not end");
+    const Nanos frame_began = at->second->frame_began;
+    on_readable(*at->second); // against ending over the rest of the frame, which may lie unread
+    if (const auto still = connections_.find(id); still != connections_.end() &&
+                                                  still->second->frame_began == frame_began &&
+                                                  !still->second->input_ignored)
+      reject_input(*still->second, "a frame that does not end");
   }
   for (const ConnectionId id : ended) {
     const auto at = connections_.find(id);
     if (at == connections_.end()) continue;
-    if (!at->second->peer_ended) readable(*at->second); // against closing over a request that lies unread
-    if (const auto still = connections_.find(id); still != connections_.end() && over(*still->second))
-      end(*still->second);
+    if (!at->second->peer_closed) on_readable(*at->second); // against closing over a request that lies unread
+    if (const auto still = connections_.find(id); still != connections_.end() && may_close(*still->second))
+      close_gracefully(*still->second);
   }
   // Against peers that never end.
-  while (!endings_.empty() && now_ - endings_.begin()->second.since >= leave_to_end_)
-    endings_.erase(endings_.begin());
+  while (!lingering_.empty() && now_ - lingering_.begin()->second.since >= drain_delay_)
+    lingering_.erase(lingering_.begin());
 }
 
-void Front::tell_no_more(Connection& c) {
+void Front::send_go_away(Connection& c) {
   if (c.draining_since >= 0) return;
   c.draining_since = now_;
-  say(c, [](std::string& out) { frames::put_no_more(out); });
+  enqueue(c, [](std::string& output) { frames::put_go_away(output); });
 }
 
 void Front::stop_accepting() {
   if (stopped_accepting_) return;
   stopped_accepting_ = true;
   // Against resetting what was connected, and may have been written to, already.
-  while (!accept_some(accepts_a_turn)) {
+  while (!accept_pending(accepts_per_turn)) {
   }
   asio::error_code ignored;
   acceptor_.close(ignored);
-  retry_.cancel();
-  for (auto& [id, c] : connections_) tell_no_more(*c);
+  accept_retry_timer_.cancel();
+  for (auto& [id, c] : connections_) send_go_away(*c);
 }
 
 // ---- bytes in
 
-void Front::await_bytes(Connection& c) {
-  if (c.reading || c.peer_ended || c.input_ignored || c.waiting > most_pending) return;
-  c.reading = true;
+void Front::wait_readable(Connection& c) {
+  if (c.read_pending || c.peer_closed || c.input_ignored || c.pending_bytes > max_unread_output) return;
+  c.read_pending = true;
   c.socket.async_wait(asio::socket_base::wait_read, [this, id = c.id](asio::error_code error) {
     const auto at = connections_.find(id);
     if (at == connections_.end()) return;
-    at->second->reading = false;
-    if (error) return drop(*at->second, error.message().c_str());
-    readable(*at->second);
+    at->second->read_pending = false;
+    if (error) return remove(*at->second, error.message().c_str());
+    on_readable(*at->second);
   });
 }
 
-void Front::readable(Connection& c) {
+void Front::on_readable(Connection& c) {
   if (c.input_ignored) return;
-  if (!c.in) c.in = std::make_unique<char[]>(kept_bytes);
-  for (int turn = 0; turn < reads_a_turn; ++turn) {
+  if (!c.input) c.input = std::make_unique<char[]>(input_buffer_bytes);
+  for (int turn = 0; turn < reads_per_turn; ++turn) {
     asio::error_code error;
-    const std::size_t room = kept_bytes - c.filled;
-    const std::size_t n = c.socket.read_some(asio::buffer(c.in.get() + c.filled, room), error);
+    const std::size_t room = input_buffer_bytes - c.filled;
+    const std::size_t n = c.socket.read_some(asio::buffer(c.input.get() + c.filled, room), error);
     if (error == asio::error::would_block) break;
     if (error == asio::error::eof) {
-      c.peer_ended = true;
-      if (c.open.empty() && c.waiting == 0) return drop(c, nullptr);
+      c.peer_closed = true;
+      if (c.open_streams.empty() && c.pending_bytes == 0) return remove(c, nullptr);
       break;
     }
-    if (error) return drop(c, error == asio::error::connection_reset ? nullptr : error.message().c_str());
-    if (c.begun < 0) c.begun = now_;
+    if (error) return remove(c, error == asio::error::connection_reset ? nullptr : error.message().c_str());
+    if (c.frame_began < 0) c.frame_began = now_;
     c.filled += n;
-    parse(c);
+    parse_frames(c);
     if (n < room || c.input_ignored) break;
   }
-  if (c.filled == 0) c.in.reset(); // most connections are idle
-  await_bytes(c);
+  if (c.filled == 0) c.input.reset(); // most connections are idle
+  wait_readable(c);
 }
 
-void Front::parse(Connection& c) {
+void Front::parse_frames(Connection& c) {
   std::size_t from = 0;
   while (from < c.filled) {
     const std::size_t left = c.filled - from;
@@ -276,128 +285,134 @@
       from = c.filled;
       break;
     }
-    if (c.skip > 0) {
-      const std::size_t some = std::min(c.skip, left);
-      c.skip -= some;
+    if (c.skip_bytes > 0) {
+      const std::size_t some = std::min(c.skip_bytes, left);
+      c.skip_bytes -= some;
       from += some;
-      if (c.skip == 0) c.begun = from < c.filled ? now_ : -1;
+      if (c.skip_bytes == 0) c.frame_began = from < c.filled ? now_ : -1;
       continue;
     }
     if (left < 4) break;
-    const std::uint32_t length = frames::read_le(c.in.get() + from, 4);
+    const std::uint32_t length = frames::read_le(c.input.get() + from, 4);
     if (!frames::is_valid_length(length)) {
-      unreadable(c, "a length out of range");
+      reject_input(c, "a length out of range");
       continue;
     }
     const std::size_t size = length + 4;
-    const bool whole = size <= kept_bytes / 2; // what is larger is not kept: only its head counts
+    const bool whole = size <= input_buffer_bytes / 2; // what is larger is not kept: only its head counts
     if (left < (whole ? size : frames::header_size)) break;
-    const char* at = c.in.get() + from;
+    const char* at = c.input.get() + from;
     const std::string_view payload(at + frames::header_size, whole ? size - frames::header_size : 0);
-    if (!frame(c, static_cast<std::uint8_t>(at[4]), StreamId{frames::read_le(at + 5, 4)}, payload, whole))
+    if (!handle_frame(c, static_cast<std::uint8_t>(at[4]), StreamId{frames::read_le(at + 5, 4)}, payload,
+                      whole))
       continue;
     from += whole ? size : frames::header_size;
-    if (!whole) c.skip = size - frames::header_size;
-    c.heard = true;
-    c.last = now_;
-    c.begun = c.skip > 0 || from < c.filled ? now_ : -1;
+    if (!whole) c.skip_bytes = size - frames::header_size;
+    c.received_frame = true;
+    c.last_activity = now_;
+    c.frame_began = c.skip_bytes > 0 || from < c.filled ? now_ : -1;
   }
-  std::copy(c.in.get() + from, c.in.get() + c.filled, c.in.get());
+  std::copy(c.input.get() + from, c.input.get() + c.filled, c.input.get());
   c.filled -= from;
 }
 
 // Against reading on where frames can't be told from each other any more: the peer is told, what is open is
 // settled, and then the connection ends. Others notice nothing.
-bool Front::unreadable(Connection& c, const char* why) {
-  note("frame", "connection %llu: %s", static_cast<unsigned long long>(c.id.raw), why);
+bool Front::reject_input(Connection& c, const char* reason) {
+  log_info("frame", "connection %llu: %s", static_cast<unsigned long long>(c.id.raw), reason);
   c.input_ignored = true;
-  say(c, [](std::string& out) {
-    frames::put_answer(out, frames::response, 0, frames::failed, -1, 0, false, 0);
+  enqueue(c, [](std::string& output) {
+    frames::put_response(output, frames::response, 0, frames::failed, -1, 0, false, 0);
   });
-  tell_no_more(c);
+  send_go_away(c);
   return false;
 }
 
-void Front::penalize(StreamRef line) {
-  const auto at = connections_.find(line.connection);
-  if (at != connections_.end() && ++at->second->penalties == most_penalties_)
-    unreadable(*at->second, "too many ops that can't be taken");
+void Front::penalize(StreamRef ref) {
+  const auto at = connections_.find(ref.connection);
+  if (at != connections_.end() && ++at->second->invalid_ops == max_invalid_ops_)
+    reject_input(*at->second, "too many ops that can't be taken");
 }
 
-bool Front::use_stream(Connection& c, StreamId stream) {
-  if (stream <= c.used_to || c.open.contains(stream) || !c.used.insert(stream).second) return false;
+bool Front::claim_stream(Connection& c, StreamId stream) {
+  if (stream <= c.used_through || c.open_streams.contains(stream) || !c.used_above.insert(stream).second)
+    return false;
   // Against a peer that leaves gaps for ever: some of what it used is forgotten, as any other number is new.
-  if (c.used.size() > most_used) c.used.erase(c.used.begin());
-  while (!c.used.empty() && c.used.begin()->raw <= c.used_to.raw + 1) {
-    c.used_to = std::max(c.used_to, *c.used.begin());
-    c.used.erase(c.used.begin());
+  if (c.used_above.size() > max_remembered_streams) c.used_above.erase(c.used_above.begin());
+  while (!c.used_above.empty() && c.used_above.begin()->raw <= c.used_through.raw + 1) {
+    c.used_through = std::max(c.used_through, *c.used_above.begin());
+    c.used_above.erase(c.used_above.begin());
   }
   return true;
 }
 
-bool Front::frame(Connection& c, std::uint8_t type, StreamId stream, std::string_view payload, bool whole) {
+bool Front::handle_frame(Connection& c, std::uint8_t type, StreamId stream, std::string_view payload,
+                         bool whole) {
   // Against peers that go on for ever after they were told to end. A few frames are read as any: they may
   // have been on the way.
-  if (c.draining_since >= 0 && now_ - c.draining_since >= leave_to_end_ && ++c.past_end > most_penalties_)
-    return unreadable(c, "goes on after its end");
-  if (type == frames::request) return ask(c, stream, payload, whole);
-  if (type != frames::health_check) return unreadable(c, "an unknown type");
+  if (c.draining_since >= 0 && now_ - c.draining_since >= drain_delay_ &&
+      ++c.frames_after_drain > max_invalid_ops_)
+    return reject_input(c, "goes on after its end");
+  if (type == frames::request) return handle_request(c, stream, payload, whole);
+  if (type != frames::health_check) return reject_input(c, "an unknown type");
   std::string_view rest;
   const auto ignore = [](std::string_view, std::string_view) {};
-  if (whole && !frames::for_each_field(payload, ignore, rest)) return unreadable(c, overrun);
-  say(c, [&](std::string& out) {
-    frames::put_answer(out, frames::health_response, stream.raw, good_ ? frames::ok : frames::unhealthy,
-                       feedback_, 0, false, 0);
+  if (whole && !frames::for_each_field(payload, ignore, rest)) return reject_input(c, fields_overrun);
+  enqueue(c, [&](std::string& output) {
+    frames::put_response(output, frames::health_response, stream.raw,
+                         healthy_ ? frames::ok : frames::unhealthy, feedback_, 0, false, 0);
   });
   return true;
 }
 
 // A request: false if it can't be read.
-bool Front::ask(Connection& c, StreamId stream, std::string_view payload, bool whole) {
+bool Front::handle_request(Connection& c, StreamId stream, std::string_view payload, bool whole) {
   static constexpr std::array<std::string_view, 10> known{"verb",  "txn", "door",     "lb",     "team",
                                                           "limit", "ram", "standing", "unique", "item"};
   std::array<std::string_view, known.size()> value;
-  std::array<bool, known.size()> there{};
-  bool twice = false;
+  std::array<bool, known.size()> present{};
+  bool duplicate_field = false;
   std::string_view body;
   const auto take = [&](std::string_view name, std::string_view text) {
     const auto at = static_cast<std::size_t>(std::find(known.begin(), known.end(), name) - known.begin());
     if (at == known.size()) return;
-    twice = twice || there[at];
-    there[at] = true;
+    duplicate_field = duplicate_field || present[at];
+    present[at] = true;
     value[at] = text;
   };
-  const bool readable = !whole || frames::for_each_field(payload, take, body);
+  const bool fields_valid = !whole || frames::for_each_field(payload, take, body);
   const auto& [verb, txn, received_at, lb, team, limit, ram, standing, unique, item] = value;
-  if (!readable) return unreadable(c, overrun);
-  if (!use_stream(c, stream)) return unreadable(c, "a stream used twice");
-  if (!whole) return refuse(c, stream, "too large");
-  if (c.open.size() >= most_open) return refuse(c, stream, "too many open on its connection");
-  if (twice) return refuse(c, stream, "a field twice");
-  if (body.size() > most_body) return refuse(c, stream, "a body too large");
+  if (!fields_valid) return reject_input(c, fields_overrun);
+  if (!claim_stream(c, stream)) return reject_input(c, "a stream used twice");
+  if (!whole) return refuse_request(c, stream, "too large");
+  if (c.open_streams.size() >= max_open_streams)
+    return refuse_request(c, stream, "too many open on its connection");
+  if (duplicate_field) return refuse_request(c, stream, "a field twice");
+  if (body.size() > max_body_bytes) return refuse_request(c, stream, "a body too large");
   const auto type = std::find(names_.op_types.begin(), names_.op_types.end(), verb);
-  if (type == names_.op_types.end()) return refuse(c, stream, "verb: unknown op type");
+  if (type == names_.op_types.end()) return refuse_request(c, stream, "verb: unknown op type");
   const auto type_at = static_cast<std::size_t>(type - names_.op_types.begin());
   const auto tenant = std::find(names_.tenants.begin(), names_.tenants.end(), team);
   if (!names_.tenants.empty() && tenant == names_.tenants.end())
-    return refuse(c, stream, "team: unknown tenant");
+    return refuse_request(c, stream, "team: unknown tenant");
   std::uint64_t id = 0;
   std::int64_t door_ms = 0, limit_ms = 0, caller = 0;
   double kb = 0, rank = 0;
-  if (!read_hex(txn, id) || id == no_op_id.raw) return refuse(c, stream, "txn");
-  if (!frames::read_whole(received_at, door_ms) || door_ms < 0 || door_ms > latest_time)
-    return refuse(c, stream, "door");
-  if (!frames::read_whole(lb, caller) || caller < 0) return refuse(c, stream, "lb");
-  if (there[5] ? !frames::read_whole(limit, limit_ms) || limit_ms <= 0 || limit_ms > latest_time
-               : names_.tells_patience)
-    return refuse(c, stream, "limit");
-  if (!frames::read_number(ram, kb) || kb <= 0 || kb >= 2000) return refuse(c, stream, "ram");
-  if (!frames::read_number(standing, rank) || rank < 0 || rank >= 1) return refuse(c, stream, "standing");
-  if (names_.marked[type_at] && (unique.empty() || unique.size() > most_text))
-    return refuse(c, stream, "unique");
-  if (item.size() > most_text) return refuse(c, stream, "item");
-  c.open.insert(stream);
-  taker_.op_received(
+  if (!read_hex(txn, id) || id == no_op_id.raw) return refuse_request(c, stream, "txn");
+  if (!frames::parse_integer(received_at, door_ms) || door_ms < 0 || door_ms > max_time_ms)
+    return refuse_request(c, stream, "door");
+  if (!frames::parse_integer(lb, caller) || caller < 0) return refuse_request(c, stream, "lb");
+  if (present[5] ? !frames::parse_integer(limit, limit_ms) || limit_ms <= 0 || limit_ms > max_time_ms
+                 : names_.tells_patience)
+    return refuse_request(c, stream, "limit");
+  if (!frames::parse_number(ram, kb) || kb <= 0 || kb >= 2000) return refuse_request(c, stream, "ram");
+  if (!frames::parse_number(standing, rank) || rank < 0 || rank >= 1)
+    return refuse_request(c, stream, "standing");
+  if (names_.keyed[type_at] && (unique.empty() || unique.size() > max_text_bytes))
+    return refuse_request(c, stream, "unique");
+  if (item.size() > max_text_bytes) return refuse_request(c, stream, "item");
+  c.open_streams.insert(stream);
+  handler_.op_received(
       {c.id, stream}, OpId{id}, OpTypeId{static_cast<std::uint32_t>(type_at)},
       TenantId{names_.tenants.empty() ? 0 : static_cast<std::uint32_t>(tenant - names_.tenants.begin())},
       CallerId{static_cast<std::uint64_t>(caller)}, door_ms * ms, limit_ms * ms, kb, rank, unique, item,
@@ -409,120 +424,121 @@
 
 // Hands the piece that heads are written to to `put`, and counts what it adds.
 template <class Put>
-void Front::say(Connection& c, Put put) {
-  if (c.out.empty() || c.out.back().size() > piece) c.out.emplace_back();
-  const std::size_t before = c.out.back().size();
-  put(c.out.back());
-  c.waiting += c.out.back().size() - before;
-  waiting_ += c.out.back().size() - before;
-  mark(c);
+void Front::enqueue(Connection& c, Put put) {
+  if (c.output.empty() || c.output.back().size() > min_piece_bytes) c.output.emplace_back();
+  const std::size_t before = c.output.back().size();
+  put(c.output.back());
+  c.pending_bytes += c.output.back().size() - before;
+  pending_bytes_ += c.output.back().size() - before;
+  mark_dirty(c);
 }
 
-void Front::mark(Connection& c) {
+void Front::mark_dirty(Connection& c) {
   if (c.dirty) return;
   c.dirty = true;
   dirty_.push_back(c.id);
 }
 
 // Against ops that can be read but not be understood: one answer, and the module hears nothing of them.
-bool Front::refuse(Connection& c, StreamId stream, const char* why) {
-  note("request", "refused, %s", why);
-  c.open.insert(stream);
+bool Front::refuse_request(Connection& c, StreamId stream, const char* reason) {
+  log_info("request", "refused, %s", reason);
+  c.open_streams.insert(stream);
   refused({c.id, stream}, 0, true);
   penalize({c.id, stream});
   return true;
 }
 
 // The connection of a line that is to be answered now; null if it is gone.
-Front::Connection* Front::settle(StreamRef line) {
-  const auto at = connections_.find(line.connection);
-  if (at == connections_.end() || at->second->open.erase(line.stream) == 0) return nullptr;
-  at->second->last = now_;
+Front::Connection* Front::take_stream(StreamRef ref) {
+  const auto at = connections_.find(ref.connection);
+  if (at == connections_.end() || at->second->open_streams.erase(ref.stream) == 0) return nullptr;
+  at->second->last_activity = now_;
   return at->second.get();
 }
 
-void Front::served(StreamRef line, std::string result) {
-  Connection* c = settle(line);
+void Front::served(StreamRef ref, std::string result) {
+  Connection* c = take_stream(ref);
   if (!c) return;
-  say(*c, [&](std::string& out) {
-    frames::put_answer(out, frames::response, line.stream.raw, frames::ok, feedback_, 0, false,
-                       result.size());
+  enqueue(*c, [&](std::string& output) {
+    frames::put_response(output, frames::response, ref.stream.raw, frames::ok, feedback_, 0, false,
+                         result.size());
   });
-  c->penalties = 0;
-  c->waiting += result.size();
-  waiting_ += result.size();
-  c->out.push_back(std::move(result));
+  c->invalid_ops = 0;
+  c->pending_bytes += result.size();
+  pending_bytes_ += result.size();
+  c->output.push_back(std::move(result));
 }
 
-void Front::refused(StreamRef line, Nanos retry_after, bool no_retry) {
-  if (Connection* c = settle(line))
-    say(*c, [&](std::string& out) {
-      frames::put_answer(out, frames::response, line.stream.raw, frames::refused, feedback_, retry_after / ms,
-                         no_retry, 0);
+void Front::refused(StreamRef ref, Nanos retry_after, bool no_retry) {
+  if (Connection* c = take_stream(ref))
+    enqueue(*c, [&](std::string& output) {
+      frames::put_response(output, frames::response, ref.stream.raw, frames::refused, feedback_,
+                           retry_after / ms, no_retry, 0);
     });
 }
 
-void Front::failed(StreamRef line) {
-  if (Connection* c = settle(line))
-    say(*c, [&](std::string& out) {
-      frames::put_answer(out, frames::response, line.stream.raw, frames::failed, feedback_, 0, false, 0);
+void Front::failed(StreamRef ref) {
+  if (Connection* c = take_stream(ref))
+    enqueue(*c, [&](std::string& output) {
+      frames::put_response(output, frames::response, ref.stream.raw, frames::failed, feedback_, 0, false, 0);
     });
 }
 
-void Front::write(Connection& c) {
-  while (c.waiting > 0 && !c.writing) {
-    std::array<asio::const_buffer, gathered> pieces;
+void Front::write_output(Connection& c) {
+  while (c.pending_bytes > 0 && !c.write_pending) {
+    std::array<asio::const_buffer, max_write_pieces> pieces;
     std::size_t count = 0;
-    for (const std::string& part : c.out) {
-      if (count == gathered) break;
+    for (const std::string& part : c.output) {
+      if (count == max_write_pieces) break;
       const std::size_t done = count == 0 ? c.written : 0;
       pieces[count++] = asio::buffer(part.data() + done, part.size() - done);
     }
     asio::error_code error;
     std::size_t n = c.socket.write_some(std::span(pieces.data(), count), error);
     if (error == asio::error::would_block) {
-      c.writing = true;
-      c.stuck_since = now_;
+      c.write_pending = true;
+      c.write_blocked_since = now_;
       c.socket.async_wait(asio::socket_base::wait_write, [this, id = c.id](asio::error_code stopped) {
         const auto at = connections_.find(id);
         if (at == connections_.end()) return;
-        at->second->writing = false;
-        if (stopped) return drop(*at->second, stopped.message().c_str());
-        mark(*at->second);
+        at->second->write_pending = false;
+        if (stopped) return remove(*at->second, stopped.message().c_str());
+        mark_dirty(*at->second);
       });
       return;
     }
-    if (error) return drop(c, nullptr);
-    c.waiting -= n;
-    waiting_ -= n;
-    for (n += c.written; !c.out.empty() && n >= c.out.front().size();) {
-      n -= c.out.front().size();
-      c.out.pop_front();
+    if (error) return remove(c, nullptr);
+    c.pending_bytes -= n;
+    pending_bytes_ -= n;
+    for (n += c.written; !c.output.empty() && n >= c.output.front().size();) {
+      n -= c.output.front().size();
+      c.output.pop_front();
     }
     c.written = n;
   }
-  if (c.peer_ended && over(c)) return drop(c, nullptr); // others by sweep()
-  await_bytes(c);
+  if (c.peer_closed && may_close(c)) return remove(c, nullptr); // others by sweep()
+  wait_readable(c);
 }
 
 void Front::flush(Nanos now) {
   now_ = now;
-  if (now_ - swept_at_ >= leave_to_end_ / 8) {
+  if (now_ - swept_at_ >= drain_delay_ / 8) {
     swept_at_ = now_;
-    sweep();
+    check_timeouts();
   }
   for (std::size_t i = 0; i < dirty_.size(); ++i) { // grows where a lost line frees others
     const auto at = connections_.find(dirty_[i]);
     if (at == connections_.end()) continue;
     at->second->dirty = false;
-    write(*at->second);
+    write_output(*at->second);
   }
   dirty_.clear();
-  while (waiting_ > most_waiting_) { // against peers that never read
+  while (pending_bytes_ > max_pending_bytes_) { // against peers that never read
     const auto most =
-        std::max_element(connections_.begin(), connections_.end(),
-                         [](const auto& a, const auto& b) { return a.second->waiting < b.second->waiting; });
-    drop(*most->second, "it does not read what it is sent");
+        std::max_element(connections_.begin(), connections_.end(), [](const auto& a, const auto& b) {
+          return a.second->pending_bytes < b.second->pending_bytes;
+        });
+    remove(*most->second, "it does not read what it is sent");
   }
 }
 
--- a/node/front.hpp
+++ b/node/front.hpp
@@ -24,133 +24,135 @@
   class Handler {
    public:
     virtual ~Handler() = default;
-    virtual void op_received(StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
+    virtual void op_received(StreamRef ref, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
                              Nanos received_at, Nanos limit, double held_kb, double rank,
                              std::string_view mark, std::string_view subject, std::string_view body) = 0;
-    virtual void stream_lost(StreamRef line) = 0; // its answer can't be delivered any more
+    virtual void stream_lost(StreamRef ref) = 0; // its answer can't be delivered any more
   };
   struct Names { // by their ids; which op types carry a mark, and whether patience is told
     std::vector<std::string> op_types;
-    std::vector<bool> marked;
+    std::vector<bool> keyed;
     std::vector<std::string> tenants;
     bool tells_patience = false;
   };
 
-  Front(asio::io_context& io, const std::string& listen, std::size_t most_connections,
-        std::size_t most_waiting, Names names, Handler& taker);
+  Front(asio::io_context& io, const std::string& listen, std::size_t max_connections,
+        std::size_t max_pending_bytes, Names names, Handler& handler);
 
   // The final answers; each line takes one.
-  void served(StreamRef line, std::string result);
-  void refused(StreamRef line, Nanos retry_after, bool no_retry);
-  void failed(StreamRef line);
+  void served(StreamRef ref, std::string result);
+  void refused(StreamRef ref, Nanos retry_after, bool no_retry);
+  void failed(StreamRef ref);
 
-  void health(bool good) { good_ = good; }
+  void health(bool good) { healthy_ = good; }
   void feedback(double value) { feedback_ = value; }
-  void set_idle_timeout(Nanos after) { idle_ = after; }
-  void silent_connection_timeout(Nanos after) { silent_ = after; }
-  void frame_timeout(Nanos time) { first_word_ = time; }
-  void write_stall_timeout(Nanos time) { unread_ = time; }
+  void set_idle_timeout(Nanos after) { idle_timeout_ = after; }
+  void silent_connection_timeout(Nanos after) { silence_timeout_ = after; }
+  void frame_timeout(Nanos time) { frame_timeout_ = time; }
+  void write_stall_timeout(Nanos time) { write_stall_timeout_ = time; }
   void set_eviction_order(std::vector<Eviction> order, int max_invalid_ops) {
-    order_ = std::move(order);
-    most_penalties_ = max_invalid_ops;
+    eviction_order_ = std::move(order);
+    max_invalid_ops_ = max_invalid_ops;
   }
   // Its op is none that a caller would send: too many of them, and its connection ends.
-  void penalize(StreamRef line);
-  void connection_drain_delay(Nanos time) { leave_to_end_ = time; }
-  void accept_retry_delay(Nanos rest) { accept_again_ = rest; }
+  void penalize(StreamRef ref);
+  void connection_drain_delay(Nanos time) { drain_delay_ = time; }
+  void accept_retry_delay(Nanos rest) { accept_retry_delay_ = rest; }
   void stop_accepting();
-  bool closed() const { return stopped_accepting_ && connections_.empty() && endings_.empty(); }
+  bool closed() const { return stopped_accepting_ && connections_.empty() && lingering_.empty(); }
   void flush(Nanos now); // one gathered write for each connection with something to say
 
   std::size_t connections() const { return connections_.size(); }
-  std::size_t waiting() const { return waiting_; } // bytes for which there is no room at their peers
+  std::size_t pending_bytes() const {
+    return pending_bytes_;
+  } // bytes for which there is no room at their peers
 
  private:
   struct Connection {
     Connection(asio::ip::tcp::socket s, ConnectionId i) : socket(std::move(s)), id(i) {}
     asio::ip::tcp::socket socket;
     ConnectionId id;
-    std::unique_ptr<char[]> in;
+    std::unique_ptr<char[]> input;
     std::size_t filled = 0;
-    std::size_t skip = 0; // bytes to come of a frame that is too large to keep
-    std::deque<std::string> out;
-    std::size_t written = 0; // of the first of them
-    std::size_t waiting = 0; // bytes to write
-    std::set<StreamId> open;
-    StreamId used_to;           // all streams to it have been used
-    std::set<StreamId> used;    // those above it, the highest ones
-    Nanos last = 0;             // something whole was read, or answered
-    Nanos begun = 0;            // waits since then for the rest of a frame, or for its first
-    bool heard = false;         // has brought a whole frame
-    int penalties = 0;          // in a row
-    int past_end = 0;           // frames read past the time to end
-    Nanos stuck_since = 0;      // while there is no room for what waits
-    Nanos draining_since = -1;  // told that it takes no new op; -1: not told
-    bool reading = false;       // a wait for bytes is out
-    bool writing = false;       // a wait for room is out
-    bool input_ignored = false; // what comes is not read as frames any more
-    bool peer_ended = false;    // it sends no more
+    std::size_t skip_bytes = 0; // bytes to come of a frame that is too large to keep
+    std::deque<std::string> output;
+    std::size_t written = 0;       // of the first of them
+    std::size_t pending_bytes = 0; // bytes to write
+    std::set<StreamId> open_streams;
+    StreamId used_through;         // all streams to it have been used
+    std::set<StreamId> used_above; // those above it, the highest ones
+    Nanos last_activity = 0;       // something whole was read, or answered
+    Nanos frame_began = 0;         // waits since then for the rest of a frame, or for its first
+    bool received_frame = false;   // has brought a whole frame
+    int invalid_ops = 0;           // in a row
+    int frames_after_drain = 0;    // frames read past the time to end
+    Nanos write_blocked_since = 0; // while there is no room for what waits
+    Nanos draining_since = -1;     // told that it takes no new op; -1: not told
+    bool read_pending = false;     // a wait for bytes is out
+    bool write_pending = false;    // a wait for room is out
+    bool input_ignored = false;    // what comes is not read as frames any more
+    bool peer_closed = false;      // it sends no more
     bool dirty = false;
   };
 
   // A connection on which all is said: our side is shut, and what still comes is read and dropped, so that no
   // reset takes what the peer has yet to read. Nothing of it is taken for an op: that it was never read is
   // the caller's proof.
-  struct Ending {
-    Ending(asio::ip::tcp::socket s, Nanos n) : socket(std::move(s)), since(n) {}
+  struct Lingering {
+    Lingering(asio::ip::tcp::socket s, Nanos n) : socket(std::move(s)), since(n) {}
     asio::ip::tcp::socket socket;
     Nanos since;
   };
 
   void accept();
-  asio::error_code accept_some(int most);
-  bool make_room();
-  bool spare(const Connection& c) const;
-  void await_bytes(Connection& c);
-  void readable(Connection& c);
-  void parse(Connection& c);
-  bool frame(Connection& c, std::uint8_t type, StreamId stream, std::string_view payload, bool whole);
-  bool ask(Connection& c, StreamId stream, std::string_view payload, bool whole);
-  bool use_stream(Connection& c, StreamId stream);
-  bool unreadable(Connection& c, const char* why); // false: nothing more is read
+  asio::error_code accept_pending(int most);
+  bool evict_one();
+  bool is_idle(const Connection& c) const;
+  void wait_readable(Connection& c);
+  void on_readable(Connection& c);
+  void parse_frames(Connection& c);
+  bool handle_frame(Connection& c, std::uint8_t type, StreamId stream, std::string_view payload, bool whole);
+  bool handle_request(Connection& c, StreamId stream, std::string_view payload, bool whole);
+  bool claim_stream(Connection& c, StreamId stream);
+  bool reject_input(Connection& c, const char* reason); // false: nothing more is read
   template <class Put>
-  void say(Connection& c, Put put);
-  void mark(Connection& c);
-  Connection* settle(StreamRef line);
-  void tell_no_more(Connection& c);
-  void write(Connection& c);
-  void drop(Connection& c, const char* why);
-  void end(Connection& c);
-  void linger(std::uint64_t number);
-  void sweep();
-  bool refuse(Connection& c, StreamId stream, const char* why); // true: reading goes on
-  bool over(const Connection& c) const;
+  void enqueue(Connection& c, Put put);
+  void mark_dirty(Connection& c);
+  Connection* take_stream(StreamRef ref);
+  void send_go_away(Connection& c);
+  void write_output(Connection& c);
+  void remove(Connection& c, const char* reason);
+  void close_gracefully(Connection& c);
+  void drain_lingering(std::uint64_t number);
+  void check_timeouts();
+  bool refuse_request(Connection& c, StreamId stream, const char* reason); // true: reading goes on
+  bool may_close(const Connection& c) const;
 
   asio::io_context& io_;
   asio::ip::tcp::acceptor acceptor_;
-  asio::steady_timer retry_;
-  std::size_t most_connections_;
-  std::size_t most_waiting_;
+  asio::steady_timer accept_retry_timer_;
+  std::size_t max_connections_;
+  std::size_t max_pending_bytes_;
   Names names_;
-  Handler& taker_;
+  Handler& handler_;
   std::map<ConnectionId, std::unique_ptr<Connection>> connections_;
-  std::map<std::uint64_t, Ending> endings_; // in the order in which they began to end
-  std::uint64_t next_ending_ = 1;
+  std::map<std::uint64_t, Lingering> lingering_; // in the order in which they began to end
+  std::uint64_t next_lingering_ = 1;
   std::vector<ConnectionId> dirty_;
-  std::uint64_t next_ = 1;
-  std::size_t waiting_ = 0; // bytes to write, in all
+  std::uint64_t next_connection_ = 1;
+  std::size_t pending_bytes_ = 0; // bytes to write, in all
   Nanos now_ = 0;
   Nanos swept_at_ = 0;
-  Nanos idle_ = 0; // 0: connections may stay silent
-  Nanos silent_ = 0;
-  Nanos leave_to_end_ = 0;
-  Nanos first_word_ = 0;
-  Nanos unread_ = 0;
-  std::vector<Eviction> order_;
-  int most_penalties_ = 0;
-  Nanos accept_again_ = 0;
+  Nanos idle_timeout_ = 0; // 0: connections may stay silent
+  Nanos silence_timeout_ = 0;
+  Nanos drain_delay_ = 0;
+  Nanos frame_timeout_ = 0;
+  Nanos write_stall_timeout_ = 0;
+  std::vector<Eviction> eviction_order_;
+  int max_invalid_ops_ = 0;
+  Nanos accept_retry_delay_ = 0;
   double feedback_ = -1;
-  bool good_ = true;
+  bool healthy_ = true;
   bool accepting_ = false;
   bool stopped_accepting_ = false;
 };
--- a/node/host.cpp
+++ b/node/host.cpp
@@ -16,48 +16,50 @@
 
 // Bounds on what the sockets hold, as parts of the limits told. None is met in ordinary service.
 constexpr std::size_t mb = 1024 * 1024;
-constexpr std::size_t answers_part = 8; // of the memory, for answers not yet taken
-constexpr std::size_t link_part = 16;   // of the memory, for commands not yet taken
-constexpr std::size_t calls_part = 8;   // of the descriptors, for calls
-constexpr std::size_t own_part = 8;     // of the descriptors, for the listener, the links, files and room
-constexpr std::size_t own_least =
+constexpr std::size_t answers_memory_divisor = 8; // of the memory, for answers not yet taken
+constexpr std::size_t link_memory_divisor = 16;   // of the memory, for commands not yet taken
+constexpr std::size_t calls_socket_divisor = 8;   // of the descriptors, for calls
+constexpr std::size_t own_socket_divisor =
+    8; // of the descriptors, for the listener, the links, files and room
+constexpr std::size_t min_own_sockets =
     24; // of these: standard ones, the loop's, two links, a file, room as much again
 
-constexpr int handlers_a_turn = 128; // some milliseconds at the most, of reads of a connection each
+constexpr int handlers_per_turn = 128; // some milliseconds at the most, of reads of a connection each
 
-constexpr Nanos most_lead = 5 * ms; // gauges asked for longer before a wake-up would be none of its moment
+constexpr Nanos max_gauges_lead =
+    5 * ms; // gauges asked for longer before a wake-up would be none of its moment
 
-Front::Names names_in(const Settings& given) {
+Front::Names names_from(const Settings& settings) {
   Front::Names names;
   for (int t = 0;; ++t) {
     const std::string at = "op_type." + std::to_string(t) + ".";
-    if (!given.contains(at + "name")) break;
-    names.op_types.push_back(text(given, at + "name", ""));
-    names.marked.push_back(text(given, at + "repeats", "") == "keyed");
+    if (!settings.contains(at + "name")) break;
+    names.op_types.push_back(text(settings, at + "name", ""));
+    names.keyed.push_back(text(settings, at + "repeats", "") == "keyed");
   }
-  for (int t = 0; given.contains("tenant." + std::to_string(t) + ".name"); ++t)
-    names.tenants.push_back(text(given, "tenant." + std::to_string(t) + ".name", ""));
-  names.tells_patience = number(given, "tells_patience", 0) != 0;
+  for (int t = 0; settings.contains("tenant." + std::to_string(t) + ".name"); ++t)
+    names.tenants.push_back(text(settings, "tenant." + std::to_string(t) + ".name", ""));
+  names.tells_patience = number(settings, "tells_patience", 0) != 0;
   return names;
 }
 // From before the listener opens: where a path is told, a hang-up does not end the program.
-std::string catching(asio::signal_set& hang_ups, std::string path) {
-  if (!path.empty()) hang_ups.add(SIGHUP);
-  return path;
+std::string catch_sighup(asio::signal_set& sighup, std::string config_path) {
+  if (!config_path.empty()) sighup.add(SIGHUP);
+  return config_path;
 }
-std::size_t part_of(const Settings& given, const char* name, std::size_t unit, std::size_t divisor) {
-  return static_cast<std::size_t>(number(given, name, 0)) * unit / divisor;
+std::size_t part_of(const Settings& settings, const char* name, std::size_t unit, std::size_t divisor) {
+  return static_cast<std::size_t>(number(settings, name, 0)) * unit / divisor;
 }
 // Balancers' connections: what calls and the server's own leave. Those that end take a few beside them.
-std::size_t most_connections(const Settings& given) {
-  const std::size_t calls = part_of(given, "sockets", 1, calls_part);
-  const std::size_t own = std::max(own_least, part_of(given, "sockets", 1, own_part));
-  const auto all = static_cast<std::size_t>(number(given, "sockets", 0));
+std::size_t max_connections(const Settings& settings) {
+  const std::size_t calls = part_of(settings, "sockets", 1, calls_socket_divisor);
+  const std::size_t own = std::max(min_own_sockets, part_of(settings, "sockets", 1, own_socket_divisor));
+  const auto all = static_cast<std::size_t>(number(settings, "sockets", 0));
   return all - std::min(all - 1, calls + own);
 }
-Settings pools_in(const Settings& operators) {
+Settings pool_settings(const Settings& operator_settings) {
   Settings pools;
-  for (const auto& entry : operators)
+  for (const auto& entry : operator_settings)
     if (Pools::is_setting(entry.first)) pools.insert(entry);
   return pools;
 }
@@ -69,23 +71,26 @@
 
 } // namespace
 
-Host::Host(const Settings& given, std::string path, const Settings& operators, std::string operator_path)
-    : signals_(io_), hang_ups_(io_), questions_(io_), path_(catching(hang_ups_, std::move(path))),
-      operator_path_(std::move(operator_path)), timer_(io_), names_(names_in(given)),
-      front_(io_, text(given, "listen", ""), most_connections(given),
-             part_of(given, "memory_mb", mb, answers_part), names_, *this),
-      interpreter_(io_, text(given, "vm", ""), part_of(given, "memory_mb", mb, link_part), *this),
-      records_(io_, text(given, "records", ""), part_of(given, "sockets", 1, calls_part)),
-      announce_(io_, text(given, "announce", ""), text(given, "name", "")), tape_(*this) {
-  core_.reset(new Core(now(), given, tape_));
+Host::Host(const Settings& settings, std::string config_path, const Settings& operator_settings,
+           std::string operator_path)
+    : stop_signals_(io_), sighup_(io_), sigusr1_(io_),
+      config_path_(catch_sighup(sighup_, std::move(config_path))), operator_path_(std::move(operator_path)),
+      timer_(io_), names_(names_from(settings)),
+      front_(io_, text(settings, "listen", ""), max_connections(settings),
+             part_of(settings, "memory_mb", mb, answers_memory_divisor), names_, *this),
+      interpreter_(io_, text(settings, "vm", ""), part_of(settings, "memory_mb", mb, link_memory_divisor),
+                   *this),
+      records_(io_, text(settings, "records", ""), part_of(settings, "sockets", 1, calls_socket_divisor)),
+      announce_(io_, text(settings, "announce", ""), text(settings, "name", "")), tape_(*this) {
+  core_.reset(new Core(now(), settings, tape_));
   tape_.bind(*core_);
-  take(operators);
-  if (number(operators, "fleet.on", 0) != 0) {
-    member_ = std::make_unique<Member>(io_, part_of(operators, "fleet."));
-    questions_.add(SIGUSR1);
-    await_question();
+  apply_operator_settings(operator_settings);
+  if (number(operator_settings, "fleet.on", 0) != 0) {
+    member_ = std::make_unique<Member>(io_, part_of(operator_settings, "fleet."));
+    sigusr1_.add(SIGUSR1);
+    wait_for_sigusr1();
   }
-  if (!path_.empty()) await_hang_up();
+  if (!config_path_.empty()) wait_for_sighup();
 }
 
 // ---- the loop
@@ -95,91 +100,95 @@
 // What is ready is handed to the core first; then what it wants done is written, a connection at a time.
 void Host::serve() {
   std::signal(SIGPIPE, SIG_IGN);
-  signals_.add(SIGTERM);
-  signals_.add(SIGINT);
-  signals_.async_wait([this](asio::error_code error, int) {
+  stop_signals_.add(SIGTERM);
+  stop_signals_.add(SIGINT);
+  stop_signals_.async_wait([this](asio::error_code error, int) {
     if (!error) stop(); // a second signal changes nothing
   });
-  turn();
-  while (!over()) {
+  finish_turn();
+  while (!finished()) {
     clock_.next_turn();
     io_.run_one();
-    take_ready();
-    turn();
+    run_ready_handlers();
+    finish_turn();
   }
   tape_.end(now());
 }
 
 // Not all that is ready: against peers that send without end, for which due times would wait.
-void Host::take_ready() {
-  for (int n = 0; n < handlers_a_turn && io_.poll_one() > 0;) ++n;
+void Host::run_ready_handlers() {
+  for (int n = 0; n < handlers_per_turn && io_.poll_one() > 0;) ++n;
 }
 
-void Host::await_hang_up() {
-  hang_ups_.async_wait([this](asio::error_code error, int) {
+void Host::wait_for_sighup() {
+  sighup_.async_wait([this](asio::error_code error, int) {
     if (error) return;
     try {
-      const Settings operators = operator_path_.empty() ? operators_ : read_operator(operator_path_);
-      reload(read_configuration(path_), operators);
+      const Settings operator_settings =
+          operator_path_.empty() ? operator_settings_ : read_operator(operator_path_);
+      reload(read_configuration(config_path_), operator_settings);
     } catch (const std::exception& e) { // a file that can't be taken changes nothing
-      cometshift::note("reload", "left as it was: %s", e.what());
+      log_info("reload", "left as it was: %s", e.what());
     }
-    await_hang_up();
+    wait_for_sighup();
   });
 }
 
-void Host::await_question() {
-  questions_.async_wait([this](asio::error_code error, int) {
+void Host::wait_for_sigusr1() {
+  sigusr1_.async_wait([this](asio::error_code error, int) {
     if (error) return;
-    member_->tell_standing();
-    await_question();
+    member_->log_status();
+    wait_for_sigusr1();
   });
 }
 
 // What operators set can be taken at any time, but for the fleet; what is the same already goes on
 // undisturbed.
-void Host::take(const Settings& operators) {
-  set_log(text(operators, "log.format", "text") == "json", text(operators, "log.level", "info"));
-  if (pools_in(operators) != pools_in(operators_)) tape_.set_pools(now(), pools_in(operators));
-  const Settings wanted = part_of(operators, "recording.");
-  if (wanted != part_of(operators_, "recording.")) {
+void Host::apply_operator_settings(const Settings& operator_settings) {
+  configure_log(text(operator_settings, "log.format", "text") == "json",
+                text(operator_settings, "log.level", "info"));
+  if (pool_settings(operator_settings) != pool_settings(operator_settings_))
+    tape_.set_pools(now(), pool_settings(operator_settings));
+  const Settings recording = part_of(operator_settings, "recording.");
+  if (recording != part_of(operator_settings_, "recording.")) {
     tape_.end(now());
-    if (number(wanted, "on", 0) != 0) tape_.begin(now(), wanted, files_in(text(wanted, "folder", "")));
+    if (number(recording, "on", 0) != 0)
+      tape_.begin(now(), recording, files_in(text(recording, "folder", "")));
   }
   if (member_) {
-    if (number(operators, "fleet.on", 0) != 0) member_->reload(part_of(operators, "fleet."));
-  } else if (core_ && !operators_.empty() && operators.contains("fleet.on")) {
-    cometshift::note("reload", "a fleet is entered at the next start");
+    if (number(operator_settings, "fleet.on", 0) != 0) member_->reload(part_of(operator_settings, "fleet."));
+  } else if (core_ && !operator_settings_.empty() && operator_settings.contains("fleet.on")) {
+    log_info("reload", "a fleet is entered at the next start");
   }
-  operators_ = operators;
+  operator_settings_ = operator_settings;
 }
 
-void Host::reload(const Settings& given, const Settings& operators) {
-  take(operators); // first: where it can't be taken, nothing is
-  cometshift::note("reload", "vm %s, records %s, announce %s", text(given, "vm", "").c_str(),
-                   text(given, "records", "").c_str(), text(given, "announce", "").c_str());
-  interpreter_.move_to(text(given, "vm", ""));
-  records_.move_to(text(given, "records", ""));
-  announce_.move_to(text(given, "announce", ""));
+void Host::reload(const Settings& settings, const Settings& operator_settings) {
+  apply_operator_settings(operator_settings); // first: where it can't be taken, nothing is
+  log_info("reload", "vm %s, records %s, announce %s", text(settings, "vm", "").c_str(),
+           text(settings, "records", "").c_str(), text(settings, "announce", "").c_str());
+  interpreter_.set_address(text(settings, "vm", ""));
+  records_.set_address(text(settings, "records", ""));
+  announce_.set_address(text(settings, "announce", ""));
   if (tape_.recording()) tape_.reloaded(now(), "addresses, and what operators set");
 }
 
 bool Host::poll() {
   clock_.next_turn();
   io_.restart();
-  take_ready();
-  turn();
-  return !over();
+  run_ready_handlers();
+  finish_turn();
+  return !finished();
 }
 
-bool Host::over() const {
+bool Host::finished() const {
   return core_->draining() && stopped_accepting_ && front_.closed() && core_->all_answered() &&
-         (!member_ || member_->gone());
+         (!member_ || member_->has_left());
 }
 
-void Host::turn() {
+void Host::finish_turn() {
   if (core_->anything_due(now())) tape_.due(now());
-  ask_gauges();
+  request_gauges();
   if (stopped_accepting_)
     front_.stop_accepting(); // not within the module's order: what still comes in is handed to it
   do {                       // a line that is found lost may free others, and what they want
@@ -189,27 +198,27 @@
   interpreter_.flush();
   if (member_) member_->turn();
   clock_.next_turn();
-  arm();
+  arm_timer();
 }
 
 // The gauges come with the wake-up if they are asked for a round trip before it; it does not wait for them.
-void Host::ask_gauges() {
+void Host::request_gauges() {
   const Nanos wake = core_->next_wake();
-  if (wake < 0 || !interpreter_.up() || asked_for_ == wake || wake - now() > lead_) return;
-  asked_for_ = wake;
-  if (interpreter_.ask_gauges()) asked_at_ = now();
+  if (wake < 0 || !interpreter_.up() || gauges_requested_for_ == wake || wake - now() > gauges_lead_) return;
+  gauges_requested_for_ = wake;
+  if (interpreter_.request_gauges()) gauges_requested_at_ = now();
 }
 
-void Host::arm() {
+void Host::arm_timer() {
   Nanos next = core_->next_wake();
   if (next < 0) return;
-  if (asked_for_ != next && interpreter_.up()) next -= lead_;
-  if (next == armed_) return;
-  armed_ = next;
+  if (gauges_requested_for_ != next && interpreter_.up()) next -= gauges_lead_;
+  if (next == armed_for_) return;
+  armed_for_ = next;
   timer_.expires_after(std::chrono::nanoseconds(std::max<Nanos>(0, next - now())));
   clock_.next_turn();
   timer_.async_wait([this](asio::error_code stopped) {
-    if (!stopped) armed_ = 0;
+    if (!stopped) armed_for_ = 0;
   });
 }
 
@@ -220,89 +229,93 @@
 
 // ---- what the sockets bring
 
-void Host::op_received(StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
+void Host::op_received(StreamRef ref, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
                        Nanos received_at, Nanos limit, double held_kb, double rank, std::string_view mark,
                        std::string_view subject, std::string_view body) {
   Digest digest;
-  if (names_.marked[type.raw] || core_->pools()) std::tie(digest.high, digest.low) = digest_(body);
-  tape_.op_received(now(), line, id, type, tenant, caller, clock_.from_system(received_at), limit, held_kb,
+  if (names_.keyed[type.raw] || core_->pools()) std::tie(digest.high, digest.low) = digest_(body);
+  tape_.op_received(now(), ref, id, type, tenant, caller, clock_.from_system(received_at), limit, held_kb,
                     rank, mark, subject, Content(std::string(body)), digest);
 }
-void Host::stream_lost(StreamRef line) { tape_.stream_lost(now(), line); }
+void Host::stream_lost(StreamRef ref) { tape_.stream_lost(now(), ref); }
 void Host::machine_up(Nanos since) { tape_.machine_up(now(), since); }
 void Host::link_down() { tape_.link_down(now()); }
 
 // The answer to a question proves that all that was sent before it was read.
-void Host::proven(std::uint64_t question) {
-  for (; !sent_.empty() && sent_.front().first <= question; sent_.pop_front()) known_ = sent_.front().second;
+void Host::confirm_read(std::uint64_t query) {
+  for (; !unconfirmed_starts_.empty() && unconfirmed_starts_.front().first <= query;
+       unconfirmed_starts_.pop_front())
+    last_confirmed_start_ = unconfirmed_starts_.front().second;
 }
-void Host::caught_up(std::uint64_t heard) {
-  proven(heard);
-  tape_.link_up(now(), known_);
+void Host::caught_up(std::uint64_t answered_query) {
+  confirm_read(answered_query);
+  tape_.link_up(now(), last_confirmed_start_);
 }
 void Host::run_over(OpId id, Outcome outcome, Nanos lag, std::string result) {
   tape_.run_finished(now(), id, outcome, lag, Content(std::move(result)));
 }
 void Host::call_wanted(OpId id, std::string body) { tape_.call_wanted(now(), id, Content(std::move(body))); }
 void Host::gauges(std::span<const double> values) {
-  if (asked_at_ > 0) lead_ = std::min(2 * (now() - asked_at_) + ms, most_lead);
-  if (interpreter_.up()) proven(interpreter_.answered_question()); // else of a link that is not caught up
+  if (gauges_requested_at_ > 0)
+    gauges_lead_ = std::min(2 * (now() - gauges_requested_at_) + ms, max_gauges_lead);
+  if (interpreter_.up())
+    confirm_read(interpreter_.answered_query_number()); // else of a link that is not caught up
   tape_.gauges(now(), values);
 }
 void Host::command_rejected(OpId id, std::string_view command) {
-  cometshift::note("interpreter", "not carried out: %.*s",
-                   static_cast<int>(std::min<std::size_t>(command.size(), 40)), command.data());
+  log_info("interpreter", "not carried out: %.*s",
+           static_cast<int>(std::min<std::size_t>(command.size(), 40)), command.data());
   if (command == "APPLY") tape_.start_refused(now(), id);
 }
 
 // ---- what the core orders
 
-void Host::served(StreamRef line, OpId, Content result) { front_.served(line, std::move(result.bytes)); }
-void Host::refused(StreamRef line, OpId, Reason, Nanos retry_after, bool no_retry) {
-  front_.refused(line, retry_after, no_retry);
+void Host::served(StreamRef ref, OpId, Content result) { front_.served(ref, std::move(result.bytes)); }
+void Host::refused(StreamRef ref, OpId, Reason, Nanos retry_after, bool no_retry) {
+  front_.refused(ref, retry_after, no_retry);
 }
-void Host::failed(StreamRef line, OpId, Reason) { front_.failed(line); }
-void Host::penalize(StreamRef line) { front_.penalize(line); }
+void Host::failed(StreamRef ref, OpId, Reason) { front_.failed(ref); }
+void Host::penalize(StreamRef ref) { front_.penalize(ref); }
 
 void Host::start(OpId id, OpTypeId type, const Content& body, StartNo number) {
-  const std::uint64_t question = interpreter_.next_question();
-  if (!sent_.empty() && sent_.back().first == question)
-    sent_.back().second = number;
+  const std::uint64_t query = interpreter_.next_query_number();
+  if (!unconfirmed_starts_.empty() && unconfirmed_starts_.back().first == query)
+    unconfirmed_starts_.back().second = number;
   else
-    sent_.emplace_back(question, number);
+    unconfirmed_starts_.emplace_back(query, number);
   interpreter_.run(id, names_.op_types[type.raw], body.bytes);
 }
 void Host::resume(OpId id, const Content& reply) { interpreter_.resume(id, reply.bytes); }
 
-void Host::call(OpId id, Nanos time_out, const Content& body) {
-  records_.call(id, time_out, body.bytes, [this, id](Outcome outcome, std::string reply) {
+void Host::call(OpId id, Nanos timeout, const Content& body) {
+  records_.call(id, timeout, body.bytes, [this, id](Outcome outcome, std::string reply) {
     tape_.call_finished(now(), id, outcome, Content(std::move(reply)));
   });
 }
-void Host::cancel_call(OpId id) { records_.give_up(id); }
+void Host::cancel_call(OpId id) { records_.cancel(id); }
 
 void Host::health(bool good) {
   front_.health(good);
-  announce_.accepting(good);
+  announce_.set_accepting(good);
 }
 void Host::notify_callers(double value) { front_.feedback(value); }
 void Host::set_idle_timeout(Nanos after) { front_.set_idle_timeout(after); }
 void Host::note(const char* kind, std::string_view words) {
-  cometshift::note(kind, "%.*s", static_cast<int>(words.size()), words.data());
+  log_info(kind, "%.*s", static_cast<int>(words.size()), words.data());
 }
 
 void Host::set_timing(Timing what, Nanos time) {
   switch (what) {
   case Timing::report_interval:
-    return announce_.report_every(time);
+    return announce_.set_report_interval(time);
   case Timing::report_timeout:
-    return announce_.wait_for_reply(time);
+    return announce_.set_report_timeout(time);
   case Timing::link_reconnect_delay:
     return interpreter_.link_reconnect_delay(time);
   case Timing::link_silence_timeout:
-    return interpreter_.silent_for(time);
+    return interpreter_.link_silence_timeout(time);
   case Timing::link_handover_timeout:
-    return interpreter_.leave_within(time);
+    return interpreter_.link_handover_timeout(time);
   case Timing::connection_drain_delay:
     return front_.connection_drain_delay(time);
   case Timing::silent_connection_timeout:
--- a/node/http_client.cpp
+++ b/node/http_client.cpp
@@ -8,91 +8,95 @@
 namespace cometshift {
 
 namespace {
-constexpr std::size_t most_reply = 64 * 1024;
+constexpr std::size_t max_reply_body = 64 * 1024;
 } // namespace
 
-HttpCalls::HttpCalls(asio::io_context& io, std::size_t most_connections)
-    : io_(io), most_connections_(most_connections) {}
+HttpClient::HttpClient(asio::io_context& io, std::size_t max_connections)
+    : io_(io), max_connections_(max_connections) {}
 
 // A handler that does nothing once its connection, or its call, is over.
 template <class Step>
-auto HttpCalls::still(const Connection& c, Step step) {
-  return [this, step, id = c.id, turn = c.turn](asio::error_code error, std::size_t n = 0) {
-    const auto at = calls_.find(id);
-    if (at != calls_.end() && at->second->turn == turn) step(*at->second, error, n);
+auto HttpClient::if_current(const Connection& c, Step step) {
+  return [this, step, id = c.id, generation = c.generation](asio::error_code error, std::size_t n = 0) {
+    const auto found = calls_.find(id);
+    if (found != calls_.end() && found->second->generation == generation) step(*found->second, error, n);
   };
 }
 
-void HttpCalls::call(CallId id, asio::ip::tcp::endpoint to, Nanos time_out, std::string head,
-                     std::string body, std::string header_wanted, Then then, Go go) {
-  give_up(id);
-  if (calls_.size() >= most_connections_) {
+void HttpClient::call(CallId id, asio::ip::tcp::endpoint target, Nanos timeout, std::string head,
+                      std::string body, std::string wanted_header, Callback callback, SendCheck may_send) {
+  cancel(id);
+  if (calls_.size() >= max_connections_) {
     // Against using up the descriptors: this call never leaves.
-    asio::post(io_, [then] {
-      HttpReply none;
-      then(End::unsent, none);
+    asio::post(io_, [callback] {
+      HttpReply empty_reply;
+      callback(Result::not_sent, empty_reply);
     });
     return;
   }
-  Connection& c = *calls_.emplace(id, std::make_unique<Connection>(io_, id, ++turns_)).first->second;
-  c.then = std::move(then);
-  c.go = std::move(go);
-  c.reply = HttpReply(std::move(header_wanted), most_reply);
+  Connection& c =
+      *calls_.emplace(id, std::make_unique<Connection>(io_, id, ++last_generation_)).first->second;
+  c.callback = std::move(callback);
+  c.may_send = std::move(may_send);
+  c.reply = HttpReply(std::move(wanted_header), max_reply_body);
   c.head = std::move(head);
   c.body = std::move(body);
-  c.timer.expires_after(std::chrono::nanoseconds(time_out));
-  c.timer.async_wait(still(c, [this](Connection& late, asio::error_code stopped, std::size_t) {
-    if (!stopped) over(late, End::timed_out);
+  c.timer.expires_after(std::chrono::nanoseconds(timeout));
+  c.timer.async_wait(if_current(c, [this](Connection& expired, asio::error_code stopped, std::size_t) {
+    if (!stopped) finish(expired, Result::timed_out);
   }));
-  c.socket.async_connect(to, still(c, [this](Connection& made, asio::error_code error, std::size_t) {
+  c.socket.async_connect(target,
+                         if_current(c, [this](Connection& connected, asio::error_code error, std::size_t) {
                            // Only a refused connection proves that nothing ran; another that can't be made
                            // has carried no byte of the call either.
-                           if (error || (made.go && !made.go())) return over(made, End::unsent);
+                           if (error || (connected.may_send && !connected.may_send()))
+                             return finish(connected, Result::not_sent);
                            asio::error_code ignored;
-                           made.socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-                           write(made);
+                           connected.socket.set_option(asio::ip::tcp::no_delay(true), ignored);
+                           write(connected);
                          }));
 }
 
-void HttpCalls::write(Connection& c) {
-  const std::array<asio::const_buffer, 2> whole{asio::buffer(c.head), asio::buffer(c.body)};
-  asio::async_write(c.socket, whole, still(c, [this](Connection& to, asio::error_code error, std::size_t) {
-                      if (error) over(to, End::cut);
+void HttpClient::write(Connection& c) {
+  const std::array<asio::const_buffer, 2> buffers{asio::buffer(c.head), asio::buffer(c.body)};
+  asio::async_write(c.socket, buffers,
+                    if_current(c, [this](Connection& current, asio::error_code error, std::size_t) {
+                      if (error) finish(current, Result::connection_lost);
                     }));
   read(c);
 }
 
-void HttpCalls::read(Connection& c) {
-  c.socket.async_read_some(asio::buffer(c.in),
-                           still(c, [this](Connection& from, asio::error_code error, std::size_t n) {
-                             if (error) return over(from, End::cut); // how far the call got can't be told
-                             switch (from.reply.feed({from.in.data(), n})) {
-                             case HttpReply::State::reading:
-                               return read(from);
-                             case HttpReply::State::unreadable:
-                               return over(from, End::unreadable);
-                             case HttpReply::State::whole:
-                               return over(from, End::whole);
-                             }
-                           }));
+void HttpClient::read(Connection& c) {
+  c.socket.async_read_some(
+      asio::buffer(c.in), if_current(c, [this](Connection& from, asio::error_code error, std::size_t n) {
+        if (error) return finish(from, Result::connection_lost); // how far the call got can't be told
+        switch (from.reply.feed({from.in.data(), n})) {
+        case HttpReply::State::reading:
+          return read(from);
+        case HttpReply::State::malformed:
+          return finish(from, Result::malformed);
+        case HttpReply::State::complete:
+          return finish(from, Result::complete);
+        }
+      }));
 }
 
 // The one place where a call ends and its connection is given back. It is reset: what it may still bring is
 // of no use, and ports don't wait for it.
-void HttpCalls::over(Connection& c, End end) {
-  const Then then = std::move(c.then);
+void HttpClient::finish(Connection& c, Result result) {
+  const Callback callback = std::move(c.callback);
   HttpReply reply = std::move(c.reply);
   asio::error_code ignored;
   c.socket.set_option(asio::socket_base::linger(true, 0), ignored);
   calls_.erase(c.id);
-  if (then) then(end, reply);
+  if (callback) callback(result, reply);
 }
 
-void HttpCalls::give_up(CallId id) {
-  const auto at = calls_.find(id);
-  if (at == calls_.end()) return;
-  at->second->then = nullptr;
-  over(*at->second, End::cut);
+void HttpClient::cancel(CallId id) {
+  const auto found = calls_.find(id);
+  if (found == calls_.end()) return;
+  found->second->callback = nullptr;
+  finish(*found->second, Result::connection_lost);
 }
 
 } // namespace cometshift
--- a/node/http_client.hpp
+++ b/node/http_client.hpp
@@ -20,32 +20,33 @@
 
 using CallId = Id<struct CallIdTag, std::uint64_t>;
 
-class HttpCalls {
+class HttpClient {
  public:
   // How a call ended: `unsent`: no byte of it left; `cut`, `timed_out`, `unreadable`: it may have had its
   // effect.
-  enum class End { whole, unsent, cut, timed_out, unreadable };
-  using Then = std::function<void(End, HttpReply&)>; // what comes next, handed the end of a call
-  using Go = std::function<bool()>;                  // asked in the instant before the first byte goes out
+  enum class Result { complete, not_sent, connection_lost, timed_out, malformed };
+  using Callback = std::function<void(Result, HttpReply&)>; // what comes next, handed the end of a call
+  using SendCheck = std::function<bool()>; // asked in the instant before the first byte goes out
 
-  HttpCalls(asio::io_context& io, std::size_t most_connections);
+  HttpClient(asio::io_context& io, std::size_t max_connections);
 
   // One for each id at a time: another gives up the first. `head` ends with an empty line. `then` is called
   // once, never within this call.
-  void call(CallId id, asio::ip::tcp::endpoint to, Nanos time_out, std::string head, std::string body,
-            std::string header_wanted, Then then, Go go = {});
-  void give_up(CallId id); // without a word; the connection is closed
+  void call(CallId id, asio::ip::tcp::endpoint target, Nanos timeout, std::string head, std::string body,
+            std::string wanted_header, Callback callback, SendCheck may_send = {});
+  void cancel(CallId id); // without a word; the connection is closed
   std::size_t connections() const { return calls_.size(); }
 
  private:
   struct Connection {
-    Connection(asio::io_context& io, CallId i, std::uint64_t t) : socket(io), timer(io), id(i), turn(t) {}
+    Connection(asio::io_context& io, CallId i, std::uint64_t t)
+        : socket(io), timer(io), id(i), generation(t) {}
     asio::ip::tcp::socket socket;
     asio::steady_timer timer;
     CallId id;
-    std::uint64_t turn; // counts calls: handlers of an earlier one do nothing
-    Then then;
-    Go go;
+    std::uint64_t generation; // counts calls: handlers of an earlier one do nothing
+    Callback callback;
+    SendCheck may_send;
     std::string head, body;
     std::array<char, 4096> in;
     HttpReply reply;
@@ -53,14 +54,14 @@
 
   void write(Connection& c);
   void read(Connection& c);
-  void over(Connection& c, End end);
+  void finish(Connection& c, Result result);
   template <class Step>
-  auto still(const Connection& c, Step step);
+  auto if_current(const Connection& c, Step step);
 
   asio::io_context& io_;
-  std::size_t most_connections_;
+  std::size_t max_connections_;
   std::map<CallId, std::unique_ptr<Connection>> calls_;
-  std::uint64_t turns_ = 0;
+  std::uint64_t last_generation_ = 0;
 };
 
 } // namespace cometshift
--- a/node/interpreter.cpp
+++ b/node/interpreter.cpp
@@ -18,47 +18,47 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-constexpr std::size_t most_line = 64 * 1024; // a notice with the largest result takes a tenth
-constexpr int reads_a_turn = 8;
-constexpr std::string_view digits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+constexpr std::size_t max_line_bytes = 64 * 1024; // a notice with the largest result takes a tenth
+constexpr int reads_per_turn = 8;
+constexpr std::string_view base64_digits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
-std::string_view word(const object& o, const char* name) {
+std::string_view text_member(const object& o, const char* name) {
   std::string_view found;
   return o[name].get(found) == simdjson::SUCCESS ? found : std::string_view();
 }
-std::uint64_t whole(const object& o, const char* name) {
+std::uint64_t unsigned_member(const object& o, const char* name) {
   std::uint64_t found = 0;
   return o[name].get(found) == simdjson::SUCCESS ? found : 0;
 }
-Nanos span_ms(const object& o, const char* name) {
+Nanos milliseconds_member(const object& o, const char* name) {
   double found = 0;
   if (o[name].get(found) != simdjson::SUCCESS || !(found >= 0) || found > 1e12) return 0;
   return static_cast<Nanos>(found * 1e6);
 }
-bool id_in(const object& o, OpId& into) { return read_hex(word(o, "uid"), into.raw); }
-bool content_in(const object& o, std::string& into) {
+bool parse_id(const object& o, OpId& into) { return read_hex(text_member(o, "uid"), into.raw); }
+bool parse_content(const object& o, std::string& into) {
   std::string_view found;
-  return o["content"].get(found) == simdjson::SUCCESS && read_base64(found, into);
+  return o["content"].get(found) == simdjson::SUCCESS && decode_base64(found, into);
 }
 
 } // namespace
 
-void put_base64(std::string& out, std::string_view bytes) {
+void encode_base64(std::string& out, std::string_view bytes) {
   for (std::size_t i = 0; i < bytes.size(); i += 3) {
     std::uint32_t three = 0;
     for (std::size_t k = 0; k < 3; ++k)
       three = three << 8 | (i + k < bytes.size() ? static_cast<unsigned char>(bytes[i + k]) : 0);
     for (std::size_t k = 0; k < 4; ++k)
-      out += i + k <= bytes.size() ? digits[three >> (18 - 6 * k) & 63] : '=';
+      out += i + k <= bytes.size() ? base64_digits[three >> (18 - 6 * k) & 63] : '=';
   }
 }
 
-bool read_base64(std::string_view text, std::string& out) {
+bool decode_base64(std::string_view text, std::string& out) {
   static const std::array<signed char, 256> value = [] {
     std::array<signed char, 256> made;
     made.fill(-1);
-    for (std::size_t i = 0; i < digits.size(); ++i)
-      made[static_cast<unsigned char>(digits[i])] = static_cast<signed char>(i);
+    for (std::size_t i = 0; i < base64_digits.size(); ++i)
+      made[static_cast<unsigned char>(base64_digits[i])] = static_cast<signed char>(i);
     return made;
   }();
   out.clear();
@@ -79,268 +79,272 @@
   return true;
 }
 
-InterpreterLink::InterpreterLink(asio::io_context& io, const std::string& address, std::size_t most_unwritten,
-                                 Handler& taker)
-    : io_(io), address_(endpoint_of(address)), socket_(io), again_(io), silence_(io),
-      most_unwritten_(most_unwritten), taker_(taker), in_(most_line + simdjson::SIMDJSON_PADDING) {
+InterpreterLink::InterpreterLink(asio::io_context& io, const std::string& address, std::size_t max_unwritten,
+                                 Handler& handler)
+    : io_(io), address_(require_endpoint(address)), socket_(io), reconnect_timer_(io), silence_timer_(io),
+      max_unwritten_(max_unwritten), handler_(handler), input_(max_line_bytes + simdjson::SIMDJSON_PADDING) {
   asio::post(io_, [this] { connect(); });
 }
 
 // ---- the link
 
-void InterpreterLink::down() {
+void InterpreterLink::mark_down() {
   if (!std::exchange(up_, false)) return;
-  taker_.link_down();
+  handler_.link_down();
 }
 
 void InterpreterLink::connect() {
-  const std::uint64_t link = ++link_;
-  down();
-  open_ = waiting_room_ = leaving_ = reading_ = heard_ = banner_ = false;
+  const std::uint64_t link = ++link_generation_;
+  mark_down();
+  connected_ = write_pending_ = handing_over_ = read_pending_ = received_ = banner_received_ = false;
   filled_ = written_ = 0;
-  out_.clear();
+  output_.clear();
   asio::error_code ignored;
   socket_.close(ignored);
   socket_ = asio::ip::tcp::socket(io_);
-  watch();
+  arm_silence_timer();
   socket_.async_connect(address_, [this, link](asio::error_code error) {
-    if (link != link_) return;
-    if (error) return broken(error.message().c_str());
+    if (link != link_generation_) return;
+    if (error) return link_failed(error.message().c_str());
     asio::error_code failed;
     socket_.non_blocking(true, failed);
     socket_.set_option(asio::ip::tcp::no_delay(true), failed);
-    open_ = true;
-    heard_before_ = answered_;
-    out_ = "{\"action\":\"CONNECT\",\"pos\":" + std::to_string(last_) + "}\n";
+    connected_ = true;
+    answered_before_link_ = answered_queries_;
+    output_ = "{\"action\":\"CONNECT\",\"pos\":" + std::to_string(last_position_) + "}\n";
     flush();
-    if (link == link_ && open_) await_bytes();
+    if (link == link_generation_ && connected_) wait_readable();
   });
 }
 
 // Against a link that is none: a connection that is never made, or one whose other side is gone without a
 // word or never speaks. It is made anew; what runs goes on meanwhile, and all notices come again.
-void InterpreterLink::watch() {
-  if (silent_for_ <= 0) return;
-  looked_ = asked_;
-  silence_.expires_after(std::chrono::nanoseconds(silent_for_));
-  silence_.async_wait([this, link = link_](asio::error_code stopped) {
-    if (stopped || link != link_) return;
-    if (open_) readable(); // against taking a pause of this process for the other's silence
-    if (link != link_) return;
-    const bool owed = !open_ || !banner_ || answered_ < looked_;
-    if (!std::exchange(heard_, false) && owed) return broken("nothing is heard");
-    watch();
+void InterpreterLink::arm_silence_timer() {
+  if (silence_timeout_ <= 0) return;
+  queries_at_last_check_ = sent_queries_;
+  silence_timer_.expires_after(std::chrono::nanoseconds(silence_timeout_));
+  silence_timer_.async_wait([this, link = link_generation_](asio::error_code stopped) {
+    if (stopped || link != link_generation_) return;
+    if (connected_) on_readable(); // against taking a pause of this process for the other's silence
+    if (link != link_generation_) return;
+    const bool response_due = !connected_ || !banner_received_ || answered_queries_ < queries_at_last_check_;
+    if (!std::exchange(received_, false) && response_due) return link_failed("nothing is heard");
+    arm_silence_timer();
   });
 }
 
 // What has been sent is not to get lost between two addresses: nothing more goes out on the old link, and an
 // answer to one more question there proves that the rest is read. Where none comes, the link is made all the
 // same, as after a break.
-void InterpreterLink::move_to(const std::string& address) {
-  const asio::ip::tcp::endpoint to = endpoint_of(address);
+void InterpreterLink::set_address(const std::string& address) {
+  const asio::ip::tcp::endpoint to = require_endpoint(address);
   if (to == address_) return;
   address_ = to;
-  if (leaving_) return;
+  if (handing_over_) return;
   if (!up_) return connect();
-  down();
-  leaving_ = true;
-  question();
-  again_.expires_after(std::chrono::nanoseconds(leave_within_));
-  again_.async_wait([this, link = link_](asio::error_code stopped) {
-    if (!stopped && link == link_) connect();
+  mark_down();
+  handing_over_ = true;
+  send_query();
+  reconnect_timer_.expires_after(std::chrono::nanoseconds(handover_timeout_));
+  reconnect_timer_.async_wait([this, link = link_generation_](asio::error_code stopped) {
+    if (!stopped && link == link_generation_) connect();
   });
 }
 
 // What was written and not read there is lost; the host says what of it may be sent again.
-void InterpreterLink::broken(const char* why) {
-  if (!said_down_) note("interpreter", "link down: %s", why);
-  said_down_ = true;
-  down();
-  open_ = leaving_ = false;
-  const std::uint64_t link = ++link_;
+void InterpreterLink::link_failed(const char* reason) {
+  if (!failure_logged_) log_info("interpreter", "link down: %s", reason);
+  failure_logged_ = true;
+  mark_down();
+  connected_ = handing_over_ = false;
+  const std::uint64_t link = ++link_generation_;
   asio::error_code ignored;
   socket_.close(ignored);
-  silence_.cancel();
-  again_.expires_after(std::chrono::nanoseconds(rest_));
-  again_.async_wait([this, link](asio::error_code stopped) {
-    if (!stopped && link == link_) connect();
+  silence_timer_.cancel();
+  reconnect_timer_.expires_after(std::chrono::nanoseconds(reconnect_delay_));
+  reconnect_timer_.async_wait([this, link](asio::error_code stopped) {
+    if (!stopped && link == link_generation_) connect();
   });
 }
 
 // ---- notices
 
-void InterpreterLink::await_bytes() {
-  if (std::exchange(reading_, true)) return;
-  socket_.async_wait(asio::socket_base::wait_read, [this, link = link_](asio::error_code error) {
-    if (link != link_) return;
-    reading_ = false;
-    if (error) return broken(error.message().c_str());
-    readable();
+void InterpreterLink::wait_readable() {
+  if (std::exchange(read_pending_, true)) return;
+  socket_.async_wait(asio::socket_base::wait_read, [this, link = link_generation_](asio::error_code error) {
+    if (link != link_generation_) return;
+    read_pending_ = false;
+    if (error) return link_failed(error.message().c_str());
+    on_readable();
   });
 }
 
-void InterpreterLink::readable() {
-  const std::uint64_t link = link_;
-  for (int turn = 0; turn < reads_a_turn; ++turn) {
+void InterpreterLink::on_readable() {
+  const std::uint64_t link = link_generation_;
+  for (int turn = 0; turn < reads_per_turn; ++turn) {
     asio::error_code error;
-    const std::size_t room = most_line - filled_;
-    const std::size_t n = socket_.read_some(asio::buffer(in_.data() + filled_, room), error);
+    const std::size_t room = max_line_bytes - filled_;
+    const std::size_t n = socket_.read_some(asio::buffer(input_.data() + filled_, room), error);
     if (error == asio::error::would_block) break;
-    if (error) return broken(error.message().c_str());
-    heard_ = true;
+    if (error) return link_failed(error.message().c_str());
+    received_ = true;
     std::size_t from = 0, look = filled_;
     filled_ += n;
-    while (const void* at = std::memchr(in_.data() + look, '\n', filled_ - look)) {
-      const auto end = static_cast<std::size_t>(static_cast<const char*>(at) - in_.data());
-      if (end > from) line(in_.data() + from, end - from);
-      if (link != link_) return;
+    while (const void* at = std::memchr(input_.data() + look, '\n', filled_ - look)) {
+      const auto end = static_cast<std::size_t>(static_cast<const char*>(at) - input_.data());
+      if (end > from) handle_notice(input_.data() + from, end - from);
+      if (link != link_generation_) return;
       from = look = end + 1;
     }
-    std::memmove(in_.data(), in_.data() + from, filled_ - from);
+    std::memmove(input_.data(), input_.data() + from, filled_ - from);
     filled_ -= from;
-    if (filled_ == most_line) return broken("a line without end"); // against filling the memory
+    if (filled_ == max_line_bytes) return link_failed("a line without end"); // against filling the memory
     if (n < room) break;
   }
-  await_bytes();
+  wait_readable();
 }
 
 // Against a notice that was lost or spoilt on the way: a new link brings it again. Once; then it is passed
 // over.
-bool InterpreterLink::once_more(std::uint64_t after) {
-  if (retried_ == after) return false;
-  retried_ = last_ = after;
-  broken("a notice is missing or can't be read");
+bool InterpreterLink::reconnect_from(std::uint64_t after) {
+  if (retried_after_ == after) return false;
+  retried_after_ = last_position_ = after;
+  link_failed("a notice is missing or can't be read");
   return true;
 }
 
-void InterpreterLink::unreadable(std::uint64_t number, const char* what) {
-  if (number == 0 || !once_more(number - 1)) note("notice", "passed over, %s", what);
+void InterpreterLink::malformed_notice(std::uint64_t number, const char* what) {
+  if (number == 0 || !reconnect_from(number - 1)) log_info("notice", "passed over, %s", what);
 }
 
-void InterpreterLink::line(const char* at, std::size_t size) {
+void InterpreterLink::handle_notice(const char* at, std::size_t size) {
   element all;
   object o;
   if (parser_.parse(at, size).get(all) != simdjson::SUCCESS || all.get(o) != simdjson::SUCCESS)
-    return note("notice", "passed over, not an object of JSON");
-  const std::string_view action = word(o, "action");
+    return log_info("notice", "passed over, not an object of JSON");
+  const std::string_view action = text_member(o, "action");
   std::uint64_t number = 0;
   if (element pos; o["pos"].get(pos) == simdjson::SUCCESS) {
-    number = whole(o, "pos");
-    if (number <= last_) return; // seen, on a link before
-    if (number > last_ + 1 && once_more(last_)) return;
-    if (number > last_ + 1)
-      note("notice", "missing from %llu to %llu", static_cast<unsigned long long>(last_ + 1),
-           static_cast<unsigned long long>(number - 1));
-    last_ = number;
+    number = unsigned_member(o, "pos");
+    if (number <= last_position_) return; // seen, on a link before
+    if (number > last_position_ + 1 && reconnect_from(last_position_)) return;
+    if (number > last_position_ + 1)
+      log_info("notice", "missing from %llu to %llu", static_cast<unsigned long long>(last_position_ + 1),
+               static_cast<unsigned long long>(number - 1));
+    last_position_ = number;
   }
   OpId id;
   std::string bytes;
   if (action == "VALUE") {
-    const std::string_view code = word(o, "code");
+    const std::string_view code = text_member(o, "code");
     const Outcome outcome = code == "fine"         ? Outcome::done
                             : code == "broken_off" ? Outcome::halted
                             : code == "late"       ? Outcome::moot
                                                    : Outcome::failed;
-    if (!id_in(o, id)) return unreadable(number, "an end without a uid");
+    if (!parse_id(o, id)) return malformed_notice(number, "an end without a uid");
     // What can't be read is no result: the run has failed for all that can be told.
-    const bool readable = outcome != Outcome::done || content_in(o, bytes);
-    if (!readable && number > 0 && once_more(number - 1)) return;
-    taker_.run_over(id, readable ? outcome : Outcome::failed, span_ms(o, "wall_ms"), std::move(bytes));
+    const bool has_result = outcome != Outcome::done || parse_content(o, bytes);
+    if (!has_result && number > 0 && reconnect_from(number - 1)) return;
+    handler_.run_over(id, has_result ? outcome : Outcome::failed, milliseconds_member(o, "wall_ms"),
+                      std::move(bytes));
   } else if (action == "AWAIT") {
-    if (!id_in(o, id) || !content_in(o, bytes)) return unreadable(number, "a call that can't be read");
-    taker_.call_wanted(id, std::move(bytes));
+    if (!parse_id(o, id) || !parse_content(o, bytes))
+      return malformed_notice(number, "a call that can't be read");
+    handler_.call_wanted(id, std::move(bytes));
   } else if (action == "TOPS") {
     std::vector<double> values;
     if (simdjson::dom::array row; o["meters"].get(row) == simdjson::SUCCESS)
       for (const element one : row) {
         double value = 0;
         if (one.get(value) != simdjson::SUCCESS)
-          return note("notice", "passed over, gauges that are no numbers");
+          return log_info("notice", "passed over, gauges that are no numbers");
         values.push_back(value);
       }
-    const std::string_view tag = word(o, "echo");
-    std::uint64_t question = 0;
-    std::from_chars(tag.data(), tag.data() + tag.size(), question);
-    if (question > answered_ && question <= asked_) answered_ = question;
-    taker_.gauges(values);
-    if (leaving_ && answered_ == asked_) return connect();
+    const std::string_view tag = text_member(o, "echo");
+    std::uint64_t query = 0;
+    std::from_chars(tag.data(), tag.data() + tag.size(), query);
+    if (query > answered_queries_ && query <= sent_queries_) answered_queries_ = query;
+    handler_.gauges(values);
+    if (handing_over_ && answered_queries_ == sent_queries_) return connect();
     // The answer to the first question of a link comes after all that was replayed.
-    if (!up_ && answered_ > heard_before_ && answered_ == asked_) {
+    if (!up_ && answered_queries_ > answered_before_link_ && answered_queries_ == sent_queries_) {
       up_ = true;
-      taker_.caught_up(heard_before_);
+      handler_.caught_up(answered_before_link_);
     }
   } else if (action == "BANNER") {
-    banner_ = true;
-    said_down_ = false;
-    note("interpreter", "up for %lld ms, %.*s", static_cast<long long>(span_ms(o, "wall_ms") / 1'000'000),
-         static_cast<int>(std::min<std::size_t>(word(o, "code").size(), 40)), word(o, "code").data());
-    taker_.machine_up(span_ms(o, "wall_ms"));
-    question();
+    banner_received_ = true;
+    failure_logged_ = false;
+    log_info("interpreter", "up for %lld ms, %.*s",
+             static_cast<long long>(milliseconds_member(o, "wall_ms") / 1'000'000),
+             static_cast<int>(std::min<std::size_t>(text_member(o, "code").size(), 40)),
+             text_member(o, "code").data());
+    handler_.machine_up(milliseconds_member(o, "wall_ms"));
+    send_query();
   } else if (action == "ERROR") {
-    if (id_in(o, id)) taker_.command_rejected(id, word(o, "code"));
+    if (parse_id(o, id)) handler_.command_rejected(id, text_member(o, "code"));
   } else if (action != "TRACE") {
-    note("notice", "passed over, an unknown kind");
+    log_info("notice", "passed over, an unknown kind");
   }
 }
 
 // ---- commands
 
-void InterpreterLink::command(std::string_view action, OpId id) {
-  out_ += "{\"action\":\"";
-  out_ += action;
-  out_ += "\",\"uid\":\"";
-  put_hex(out_, id.raw);
-  out_ += '"';
+void InterpreterLink::begin_command(std::string_view action, OpId id) {
+  output_ += "{\"action\":\"";
+  output_ += action;
+  output_ += "\",\"uid\":\"";
+  put_hex(output_, id.raw);
+  output_ += '"';
 }
-void InterpreterLink::content(std::string_view bytes) {
-  out_ += ",\"content\":\"";
-  put_base64(out_, bytes);
-  out_ += "\"}\n";
+void InterpreterLink::finish_command(std::string_view bytes) {
+  output_ += ",\"content\":\"";
+  encode_base64(output_, bytes);
+  output_ += "\"}\n";
 }
 
 void InterpreterLink::run(OpId id, std::string_view op_type, std::string_view body) {
-  command("APPLY", id);
-  out_ += ",\"lane\":\"";
+  begin_command("APPLY", id);
+  output_ += ",\"lane\":\"";
   for (const char c : op_type) {
-    if (c == '"' || c == '\\') out_ += '\\';
-    out_ += c;
+    if (c == '"' || c == '\\') output_ += '\\';
+    output_ += c;
   }
-  out_ += '"';
-  content(body);
+  output_ += '"';
+  finish_command(body);
 }
 
 void InterpreterLink::resume(OpId id, std::string_view reply) {
-  command("RESOLVE", id);
-  content(reply);
+  begin_command("RESOLVE", id);
+  finish_command(reply);
 }
 
-bool InterpreterLink::ask_gauges() {
-  if (!up_ || asked_ != answered_) return false;
-  question();
+bool InterpreterLink::request_gauges() {
+  if (!up_ || sent_queries_ != answered_queries_) return false;
+  send_query();
   return true;
 }
 
-void InterpreterLink::question() {
-  out_ += "{\"action\":\"TOP\",\"echo\":\"" + std::to_string(++asked_) + "\"}\n";
+void InterpreterLink::send_query() {
+  output_ += "{\"action\":\"TOP\",\"echo\":\"" + std::to_string(++sent_queries_) + "\"}\n";
 }
 
 void InterpreterLink::flush() {
-  if (waiting_room_ && out_.size() - written_ > most_unwritten_) return broken("it does not read");
-  while (open_ && !waiting_room_ && written_ < out_.size()) {
+  if (write_pending_ && output_.size() - written_ > max_unwritten_) return link_failed("it does not read");
+  while (connected_ && !write_pending_ && written_ < output_.size()) {
     asio::error_code error;
-    written_ += socket_.write_some(asio::buffer(out_.data() + written_, out_.size() - written_), error);
+    written_ += socket_.write_some(asio::buffer(output_.data() + written_, output_.size() - written_), error);
     if (error == asio::error::would_block) {
-      if (out_.size() - written_ > most_unwritten_) return broken("it does not read");
-      waiting_room_ = true;
-      socket_.async_wait(asio::socket_base::wait_write, [this, link = link_](asio::error_code) {
-        if (link == link_) waiting_room_ = false;
+      if (output_.size() - written_ > max_unwritten_) return link_failed("it does not read");
+      write_pending_ = true;
+      socket_.async_wait(asio::socket_base::wait_write, [this, link = link_generation_](asio::error_code) {
+        if (link == link_generation_) write_pending_ = false;
       });
       return;
     }
-    if (error) return broken(error.message().c_str());
+    if (error) return link_failed(error.message().c_str());
   }
-  if (written_ == out_.size()) {
-    out_.clear();
+  if (written_ == output_.size()) {
+    output_.clear();
     written_ = 0;
   }
 }
--- a/node/log.cpp
+++ b/node/log.cpp
@@ -13,25 +13,25 @@
 
 namespace {
 
-constexpr int lines_a_second = 5; // of one kind: enough to see what goes on, too few to fill a disk
+constexpr int max_lines_per_second = 5; // of one kind: enough to see what goes on, too few to fill a disk
 
-struct Kind {
-  std::chrono::steady_clock::time_point since{};
+struct RateLimit {
+  std::chrono::steady_clock::time_point window_start{};
   int written = 0;
-  long left_out = 0;
+  long dropped = 0;
 };
 
 bool as_json = false;
 
 spdlog::logger& logger() {
-  static const auto made = [] {
-    auto one =
+  static const auto instance = [] {
+    auto sink_logger =
         std::make_shared<spdlog::logger>("cometshift", std::make_shared<spdlog::sinks::stderr_sink_st>());
-    one->set_pattern("%E.%e %v");
-    one->flush_on(spdlog::level::trace);
-    return one;
+    sink_logger->set_pattern("%E.%e %v");
+    sink_logger->flush_on(spdlog::level::trace);
+    return sink_logger;
   }();
-  return *made;
+  return *instance;
 }
 
 void put_json(std::string& out, std::string_view text) {
@@ -51,56 +51,56 @@
   out += '"';
 }
 
-void write(spdlog::level::level_enum level, const char* kind, const char* format, va_list more) {
+void write(spdlog::level::level_enum level, const char* kind, const char* format, va_list arguments) {
   if (!logger().should_log(level)) return;
-  static std::map<const char*, Kind> kinds; // of literals: as many as there are calls
-  Kind& of = kinds[kind];
+  static std::map<const char*, RateLimit> limits; // of literals: as many as there are calls
+  RateLimit& limit = limits[kind];
   const auto now = std::chrono::steady_clock::now();
-  if (now - of.since >= std::chrono::seconds(1)) {
-    of.since = now;
-    of.written = 0;
+  if (now - limit.window_start >= std::chrono::seconds(1)) {
+    limit.window_start = now;
+    limit.written = 0;
   }
-  if (++of.written > lines_a_second) {
-    ++of.left_out;
+  if (++limit.written > max_lines_per_second) {
+    ++limit.dropped;
     return;
   }
-  char words[512];
-  std::vsnprintf(words, sizeof words, format, more);
+  char message[512];
+  std::vsnprintf(message, sizeof message, format, arguments);
   std::string line;
   if (as_json) {
     line = "\"kind\":";
     put_json(line, kind);
     line += ",\"words\":";
-    put_json(line, words);
-    if (of.left_out > 0) line += ",\"left_out\":" + std::to_string(of.left_out);
+    put_json(line, message);
+    if (limit.dropped > 0) line += ",\"left_out\":" + std::to_string(limit.dropped);
   } else {
-    line.append(kind).append(": ").append(words);
-    if (of.left_out > 0) line += " (" + std::to_string(of.left_out) + " more left out)";
+    line.append(kind).append(": ").append(message);
+    if (limit.dropped > 0) line += " (" + std::to_string(limit.dropped) + " more left out)";
   }
-  of.left_out = 0;
+  limit.dropped = 0;
   logger().log(level, spdlog::string_view_t(line));
 }
 
 } // namespace
 
-void note(const char* kind, const char* format, ...) {
-  va_list more;
-  va_start(more, format);
-  write(spdlog::level::info, kind, format, more);
-  va_end(more);
+void log_info(const char* kind, const char* format, ...) {
+  va_list arguments;
+  va_start(arguments, format);
+  write(spdlog::level::info, kind, format, arguments);
+  va_end(arguments);
 }
 
-void warn(const char* kind, const char* format, ...) {
-  va_list more;
-  va_start(more, format);
-  write(spdlog::level::warn, kind, format, more);
-  va_end(more);
+void log_warning(const char* kind, const char* format, ...) {
+  va_list arguments;
+  va_start(arguments, format);
+  write(spdlog::level::warn, kind, format, arguments);
+  va_end(arguments);
 }
 
-void set_log(bool json, std::string_view least_level) {
+void configure_log(bool json, std::string_view min_level) {
   as_json = json;
   logger().set_pattern(json ? R"({"time":%E.%e,"level":"%l",%v})" : "%E.%e %v");
-  logger().set_level(spdlog::level::from_str(std::string(least_level)));
+  logger().set_level(spdlog::level::from_str(std::string(min_level)));
 }
 
 } // namespace cometshift
--- a/node/member.hpp
+++ b/node/member.hpp
@@ -29,8 +29,8 @@
   void reload(const Settings& fleet);
   void turn(); // what is due, and what there is to say; at the end of each turn of the loop
   void leave();
-  bool gone();          // nothing is held, and all has been said; or the time for it is over
-  void tell_standing(); // into the log
+  bool has_left();   // nothing is held, and all has been said; or the time for it is over
+  void log_status(); // into the log
 
  private:
   // Links
@@ -38,7 +38,7 @@
   void written(MemberId to) override;
   void broken(MemberId to) override;
   bool message(const peer_codec::Sender& sender, std::string_view payload) override;
-  void log_event(std::string_view words) override;
+  void log_event(std::string_view event) override;
   // Peers
   void dial(MemberId to) override;
   void disconnect(MemberId to) override;
@@ -46,7 +46,7 @@
   void peer_state_changed(MemberId of, PeerState before, PeerState now) override;
   void duplicate_member(MemberId number) override;
   // Words of others
-  bool message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
+  bool message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t acked,
                Incarnation acked_incarnation, bool leaving,
                const peer_codec::HeartbeatTerms& heartbeat) override;
   void voters(MemberId from, Epoch on_file, const VoterList& list) override;
@@ -54,7 +54,7 @@
              Nanos term) override;
   void released(MemberId from, Incarnation of, std::string_view lease, AskNo number) override;
   void granted(MemberId from, Incarnation to, std::string_view lease, AskNo number, bool wanted) override;
-  void refused(MemberId from, Incarnation to, std::string_view lease, AskNo number, Token seen,
+  void refused(MemberId from, Incarnation to, std::string_view lease, AskNo number, Token known_token,
                Nanos left) override;
   void done(MemberId from, std::string_view task, Token token, Nanos ago) override;
   // Leases
@@ -62,46 +62,47 @@
            Nanos term) override;
   void release(MemberId voter, std::string_view lease, AskNo number) override;
   void grant(MemberId to, Incarnation of, std::string_view lease, AskNo number, bool wanted) override;
-  void refuse(MemberId to, Incarnation of, std::string_view lease, AskNo number, Token seen,
+  void refuse(MemberId to, Incarnation of, std::string_view lease, AskNo number, Token known_token,
               Nanos left) override;
   void held(std::string_view lease, Token token, Nanos from, Nanos until) override;
-  void lost(std::string_view lease, Token token, LossReason why) override;
+  void lost(std::string_view lease, Token token, LossReason reason) override;
   // Tasks
   void begin(TaskId task, Token token, Nanos limit) override;
   void notify_done(TaskId task, Token token) override;
   void released_after_failures(TaskId task, Nanos rest) override;
 
-  Nanos now();         // of who holds
-  Nanos granted_now(); // of who granted
-  Nanos touched();     // something came: the turn looks at what follows from it; the time of who holds
+  Nanos now();          // of who holds
+  Nanos grantor_now();  // of who granted
+  Nanos mark_pending(); // something came: the turn looks at what follows from it; the time of who holds
   void arm();
-  void look_at_voters();
-  std::string voters_word() const;
-  void to_self(std::function<void()> what);
+  void update_voters();
+  std::string encode_voters() const;
+  void enqueue_to_self(std::function<void()> action);
 
   asio::io_context& io_;
   asio::steady_timer timer_;
-  Nanos armed_ = -1;
-  bool touched_ = true; // since the last turn
+  Nanos armed_for_ = -1;
+  bool work_pending_ = true; // since the last turn
   LeaseClock clock_;
-  bool said_apart_ = false;
+  bool clock_divergence_logged_ = false;
   peer_codec::Sender self_;
-  std::vector<MemberId> others_;
-  std::vector<Links::Tcp::endpoint> targets_; // of the tasks
-  std::deque<std::function<void()>> own_; // what this member says to itself, as a voter and as one who asks
-  std::map<std::string, Token, std::less<>> holding_; // told in the log already
-  Settings fleet_;                                    // as last taken
-  VoterList on_file_, told_;                          // as the file has it; as the others were told it
-  Epoch told_on_file_{};
-  bool told_joint_ = false;
-  std::string_view not_taken_; // why, as told in the log
+  std::vector<MemberId> peer_ids_;
+  std::vector<Links::Tcp::endpoint> task_targets_; // of the tasks
+  std::deque<std::function<void()>>
+      self_messages_; // what this member says to itself, as a voter and as one who asks
+  std::map<std::string, Token, std::less<>> logged_holdings_; // told in the log already
+  Settings fleet_;                                            // as last taken
+  VoterList file_voters_, announced_voters_; // as the file has it; as the others were told it
+  Epoch announced_file_epoch_{};
+  bool announced_joint_ = false;
+  std::string_view logged_rejection_; // why, as told in the log
   Voters voters_;
   Leases leases_;
   Tasks tasks_;
   Peers peers_;
   Links links_;
-  HttpCalls calls_;
-  Nanos leave_by_ = -1; // what is not said by then is not
+  HttpClient task_calls_;
+  Nanos leave_deadline_ = -1; // what is not said by then is not
 };
 
 } // namespace cometshift
--- a/node/records.cpp
+++ b/node/records.cpp
@@ -10,20 +10,20 @@
 
 namespace {
 
-constexpr const char* not_begun = "Op-Not-Begun";
+constexpr const char* not_begun_header = "Op-Not-Begun";
 
-Outcome outcome_of(HttpCalls::End end, const HttpReply& reply) {
-  switch (end) {
-  case HttpCalls::End::unsent:
+Outcome to_outcome(HttpClient::Result result, const HttpReply& reply) {
+  switch (result) {
+  case HttpClient::Result::not_sent:
     return Outcome::unreachable;
-  case HttpCalls::End::timed_out:
+  case HttpClient::Result::timed_out:
     return Outcome::timed_out;
-  case HttpCalls::End::unreadable:
-    note("records", "a reply that can't be read");
+  case HttpClient::Result::malformed:
+    log_info("records", "a reply that can't be read");
     return Outcome::cut;
-  case HttpCalls::End::cut:
+  case HttpClient::Result::connection_lost:
     return Outcome::cut;
-  case HttpCalls::End::whole:
+  case HttpClient::Result::complete:
     break;
   }
   const bool not_run = reply.header() == "1";
@@ -43,23 +43,23 @@
 
 } // namespace
 
-Records::Records(asio::io_context& io, const std::string& address, std::size_t most_connections)
-    : address_(endpoint_of(address)), calls_(io, most_connections) {}
+RecordsClient::RecordsClient(asio::io_context& io, const std::string& address, std::size_t max_connections)
+    : address_(require_endpoint(address)), client_(io, max_connections) {}
 
-void Records::call(OpId id, Nanos time_out, const std::string& body, Then then) {
+void RecordsClient::call(OpId id, Nanos timeout, const std::string& body, Callback callback) {
   char head[256];
-  const long long wait_ms = std::max<long long>(1, (time_out + 999'999) / 1'000'000);
+  const long long wait_ms = std::max<long long>(1, (timeout + 999'999) / 1'000'000);
   std::snprintf(head, sizeof head,
                 "POST /records/op HTTP/1.1\r\nHost: records\r\nOp-Of: %016llx\r\nOp-Wait-Ms: %lld\r\n"
                 "Connection: close\r\nContent-Length: %zu\r\n\r\n",
                 static_cast<unsigned long long>(id.raw), wait_ms, body.size());
-  calls_.call(CallId{id.raw}, address_, time_out, head, body, not_begun,
-              [then = std::move(then)](HttpCalls::End end, HttpReply& reply) {
-                const Outcome outcome = outcome_of(end, reply);
-                then(outcome, outcome == Outcome::done ? std::move(reply.body()) : std::string());
-              });
+  client_.call(CallId{id.raw}, address_, timeout, head, body, not_begun_header,
+               [callback = std::move(callback)](HttpClient::Result result, HttpReply& reply) {
+                 const Outcome outcome = to_outcome(result, reply);
+                 callback(outcome, outcome == Outcome::done ? std::move(reply.body()) : std::string());
+               });
 }
 
-void Records::move_to(const std::string& address) { address_ = endpoint_of(address); }
+void RecordsClient::set_address(const std::string& address) { address_ = require_endpoint(address); }
 
 } // namespace cometshift
--- a/node/records.hpp
+++ b/node/records.hpp
@@ -9,21 +9,22 @@
 
 namespace cometshift {
 
-class Records {
+class RecordsClient {
  public:
-  using Then = std::function<void(Outcome, std::string reply)>; // what comes next, handed the end of a call
+  using Callback =
+      std::function<void(Outcome, std::string reply)>; // what comes next, handed the end of a call
 
-  Records(asio::io_context& io, const std::string& address, std::size_t most_connections);
+  RecordsClient(asio::io_context& io, const std::string& address, std::size_t max_connections);
 
   // One for each op at a time: another gives up the first. `then` is called once, never within this call.
-  void call(OpId id, Nanos time_out, const std::string& body, Then then);
-  void give_up(OpId id) { calls_.give_up(CallId{id.raw}); } // without a word; the connection is closed
-  void move_to(const std::string& address); // for calls from now on; those in hand end where they are
-  std::size_t connections() const { return calls_.connections(); }
+  void call(OpId id, Nanos timeout, const std::string& body, Callback callback);
+  void cancel(OpId id) { client_.cancel(CallId{id.raw}); } // without a word; the connection is closed
+  void set_address(const std::string& address); // for calls from now on; those in hand end where they are
+  std::size_t connections() const { return client_.connections(); }
 
  private:
   asio::ip::tcp::endpoint address_;
-  HttpCalls calls_;
+  HttpClient client_;
 };
 
 } // namespace cometshift
--- a/server/main.cpp
+++ b/server/main.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr int cannot = 1, unreadable = 2, misunderstood = 64;
+constexpr int exit_failure = 1, exit_unreadable = 2, exit_usage = 64;
 
-std::string told(const std::string& given, const char* variable) {
+std::string option_or_environment(const std::string& given, const char* variable) {
   if (!given.empty()) return given;
   const char* value = std::getenv(variable);
   return value ? value : "";
@@ -26,17 +26,17 @@
 struct Paths {
   std::string configuration, operators;
 
-  void take_by(CLI::App& app) {
+  void add_options(CLI::App& app) {
     app.add_option("--config", configuration, "the configuration (else RELAY_CONFIG)");
     app.add_option("--operator", operators,
                    "the operator file (else COMETSHIFT_OPERATOR; none: all defaults)");
   }
   std::string config() const {
-    const std::string path = told(configuration, "RELAY_CONFIG");
+    const std::string path = option_or_environment(configuration, "RELAY_CONFIG");
     if (path.empty()) throw std::invalid_argument("RELAY_CONFIG: missing");
     return path;
   }
-  std::string operator_file() const { return told(operators, "COMETSHIFT_OPERATOR"); }
+  std::string operator_file() const { return option_or_environment(operators, "COMETSHIFT_OPERATOR"); }
   cometshift::Settings operator_values() const {
     return operator_file().empty() ? cometshift::operator_in("", "")
                                    : cometshift::read_operator(operator_file());
@@ -51,20 +51,20 @@
 }
 
 int check(const Paths& paths) {
-  int wrong = 0;
-  const auto look = [&](const char* what, auto read) {
+  int exit_code = 0;
+  const auto check_file = [&](const char* what, auto read) {
     try {
       read();
       std::printf("%s: good\n", what);
     } catch (const std::exception& e) {
       std::printf("%s\n", e.what());
-      wrong = cannot;
+      exit_code = exit_failure;
     }
   };
-  if (!told(paths.configuration, "RELAY_CONFIG").empty())
-    look("configuration", [&] { cometshift::read_configuration(paths.config()); });
-  if (!paths.operator_file().empty()) look("operator file", [&] { paths.operator_values(); });
-  return wrong;
+  if (!option_or_environment(paths.configuration, "RELAY_CONFIG").empty())
+    check_file("configuration", [&] { cometshift::read_configuration(paths.config()); });
+  if (!paths.operator_file().empty()) check_file("operator file", [&] { paths.operator_values(); });
+  return exit_code;
 }
 
 } // namespace
@@ -86,10 +86,10 @@
 
   Paths paths;
   CLI::App* serving = app.add_subcommand("serve", "serve; also what no argument means");
-  paths.take_by(*serving);
+  paths.add_options(*serving);
   CLI::App* checking =
       app.add_subcommand("check", "read the configuration and the operator file, and say what is wrong");
-  paths.take_by(*checking);
+  paths.add_options(*checking);
 
   std::vector<std::string> files;
   const auto with_files = [&files](CLI::App* command) {
@@ -136,7 +136,7 @@
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
     const int code = app.exit(e);
-    return code == 0 ? 0 : misunderstood;
+    return code == 0 ? 0 : exit_usage;
   }
 
   try {
@@ -158,9 +158,9 @@
     return serve(paths);
   } catch (const cometshift::Unreadable& e) {
     std::fprintf(stderr, "cometshift: %s\n", e.what());
-    return unreadable;
+    return exit_unreadable;
   } catch (const std::exception& e) {
     std::fprintf(stderr, "cometshift: %s\n", e.what());
-    return cannot;
+    return exit_failure;
   }
 }
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -17,7 +17,7 @@
 void sleep_for(int time_ms) { std::this_thread::sleep_for(std::chrono::milliseconds(time_ms)); }
 
 // Answers to ops in what is heard up to a check sent now: each of them once, in words.
-std::vector<std::string> answers_until_check(World& w, std::uint32_t stream) {
+std::vector<std::string> answers_until_check(ServerFixture& w, std::uint32_t stream) {
   std::vector<std::string> answers;
   w.balancer.say(frame_of(frames::health_check, stream, {}));
   for (;;) {
@@ -26,52 +26,52 @@
     if (frame.starts_with("answer")) answers.push_back(std::move(frame));
   }
 }
-void say_answers(const std::vector<std::string>& answers) {
+void print_answers(const std::vector<std::string>& answers) {
   std::printf("  %zu answers\n", answers.size());
   for (const std::string& one : answers) std::printf("  balancer: %s\n", one.c_str());
 }
 // Another link after a break, up to the moment in which all before is told again.
-void link_reconnect_delay(World& w, const std::string& notices) {
-  w.machine = w.machines.next();
-  w.machine.line(); // CONNECT
-  w.question.clear();
+void reconnect(ServerFixture& w, const std::string& notices) {
+  w.interpreter = w.interpreters.next();
+  w.interpreter.line(); // CONNECT
+  w.last_query.clear();
   w.link_up(notices);
 }
 
 // Up to its end the questions on an old link are answered; other commands there are told.
-void leave_old_link(World& w) {
+void finish_old_link(ServerFixture& w) {
   TestConnection::until("end of the old link", [&] {
-    while (w.machine.has_line()) {
-      const std::string line = w.machine.line();
+    while (w.interpreter.has_line()) {
+      const std::string line = w.interpreter.line();
       const std::size_t echo = line.find("\"echo\":\"");
       if (echo == std::string::npos) {
         std::printf("  on the old link: %s\n", line.c_str());
         continue;
       }
-      w.question = line.substr(echo + 8, line.find('"', echo + 8) - echo - 8);
+      w.last_query = line.substr(echo + 8, line.find('"', echo + 8) - echo - 8);
       w.answer_gauges();
     }
-    return w.machine.ended();
+    return w.interpreter.ended();
   });
 }
 // The last that a list hears of a server that leaves.
-std::string last_report(TestConnection& lists) {
-  TestConnection list = lists.next();
+std::string last_report(TestConnection& announce_services) {
+  TestConnection announce = announce_services.next();
   std::string report;
   while (report.find("false") == std::string::npos) {
-    TestConnection::until("report", [&] { return list.has_line() || list.ended(); });
-    if (!list.has_line())
-      list = lists.next();
+    TestConnection::until("report", [&] { return announce.has_line() || announce.ended(); });
+    if (!announce.has_line())
+      announce = announce_services.next();
     else
-      report = list.request({});
+      report = announce.request({});
   }
   return report;
 }
 
 // Of the server's connections, those to its ports and to its other parties: how many there are, and how many
 // keep small writes back.
-void kept_back() {
-  int all = 0, keeping = 0;
+void print_nodelay() {
+  int all = 0, buffering = 0;
   for (int fd = 3; fd < 256; ++fd) {
     sockaddr_in here{}, there{};
     socklen_t size = sizeof here, size_there = sizeof there;
@@ -84,9 +84,9 @@
     socklen_t length = sizeof at_once;
     getsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &at_once, &length);
     ++all;
-    keeping += at_once == 0;
+    buffering += at_once == 0;
   }
-  std::printf("  %d connections, %d keep small writes back\n", all, keeping);
+  std::printf("  %d connections, %d keep small writes back\n", all, buffering);
 }
 
 } // namespace
@@ -94,22 +94,22 @@
 int main() {
   say("two tries of one op lie unread for longer than a short window: one run, both have its result");
   {
-    World w("3000", "300000000");
+    ServerFixture w("3000", "300000000");
     w.link_up();
     const Fields marked{{"verb", "book"}, {"unique", "m1"}};
-    w.balancer.say(World::request(1, a, marked, "body", 500 * ms) +
-                   World::request(2, b, marked, "body", 250 * ms));
+    w.balancer.say(ServerFixture::request(1, a, marked, "body", 500 * ms) +
+                   ServerFixture::request(2, b, marked, "body", 250 * ms));
     std::printf("  link: %s\n", w.command().c_str());
     w.notice(1, "VALUE", a, fine);
-    say_answers(answers_until_check(w, 1));
-    w.balancer.say(World::request(3, c, marked, "body", 400 * ms)); // within the window as well
-    say_answers(answers_until_check(w, 2));
+    print_answers(answers_until_check(w, 1));
+    w.balancer.say(ServerFixture::request(3, c, marked, "body", 400 * ms)); // within the window as well
+    print_answers(answers_until_check(w, 2));
   }
 
   say("a stranger comes under the number of an op that has ended, and would be held: refused; a repeat of "
       "the op is not run");
   {
-    World w("3000");
+    ServerFixture w("3000");
     w.link_up();
     w.book(1, a, "m1");
     w.command();
@@ -122,7 +122,7 @@
     w.book(4, a, "m9", "other");
     w.book(5, b, "m1");
     w.book(7, a, "m1"); // its own number once more
-    say_answers(answers_until_check(w, 1));
+    print_answers(answers_until_check(w, 1));
     w.notice(2, "VALUE", "bbbbbbbbbbbbbbb2", fine);
     w.balancer.frame();
     w.book(8, c, "m2");
@@ -131,7 +131,7 @@
 
   say("a try that comes after the window of the one that ran is another op");
   {
-    World w("3000", "300000000");
+    ServerFixture w("3000", "300000000");
     w.link_up();
     w.book(1, a, "m1");
     w.command();
@@ -146,23 +146,23 @@
     say(by_reset ? "the same by a reset, which may take the notice with it"
                  : "the end of a run and the end of its link in one instant: one answer, though the notice "
                    "comes again");
-    World w("3000");
+    ServerFixture w("3000");
     w.link_up();
     w.book(1, a, "m1");
     w.command();
     TestConnection::turn = [] {};
     w.notice(1, "VALUE", a, fine);
-    by_reset ? w.machine.reset() : w.machine.stop_sending();
+    by_reset ? w.interpreter.reset() : w.interpreter.stop_sending();
     w.start();
-    link_reconnect_delay(w, notice_of(1, "VALUE", a, fine));
+    reconnect(w, notice_of(1, "VALUE", a, fine));
     std::printf("  balancer: %s\n", w.balancer.frame().c_str());
     w.book(2, b, "m1");
-    say_answers(answers_until_check(w, 1));
+    print_answers(answers_until_check(w, 1));
   }
 
   say("the result comes in the instant of the due time: one answer, whichever it is");
   {
-    World w("3000");
+    ServerFixture w("3000");
     w.link_up();
     w.ask(1, a, {{"limit", "1500"}});
     w.command();
@@ -176,12 +176,12 @@
 
   say("a call's reply and the end of its op's time in one instant: one answer; the late reply goes nowhere");
   {
-    World w("3000");
+    ServerFixture w("3000");
     w.link_up();
     w.ask(1, a, {{"verb", "book"}, {"unique", "m1"}, {"limit", "1500"}});
     w.command();
     w.notice(1, "AWAIT", a, ",\"content\":\"Y2FsbA==\"");
-    TestConnection records = w.below.next();
+    TestConnection records = w.records_services.next();
     records.request({});
     TestConnection::turn = [] {};
     sleep_for(1520);
@@ -194,80 +194,82 @@
 
   say("SIGTERM with half a request read: its rest comes after the delay, and it is answered, not run");
   {
-    World w("3000");
+    ServerFixture w("3000");
     w.link_up();
-    const std::string whole = World::request(1, a);
+    const std::string whole = ServerFixture::request(1, a);
     w.balancer.say(whole.substr(0, 50));
     w.host->stop();
     std::printf("  balancer: %s\n", w.balancer.frame().c_str());
     w.balancer.say(whole.substr(50));
     std::printf("  balancer: %s\n", w.balancer.frame().c_str());
     w.balancer.to_end();
-    TestConnection::until("end", [&] { return w.over; });
+    TestConnection::until("end", [&] { return w.finished; });
     std::printf("  the end%s\n", w.balancer.was_reset() ? ", by a reset" : "");
   }
 
   say("SIGTERM with half a request read and no more of it: a whole end, the server ends");
   {
-    World w("3000");
+    ServerFixture w("3000");
     w.link_up();
-    w.balancer.say(World::request(1, a).substr(0, 50));
+    w.balancer.say(ServerFixture::request(1, a).substr(0, 50));
     w.host->stop();
     std::printf("  balancer: %s\n", w.balancer.frame().c_str());
     TestConnection::until("end on its side", [&] { return w.balancer.ended(); });
     w.balancer.send_without_turn(
-        World::request(1, a).substr(50)); // what it takes for a request came to a shut side
+        ServerFixture::request(1, a).substr(50)); // what it takes for a request came to a shut side
     TestConnection::turn();
     std::printf("  the end%s\n", w.balancer.was_reset() ? ", by a reset" : "");
     w.balancer = TestConnection::listening(5051);
-    TestConnection::until("end", [&] { return w.over; });
+    TestConnection::until("end", [&] { return w.finished; });
   }
 
   say("SIGHUP and SIGTERM in one instant: both are taken");
   {
-    World w("1500");
+    ServerFixture w("1500");
     w.link_up();
-    TestConnection machines = TestConnection::listening(7301), lists = TestConnection::listening(2380),
-                   below = TestConnection::listening(5433);
-    std::FILE* out = std::fopen(world_file.c_str(), "w");
-    std::fputs(World::json("1500", 1).c_str(), out);
+    TestConnection interpreters = TestConnection::listening(7301),
+                   announce_services = TestConnection::listening(2380),
+                   records_services = TestConnection::listening(5433);
+    std::FILE* out = std::fopen(fixture_config_path.c_str(), "w");
+    std::fputs(ServerFixture::json("1500", 1).c_str(), out);
     std::fclose(out);
     TestConnection::turn = [] {};
     std::raise(SIGHUP);
     w.host->stop();
     w.start();
-    TestConnection list = lists.next();
-    std::printf("  announce there: %s\n", list.request({}).c_str());
+    TestConnection announce = announce_services.next();
+    std::printf("  announce there: %s\n", announce.request({}).c_str());
     w.balancer.frame();
     w.balancer.to_end();
-    TestConnection::until("end", [&] { return w.over; });
-    std::remove(world_file.c_str());
-    std::printf("  over: %d\n", w.over);
+    TestConnection::until("end", [&] { return w.finished; });
+    std::remove(fixture_config_path.c_str());
+    std::printf("  over: %d\n", w.finished);
   }
 
   say("a reload, and a drain while the old link is still left: what runs is answered, what comes in the "
       "delay "
       "runs there, the list there hears of it");
   {
-    World w("3000");
+    ServerFixture w("3000");
     w.link_up();
     w.ask(1, a);
     w.command();
-    TestConnection machines = TestConnection::listening(7301), lists = TestConnection::listening(2380),
-                   below = TestConnection::listening(5433);
-    World::hang_up(World::json("3000", 1));
+    TestConnection interpreters = TestConnection::listening(7301),
+                   announce_services = TestConnection::listening(2380),
+                   records_services = TestConnection::listening(5433);
+    ServerFixture::reload_with(ServerFixture::json("3000", 1));
     w.host->stop();
     w.ask(2, b);
-    leave_old_link(w);
-    w.machine = machines.next();
+    finish_old_link(w);
+    w.interpreter = interpreters.next();
     std::printf("  link there: %s\n", w.command().c_str());
-    w.question.clear();
+    w.last_query.clear();
     w.link_up();
     std::printf("  link there: %s\n", w.command().c_str());
-    std::printf("  announce there: %s\n", last_report(lists).c_str());
+    std::printf("  announce there: %s\n", last_report(announce_services).c_str());
     w.notice(1, "VALUE", a, fine);
     w.notice(2, "AWAIT", b, ",\"content\":\"Y2FsbA==\"");
-    TestConnection records = below.next();
+    TestConnection records = records_services.next();
     std::printf("  records there: %s\n", records.request({"Op-Of"}).c_str());
     records.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue");
     std::printf("  link there: %s\n", w.command().c_str());
@@ -275,34 +277,34 @@
     for (int i = 0; i < 3; ++i) std::printf("  balancer: %s\n", w.balancer.frame().c_str());
     w.balancer.to_end();
     w.balancer.stop_sending();
-    TestConnection::until("end", [&] { return w.over; });
+    TestConnection::until("end", [&] { return w.finished; });
     std::printf("  the end%s\n", w.balancer.was_reset() ? ", by a reset" : "");
   }
 
   say("a drain, and a reload in it, to where nobody is: all is answered before the kill, and it ends");
   {
-    World w("1500");
+    ServerFixture w("1500");
     w.link_up();
     w.ask(1, a);
     w.command();
     w.host->stop();
-    World::hang_up(World::json("1500", 2));
+    ServerFixture::reload_with(ServerFixture::json("1500", 2));
     w.book(2, b, "m1");
-    leave_old_link(w);
+    finish_old_link(w);
     std::vector<std::string> said;
     for (int i = 0; i < 3; ++i) said.push_back(w.balancer.frame());
     std::sort(said.begin(), said.end());
     for (const std::string& one : said) std::printf("  balancer: %s\n", one.c_str());
     w.balancer.to_end();
     w.balancer.stop_sending();
-    TestConnection::until("end", [&] { return w.over; });
+    TestConnection::until("end", [&] { return w.finished; });
     std::printf("  the end%s\n", w.balancer.was_reset() ? ", by a reset" : "");
-    std::remove(world_file.c_str());
+    std::remove(fixture_config_path.c_str());
   }
 
   say("the settings give the op types other effects: look is keyed, book may not simply be repeated");
   {
-    World w("3000", "300000000", true);
+    ServerFixture w("3000", "300000000", true);
     w.link_up();
     w.ask(1, a, {{"unique", "m1"}});
     std::printf("  link: %s\n", w.command().c_str());
@@ -312,7 +314,7 @@
     w.ask(4, c, {{"verb", "book"}});
     std::printf("  link: %s\n", w.command().c_str());
     w.notice(2, "AWAIT", c, ",\"content\":\"Y2FsbA==\"");
-    TestConnection records = w.below.next();
+    TestConnection records = w.records_services.next();
     records.request({});
     records.reset(); // its call may have run
     for (int i = 0; i < 4; ++i) std::printf("  balancer: %s\n", w.balancer.frame().c_str());
@@ -320,19 +322,19 @@
 
   say("nothing that is said is kept back until more of it comes");
   {
-    World w("3000");
+    ServerFixture w("3000");
     w.link_up();
     w.ask(1, a);
     w.command();
     w.notice(1, "AWAIT", a, ",\"content\":\"Y2FsbA==\"");
-    TestConnection records = w.below.next();
+    TestConnection records = w.records_services.next();
     records.request({});
-    kept_back();
+    print_nodelay();
   }
 
   say("peers that send without end do not keep due times waiting");
   {
-    World w("3000");
+    ServerFixture w("3000");
     w.link_up();
     w.ask(1, a, {{"limit", "1500"}}); // runs for longer than that
     w.command();
--- a/tests/endings.cpp
+++ b/tests/endings.cpp
@@ -7,14 +7,14 @@
 #include <sys/syscall.h>
 
 constexpr Nanos second = 1000 * ms;
-constexpr std::size_t most = 24;
+constexpr std::size_t max_connections = 24;
 
 // Before the system's: so many of those that wait are gone by the time that they are taken.
-static int gone_before = 0;
+static int aborted_accepts = 0;
 extern "C" int accept(int at, sockaddr* from, socklen_t* size) {
   const int fd = static_cast<int>(syscall(SYS_accept, at, from, size));
-  if (fd < 0 || gone_before == 0) return fd;
-  --gone_before;
+  if (fd < 0 || aborted_accepts == 0) return fd;
+  --aborted_accepts;
   close(fd);
   errno = ECONNABORTED;
   return -1;
@@ -22,23 +22,24 @@
 
 namespace {
 
-struct Told final : Front::Handler {
-  std::vector<StreamRef> lines;
+struct RecordingHandler final : Front::Handler {
+  std::vector<StreamRef> streams;
   std::size_t lost = 0;
-  void op_received(StreamRef line, OpId, OpTypeId, TenantId, CallerId, Nanos, Nanos, double, double,
+  void op_received(StreamRef ref, OpId, OpTypeId, TenantId, CallerId, Nanos, Nanos, double, double,
                    std::string_view, std::string_view, std::string_view) override {
-    lines.push_back(line);
+    streams.push_back(ref);
   }
   void stream_lost(StreamRef) override { ++lost; }
 };
 
-struct Bench {
+struct Fixture {
   asio::io_context io;
-  Told told;
+  RecordingHandler handler;
   Nanos now = second;
-  Front front{io, TestConnection::at(5050), most, 64 * 1024, {{"look"}, {false}, {"acme"}, true}, told};
+  Front front{
+      io, TestConnection::at(5050), max_connections, 64 * 1024, {{"look"}, {false}, {"acme"}, true}, handler};
 
-  Bench() {
+  Fixture() {
     front.accept_retry_delay(ms);
     front.set_eviction_order({Eviction::no_frame, Eviction::idle, Eviction::newest}, 8);
     front.connection_drain_delay(second / 2);
@@ -46,7 +47,7 @@
     front.write_stall_timeout(4 * second);
     TestConnection::turn = [this] { turn(); };
   }
-  ~Bench() {
+  ~Fixture() {
     TestConnection::turn = [] {};
   }
   void turn() {
@@ -58,16 +59,16 @@
     now += time;
     for (int i = 0; i < 3; ++i) turn();
   }
-  StreamRef asked(TestConnection& peer, std::uint32_t stream) {
-    const std::size_t before = told.lines.size();
+  StreamRef send_request(TestConnection& peer, std::uint32_t stream) {
+    const std::size_t before = handler.streams.size();
     peer.say(ask(stream, "9b1f03aa5c7e2d41"));
-    TestConnection::until("op", [&] { return told.lines.size() > before; });
-    return told.lines.back();
+    TestConnection::until("op", [&] { return handler.streams.size() > before; });
+    return handler.streams.back();
   }
   // A peer that has had an op answered, and has not read the answer.
   TestConnection answered(std::uint32_t stream = 1) {
     TestConnection peer = TestConnection::to(5050);
-    front.served(asked(peer, stream), "result");
+    front.served(send_request(peer, stream), "result");
     turn();
     return peer;
   }
@@ -75,84 +76,84 @@
 
 void say(const char* what) { std::printf("# %s\n", what); }
 // What the peer was sent to the end, and how that came.
-void left(TestConnection& peer, int frames) {
+void print_to_end(TestConnection& peer, int frames) {
   for (int i = 0; i < frames; ++i) std::printf("  %s\n", peer.frame().c_str());
   peer.to_end();
   std::printf("  the end%s\n", peer.was_reset() ? ", by a reset" : "");
 }
-void after_it(Bench& b, TestConnection& peer, std::size_t ops) {
+void print_after_end(Fixture& b, TestConnection& peer, std::size_t ops) {
   for (int i = 0; i < 4; ++i) b.turn();
   std::printf("  after it: %s, %zu ops read\n", peer.was_reset() ? "a reset" : "no reset",
-              b.told.lines.size() - ops);
+              b.handler.streams.size() - ops);
 }
 const std::string request = ask(7, "9b1f03aa5c7e2d42");
 
 // A connection ends by `end`; in that instant its peer sends what `bytes` says.
-void crossing(const char* what, const std::string& bytes,
-              const std::function<void(Bench&, TestConnection&)>& end) {
+void test_crossing(const char* what, const std::string& bytes,
+                   const std::function<void(Fixture&, TestConnection&)>& end) {
   say(what);
-  Bench b;
+  Fixture b;
   TestConnection peer = b.answered();
   end(b, peer);
   TestConnection::until("end on our side", [&] { return b.front.connections() == 0; });
-  const std::size_t ops = b.told.lines.size();
+  const std::size_t ops = b.handler.streams.size();
   peer.send_without_turn(bytes);
-  left(peer, 2);
+  print_to_end(peer, 2);
   peer.send_without_turn(bytes); // what comes later still is dropped too
-  after_it(b, peer, ops);
+  print_after_end(b, peer, ops);
 }
 
 } // namespace
 
 int main() {
-  const auto idle = [](Bench& b, TestConnection&) {
+  const auto idle = [](Fixture& b, TestConnection&) {
     b.front.set_idle_timeout(second);
     b.pass(second);
     b.pass(second / 2);
   };
-  crossing("idle, told, and closed: a whole request in the instant of the close", request, idle);
-  crossing("the same, half a request", request.substr(0, 40), idle);
-  crossing("the same, more than its buffers hold at once", std::string(100'000, 'x'), idle);
-  crossing("the listener closes, as in a drain: a request as its last connections end", request,
-           [](Bench& b, TestConnection&) {
-             b.front.stop_accepting();
-             b.turn();
-             b.pass(second / 2);
-           });
+  test_crossing("idle, told, and closed: a whole request in the instant of the close", request, idle);
+  test_crossing("the same, half a request", request.substr(0, 40), idle);
+  test_crossing("the same, more than its buffers hold at once", std::string(100'000, 'x'), idle);
+  test_crossing("the listener closes, as in a drain: a request as its last connections end", request,
+                [](Fixture& b, TestConnection&) {
+                  b.front.stop_accepting();
+                  b.turn();
+                  b.pass(second / 2);
+                });
 
   say("a request read past the time to end, just before the close, is taken and answered as any");
   {
-    Bench b;
+    Fixture b;
     TestConnection peer = b.answered();
     b.front.set_idle_timeout(second);
     b.pass(second);
     b.now += second / 2;
     peer.send_without_turn(request); // found by the look before the close
     b.turn();
-    TestConnection::until("op", [&] { return b.told.lines.size() == 2; });
+    TestConnection::until("op", [&] { return b.handler.streams.size() == 2; });
     std::printf("  %zu connections\n", b.front.connections());
-    b.front.served(b.told.lines[1], "crossed");
+    b.front.served(b.handler.streams[1], "crossed");
     b.turn();
     b.pass(second / 2);
-    left(peer, 3);
+    print_to_end(peer, 3);
   }
 
   say("evicted for room: what comes then is dropped, the room is there at once");
   {
-    Bench b;
+    Fixture b;
     TestConnection peer = b.answered();
     b.now += ms;
     std::vector<TestConnection> others;
-    for (std::size_t i = 1; i < most; ++i) {
+    for (std::size_t i = 1; i < max_connections; ++i) {
       others.push_back(TestConnection::to(5050));
       others.back().say(frame_of(frames::health_check, 1, {}));
     }
     b.now += ms;
     TestConnection newest = TestConnection::to(5050);
-    const std::size_t ops = b.told.lines.size();
+    const std::size_t ops = b.handler.streams.size();
     peer.send_without_turn(request);
-    left(peer, 2);
-    after_it(b, peer, ops);
+    print_to_end(peer, 2);
+    print_after_end(b, peer, ops);
     newest.say(frame_of(frames::health_check, 1, {}));
     std::printf("  %s\n", newest.frame().c_str());
   }
@@ -160,107 +161,107 @@
   say("what can't be read any more, with an op open and more bytes than were read: settled, told, a whole "
       "end");
   {
-    Bench b;
+    Fixture b;
     TestConnection peer = TestConnection::to(5050);
-    const StreamRef line = b.asked(peer, 1);
+    const StreamRef ref = b.send_request(peer, 1);
     peer.send_without_turn(std::string("\4\0\0\0", 4) + std::string(60'000, 'x'));
     b.turn();
-    b.front.served(line, "settled");
+    b.front.served(ref, "settled");
     b.turn();
     b.pass(second / 2);
-    left(peer, 3);
+    print_to_end(peer, 3);
   }
 
   say("a frame that trickles past its time: told, what still trickles is dropped");
   {
-    Bench b;
+    Fixture b;
     TestConnection peer = b.answered();
-    const std::size_t ops = b.told.lines.size();
+    const std::size_t ops = b.handler.streams.size();
     for (int i = 0; i < 3; ++i) {
       peer.say(request.substr(static_cast<std::size_t>(i), 1));
       b.pass(second / 2);
     }
     peer.send_without_turn(request.substr(3));
     b.pass(second / 2);
-    left(peer, 3);
-    after_it(b, peer, ops);
+    print_to_end(peer, 3);
+    print_after_end(b, peer, ops);
   }
 
   say("a slow writer whose last bytes come in the instant in which its time is over: taken and answered as "
       "any");
   {
-    Bench b;
+    Fixture b;
     TestConnection peer = b.answered();
     peer.set_no_delay();
     peer.say(request.substr(0, 40));
     b.now += 3 * second / 2;
     peer.send_without_turn(request.substr(40));
     b.front.flush(b.now); // the look at times comes before the one at bytes
-    TestConnection::until("op", [&] { return b.told.lines.size() == 2; });
-    b.front.served(b.told.lines[1], "slow");
+    TestConnection::until("op", [&] { return b.handler.streams.size() == 2; });
+    b.front.served(b.handler.streams[1], "slow");
     b.turn();
     for (int i = 0; i < 2; ++i) std::printf("  %s\n", peer.frame().c_str());
     std::printf("  %zu connections\n", b.front.connections());
   }
 
-  const auto slow = [](const char* what, const std::function<void(Bench&)>& told) {
+  const auto slow = [](const char* what, const std::function<void(Fixture&)>& end) {
     say(what);
-    Bench b;
+    Fixture b;
     TestConnection peer = b.answered();
     peer.say(request.substr(0, 40)); // begun before it is told
-    told(b);
+    end(b);
     b.pass(second / 2);
     b.pass(second / 4); // past the end of others
     peer.say(request.substr(40));
-    TestConnection::until("op", [&] { return b.told.lines.size() == 2; });
-    b.front.served(b.told.lines[1], "slow");
+    TestConnection::until("op", [&] { return b.handler.streams.size() == 2; });
+    b.front.served(b.handler.streams[1], "slow");
     b.turn();
     b.pass(second / 2);
-    left(peer, 3);
+    print_to_end(peer, 3);
   };
   slow("a slow writer on a connection that is told to end: its request is waited for, and answered; then the "
        "end",
-       [](Bench& b) {
+       [](Fixture& b) {
          b.front.set_idle_timeout(second / 2);
          b.pass(second / 2);
        });
-  slow("the same as the listener closes", [](Bench& b) { b.front.stop_accepting(); });
+  slow("the same as the listener closes", [](Fixture& b) { b.front.stop_accepting(); });
 
   say("half-closed by the peer: with an op open it has its answer, with half a request none is owed");
   {
-    Bench b;
+    Fixture b;
     TestConnection whole = TestConnection::to(5050), half = TestConnection::to(5050);
-    const StreamRef line = b.asked(whole, 1);
+    const StreamRef ref = b.send_request(whole, 1);
     half.say(request.substr(0, 40));
     whole.stop_sending(), half.stop_sending();
-    left(half, 0);
-    b.front.served(line, "result");
-    left(whole, 1);
-    std::printf("  %zu lost\n", b.told.lost);
+    print_to_end(half, 0);
+    b.front.served(ref, "result");
+    print_to_end(whole, 1);
+    std::printf("  %zu lost\n", b.handler.lost);
   }
 
   say("connected and written to before the listener closes, and not accepted yet: read and answered");
   {
-    Bench b;
+    Fixture b;
     TestConnection::turn = [] {};
-    std::vector<TestConnection> waiting;
+    std::vector<TestConnection> unaccepted;
     for (int i = 0; i < 20; ++i) {
-      waiting.push_back(TestConnection::to(5050));
-      waiting.back().send_without_turn(request);
+      unaccepted.push_back(TestConnection::to(5050));
+      unaccepted.back().send_without_turn(request);
     }
     TestConnection::turn = [&b] { b.turn(); };
     b.front.stop_accepting();
-    std::printf("  %zu ops read\n", b.told.lines.size());
-    for (const StreamRef line : b.told.lines) b.front.refused(line, 0, false);
+    std::printf("  %zu ops read\n", b.handler.streams.size());
+    for (const StreamRef ref : b.handler.streams) b.front.refused(ref, 0, false);
     b.turn();
     b.pass(second / 2);
-    for (TestConnection& peer : waiting) {
+    for (TestConnection& peer : unaccepted) {
       peer.frame(), peer.frame();
       peer.to_end();
       if (peer.was_reset()) std::puts("  a reset");
     }
     TestConnection::until("close", [&] {
-      waiting.clear();
+      unaccepted.clear();
       return b.front.closed();
     });
     std::puts("  closed");
@@ -268,33 +269,33 @@
 
   say("gone before it is accepted, alone, and before others as the listener closes: nothing stands still");
   {
-    Bench b;
+    Fixture b;
     alarm(10); // ends the test where it does
     TestConnection::turn = [] {};
     TestConnection gone = TestConnection::to(5050);
-    gone_before = 1;
+    aborted_accepts = 1;
     b.turn();
-    std::printf("  %d to come, %zu connections\n", gone_before, b.front.connections());
+    std::printf("  %d to come, %zu connections\n", aborted_accepts, b.front.connections());
     TestConnection first = TestConnection::to(5050), good = TestConnection::to(5050);
     good.send_without_turn(request);
-    gone_before = 1;
+    aborted_accepts = 1;
     TestConnection::turn = [&b] { b.turn(); };
     b.front.stop_accepting();
     alarm(0);
-    std::printf("  %d to come, %zu connections, %zu ops read\n", gone_before, b.front.connections(),
-                b.told.lines.size());
-    b.front.refused(b.told.lines[0], 0, false);
+    std::printf("  %d to come, %zu connections, %zu ops read\n", aborted_accepts, b.front.connections(),
+                b.handler.streams.size());
+    b.front.refused(b.handler.streams[0], 0, false);
     b.turn();
     b.pass(second / 2);
-    left(good, 2);
+    print_to_end(good, 2);
   }
 
   say("reset right behind its accept: with nothing, half a request, a request or two");
   {
-    Bench b;
+    Fixture b;
     for (const std::string& bytes :
          {std::string(), request.substr(0, 40), request, request + ask(8, "9b1f03aa5c7e2d43")}) {
-      const std::size_t read = b.told.lines.size(), lost = b.told.lost;
+      const std::size_t read = b.handler.streams.size(), lost = b.handler.lost;
       TestConnection::turn = [] {};
       TestConnection peer = TestConnection::to(5050);
       peer.send_without_turn(bytes);
@@ -302,7 +303,7 @@
       TestConnection::turn = [&b] { b.turn(); };
       for (int i = 0; i < 4; ++i) b.turn();
       std::printf("  %zu connections, as many lost as read: %d\n", b.front.connections(),
-                  b.told.lines.size() - read == b.told.lost - lost);
+                  b.handler.streams.size() - read == b.handler.lost - lost);
     }
     TestConnection good = b.answered();
     std::printf("  %s\n", good.frame().c_str());
@@ -311,9 +312,9 @@
   say("peers that never end: their connections go at the end of their time, the rest of a drain waits no "
       "longer");
   {
-    Bench b;
-    std::vector<TestConnection> deaf;
-    for (int i = 0; i < 10; ++i) deaf.push_back(b.answered());
+    Fixture b;
+    std::vector<TestConnection> unread;
+    for (int i = 0; i < 10; ++i) unread.push_back(b.answered());
     b.front.stop_accepting();
     b.turn();
     b.pass(second / 2);
@@ -324,14 +325,14 @@
 
   say("one that takes nothing of what waits for it ends when nobody can wait for that any more");
   {
-    Bench b;
+    Fixture b;
     TestConnection peer = TestConnection::to(5050);
     peer.set_small_window();
     std::uint32_t stream = 0;
     TestConnection::until("room to end", [&] { // until some of it waits here
-      b.front.served(b.asked(peer, ++stream), std::string(4096, 'x'));
+      b.front.served(b.send_request(peer, ++stream), std::string(4096, 'x'));
       b.turn();
-      return b.front.waiting() > 0;
+      return b.front.pending_bytes() > 0;
     });
     b.pass(4 * second - ms);
     std::printf("  %zu connections\n", b.front.connections());
--- a/tests/frames.cpp
+++ b/tests/frames.cpp
@@ -1,43 +1,44 @@
 #include "driver.hpp"
 #include "hex.hpp"
 
-void show(const char* what, const std::string& bytes) {
+void show_bytes(const char* what, const std::string& bytes) {
   std::printf("%-10s", what);
   for (const char c : bytes) std::printf(" %02x", static_cast<unsigned char>(c));
   std::puts("");
 }
 
-void read(const char* what, std::string_view payload) {
+void show_fields(const char* what, std::string_view payload) {
   std::string_view rest;
-  std::string said;
+  std::string fields;
   const bool whole = frames::for_each_field(
-      payload, [&](auto name, auto value) { said.append(name).append("=").append(value).append(" "); }, rest);
+      payload, [&](auto name, auto value) { fields.append(name).append("=").append(value).append(" "); },
+      rest);
   std::printf("%-24s %s, %zu left: %s\n", what, whole ? "read" : "overrun", whole ? rest.size() : 0,
-              said.c_str());
+              fields.c_str());
 }
 
 int main() {
   std::string out;
-  frames::put_answer(out, frames::response, 7, frames::ok, -1, 0, false, 2);
-  show("served", out + "ok");
+  frames::put_response(out, frames::response, 7, frames::ok, -1, 0, false, 2);
+  show_bytes("served", out + "ok");
   out.clear();
-  frames::put_answer(out, frames::response, 0x01020304, frames::refused, 0.25, 120, true, 0);
-  show("refused", out);
+  frames::put_response(out, frames::response, 0x01020304, frames::refused, 0.25, 120, true, 0);
+  show_bytes("refused", out);
   out.clear();
-  frames::put_answer(out, frames::health_response, 2, frames::unhealthy, 0, 0, false, 0);
-  show("checked", out);
+  frames::put_response(out, frames::health_response, 2, frames::unhealthy, 0, 0, false, 0);
+  show_bytes("checked", out);
   out.clear();
-  frames::put_no_more(out);
-  show("no more", out);
+  frames::put_go_away(out);
+  show_bytes("no more", out);
 
   using namespace std::string_literals;
-  read("no payload", "");
-  read("no fields", "\0body"s);
-  read("two and a body", "\2\1a\2\0xx\0\0\0body"s);
-  read("a name cut off", "\1\5abc"s);
-  read("a size cut off", "\1\1a\2"s);
-  read("a value cut off", "\1\1a\3\0xx"s);
-  read("fewer than counted", "\2\1a\0\0"s);
+  show_fields("no payload", "");
+  show_fields("no fields", "\0body"s);
+  show_fields("two and a body", "\2\1a\2\0xx\0\0\0body"s);
+  show_fields("a name cut off", "\1\5abc"s);
+  show_fields("a size cut off", "\1\1a\2"s);
+  show_fields("a value cut off", "\1\1a\3\0xx"s);
+  show_fields("fewer than counted", "\2\1a\0\0"s);
 
   for (const std::uint32_t length : {4u, 5u, 262'144u, 262'145u})
     std::printf("length %u: %s\n", length, frames::is_valid_length(length) ? "possible" : "out of range");
@@ -49,6 +50,6 @@
   for (const char* text : {"24.5", "1e3", "", "nan", "inf", "1e999", "2 ", "0x2", "1,5"}) {
     double value = 0;
     std::printf("number %s: %s\n", text,
-                frames::read_number(text, value) ? std::to_string(value).c_str() : "malformed");
+                frames::parse_number(text, value) ? std::to_string(value).c_str() : "malformed");
   }
 }
--- a/tests/front.cpp
+++ b/tests/front.cpp
@@ -6,15 +6,15 @@
 
 constexpr Nanos second = 1000 * ms;
 
-struct Told final : Front::Handler {
-  std::vector<StreamRef> lines;
+struct RecordingHandler final : Front::Handler {
+  std::vector<StreamRef> streams;
   std::vector<StreamRef> lost;
   bool quiet = false;
 
-  void op_received(StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
+  void op_received(StreamRef ref, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
                    Nanos limit, double held_kb, double rank, std::string_view mark, std::string_view subject,
                    std::string_view body) override {
-    lines.push_back(line);
+    streams.push_back(ref);
     if (quiet) return;
     std::printf("  op %llx type %u tenant %u caller %llu door %lld limit %lld kb %.1f rank %.3f", // as told
                 static_cast<unsigned long long>(id.raw), type.raw, tenant.raw,
@@ -23,17 +23,20 @@
     std::printf(" mark %s subject %s body of %zu\n", std::string(mark).c_str(), std::string(subject).c_str(),
                 body.size());
   }
-  void stream_lost(StreamRef line) override { lost.push_back(line); }
+  void stream_lost(StreamRef ref) override { lost.push_back(ref); }
 };
 
-struct Bench {
+struct Fixture {
   asio::io_context io;
-  Told told;
+  RecordingHandler handler;
   Nanos now = second;
-  Front front{
-      io,  TestConnection::at(5050), 4, 64 * 1024, {{"look", "book"}, {false, true}, {"acme", "other"}, true},
-      told};
-  Bench() {
+  Front front{io,
+              TestConnection::at(5050),
+              4,
+              64 * 1024,
+              {{"look", "book"}, {false, true}, {"acme", "other"}, true},
+              handler};
+  Fixture() {
     front.accept_retry_delay(ms);
     front.set_eviction_order({Eviction::no_frame, Eviction::idle, Eviction::newest}, 4000);
     front.connection_drain_delay(second);
@@ -43,34 +46,34 @@
       front.flush(now);
     };
   }
-  StreamRef asked(TestConnection& peer, const std::string& bytes) {
-    const std::size_t before = told.lines.size();
+  StreamRef send_request(TestConnection& peer, const std::string& bytes) {
+    const std::size_t before = handler.streams.size();
     peer.say(bytes);
     return last(before + 1);
   }
   StreamRef last(std::size_t count) {
-    TestConnection::until("op", [&] { return told.lines.size() >= count; });
-    return told.lines.back();
+    TestConnection::until("op", [&] { return handler.streams.size() >= count; });
+    return handler.streams.back();
   }
 };
 
 void say(const char* what) { std::printf("# %s\n", what); }
-void heard(TestConnection& peer) { std::printf("  %s\n", peer.frame().c_str()); }
+void print_frame(TestConnection& peer) { std::printf("  %s\n", peer.frame().c_str()); }
 
 int main() {
   const std::string txn = "9b1f03aa5c7e2d41";
-  Bench b;
+  Fixture b;
   TestConnection good = TestConnection::to(5050);
   say("an op and its answer; checks; the free value from when it is told; a good connection stays good");
   good.say(ask(1, txn, {{"item", "7f3a"}}));
   b.front.served(b.last(1), "result");
-  heard(good);
+  print_frame(good);
   good.say(frame_of(frames::health_check, 9, {{"x", "y"}}));
-  heard(good);
+  print_frame(good);
   b.front.feedback(0.25);
   b.front.health(false);
   good.say(frame_of(frames::health_check, 10, {}));
-  heard(good);
+  print_frame(good);
 
   say("readable, but not to be understood: one refusal each, and nothing else hears of them");
   std::uint32_t stream = 1;
@@ -94,25 +97,25 @@
                                   {{"standing", ""}},
                                   {{"verb", "book"}},
                                   {{"item", std::string(65, 'x')}}};
-  for (const Fields& fields : wrong) good.say(ask(++stream, txn, fields)), heard(good);
+  for (const Fields& fields : wrong) good.say(ask(++stream, txn, fields)), print_frame(good);
   good.say(ask(++stream, txn, {}, std::string(2049, 'x')));
-  heard(good);
+  print_frame(good);
   good.say(frame_of(frames::request, ++stream, {{"verb", "look"}, {"verb", "look"}}));
-  heard(good);
+  print_frame(good);
   good.say(ask(++stream, txn, {}, std::string(200'000, 'x')));
-  heard(good);
+  print_frame(good);
   good.say(ask(++stream, txn, {{"verb", "book"}, {"unique", "5c0f"}, {"more", "z"}}, std::string(2048, 'x')));
   b.front.refused(b.last(2), 120 * ms, true);
-  heard(good);
+  print_frame(good);
 
   say("the 33rd open on a connection is refused, the others answered in any order");
-  b.told.quiet = true;
+  b.handler.quiet = true;
   for (int i = 0; i < 33; ++i) good.say(ask(++stream, txn));
-  heard(good);
-  while (b.told.lines.size() > 2) b.front.failed(b.told.lines.back()), b.told.lines.pop_back();
-  heard(good);
+  print_frame(good);
+  while (b.handler.streams.size() > 2) b.front.failed(b.handler.streams.back()), b.handler.streams.pop_back();
+  print_frame(good);
   for (int i = 0; i < 30; ++i) good.frame();
-  heard(good);
+  print_frame(good);
 
   const std::string head("\x09\0\0\0\x0a\0\0\0\0\1\5ab\0", 13);
   const std::pair<const char*, std::string> unreadable[] = {
@@ -129,17 +132,17 @@
     bad.say(ask(1, txn));
     const StreamRef open = b.last(3);
     bad.say(bytes + ask(2, txn));
-    heard(bad), heard(bad);
+    print_frame(bad), print_frame(bad);
     b.front.served(open, "settled first");
-    heard(bad);
+    print_frame(bad);
     b.now += second;
     bad.to_end();
-    if (b.told.lines.size() != 3) std::puts("  more was read");
-    b.told.lines.pop_back();
+    if (b.handler.streams.size() != 3) std::puts("  more was read");
+    b.handler.streams.pop_back();
   }
   good.say(ask(++stream, txn));
   b.front.served(b.last(3), "still here");
-  heard(good);
+  print_frame(good);
 
   say("half a frame for ever, then a reset: its open op is lost, once");
   {
@@ -147,62 +150,63 @@
     half.say(ask(5, txn) + ask(6, txn).substr(0, 30));
     b.last(4);
     half.reset();
-    TestConnection::until("loss", [&] { return !b.told.lost.empty(); });
-    std::printf("  lost: %zu, stream %u, read %zu, connections %zu\n", b.told.lost.size(),
-                b.told.lost[0].stream.raw, b.told.lines.size(), b.front.connections());
-    b.front.served(b.told.lost[0], "nobody hears it");
+    TestConnection::until("loss", [&] { return !b.handler.lost.empty(); });
+    std::printf("  lost: %zu, stream %u, read %zu, connections %zu\n", b.handler.lost.size(),
+                b.handler.lost[0].stream.raw, b.handler.streams.size(), b.front.connections());
+    b.front.served(b.handler.lost[0], "nobody hears it");
   }
 
   say("an end of what it sends still leaves it its answer");
   {
     TestConnection done = TestConnection::to(5050);
     done.say(ask(5, txn));
-    const StreamRef line = b.last(5);
+    const StreamRef ref = b.last(5);
     done.stop_sending();
-    b.front.served(line, "late");
-    heard(done);
+    b.front.served(ref, "late");
+    print_frame(done);
     done.to_end();
   }
 
   say("a peer that never reads is dropped before it fills the memory");
   {
-    TestConnection deaf = TestConnection::to(5050);
-    std::uint32_t asked = 0;
+    TestConnection slow_reader = TestConnection::to(5050);
+    std::uint32_t requests = 0;
     TestConnection::until("drop", [&] {
-      const std::size_t before = b.told.lines.size();
+      const std::size_t before = b.handler.streams.size();
       if (b.front.connections() == 2) {
-        deaf.say(ask(++asked, txn));
-        if (b.told.lines.size() > before) b.front.served(b.told.lines.back(), std::string(4096, 'x'));
+        slow_reader.say(ask(++requests, txn));
+        if (b.handler.streams.size() > before)
+          b.front.served(b.handler.streams.back(), std::string(4096, 'x'));
       }
-      return b.front.connections() == 1 && asked > 0;
+      return b.front.connections() == 1 && requests > 0;
     });
-    std::printf("  dropped: %s\n", asked > 16 ? "after more than 64 KB" : "too early");
+    std::printf("  dropped: %s\n", requests > 16 ? "after more than 64 KB" : "too early");
   }
 
   say("no room: the mute one goes, then the longest idle; where each has an op open, the newest is closed");
   {
-    const auto asking = [&](TestConnection& peer) { return b.asked(peer, ask(++stream, txn)); };
+    const auto asking = [&](TestConnection& peer) { return b.send_request(peer, ask(++stream, txn)); };
     TestConnection idle = TestConnection::to(5050), mute = TestConnection::to(5050),
                    busy = TestConnection::to(5050);
     std::vector<StreamRef> open{asking(busy)};
     idle.say(frame_of(frames::health_check, 1, {}));
-    heard(idle);
+    print_frame(idle);
     b.now += second;
     TestConnection::turn();
     good.say(frame_of(frames::health_check, 1, {}));
-    heard(good);
+    print_frame(good);
     TestConnection fifth = TestConnection::to(5050);
-    heard(mute), mute.to_end();
+    print_frame(mute), mute.to_end();
     open.push_back(asking(fifth));
     TestConnection sixth = TestConnection::to(5050);
-    heard(idle), idle.to_end();
+    print_frame(idle), idle.to_end();
     open.push_back(asking(sixth));
     open.push_back(asking(good));
     TestConnection seventh = TestConnection::to(5050);
     seventh.to_end();
     std::printf("  %zu connections\n", b.front.connections());
-    for (const StreamRef line : open) b.front.served(line, "still here");
-    heard(busy), heard(fifth), heard(sixth), heard(good);
+    for (const StreamRef ref : open) b.front.served(ref, "still here");
+    print_frame(busy), print_frame(fifth), print_frame(sixth), print_frame(good);
   }
   TestConnection::until("ends", [&] { return b.front.connections() == 1; });
 
@@ -217,10 +221,10 @@
     TestConnection outside = TestConnection::to(5050); // takes the last
     outside.say(frame_of(frames::health_check, 1, {}));
     good.say(frame_of(frames::health_check, 11, {}));
-    heard(good);
+    print_frame(good);
     std::printf("  %zu connections\n", b.front.connections());
     setrlimit(RLIMIT_NOFILE, &most);
-    heard(outside);
+    print_frame(outside);
   }
   TestConnection::until("ends", [&] { return b.front.connections() == 1; });
 
@@ -229,14 +233,14 @@
     b.front.silent_connection_timeout(30 * second);
     TestConnection silent = TestConnection::to(5050);
     silent.say(frame_of(frames::health_check, 1, {}));
-    heard(silent);
-    const StreamRef line = b.asked(good, ask(++stream, txn));
+    print_frame(silent);
+    const StreamRef ref = b.send_request(good, ask(++stream, txn));
     b.now += 31 * second;
-    heard(silent);
+    print_frame(silent);
     b.now += second;
     silent.to_end();
-    b.front.served(line, "was open");
-    heard(good);
+    b.front.served(ref, "was open");
+    print_frame(good);
   }
 
   say("says nothing, or never ends a frame however it trickles: told, then closed; what idles between frames "
@@ -245,13 +249,13 @@
     b.front.frame_timeout(2 * second);
     TestConnection mute = TestConnection::to(5050), half = TestConnection::to(5050);
     half.say(frame_of(frames::health_check, 1, {}));
-    heard(half);
+    print_frame(half);
     for (const char byte : ask(5, txn).substr(0, 4)) {
       half.say(std::string(1, byte));
       b.now += second / 2;
       TestConnection::turn();
     }
-    heard(mute), heard(half), heard(half);
+    print_frame(mute), print_frame(half), print_frame(half);
     b.now += second;
     mute.to_end(), half.to_end();
     std::printf("  %zu connections\n", b.front.connections());
@@ -259,47 +263,47 @@
 
   say("goes on though it was told to end, or brings op after op that nobody would send: no more is read");
   {
-    const StreamRef kept = b.asked(good, ask(++stream, txn));
+    const StreamRef kept = b.send_request(good, ask(++stream, txn));
     TestConnection late = TestConnection::to(5050);
     late.say(frame_of(frames::health_check, 1, {}));
-    heard(late);
+    print_frame(late);
     b.front.set_idle_timeout(second);
     b.now += second;
-    heard(late);
-    const StreamRef crossing = b.asked(late, ask(2, txn));
+    print_frame(late);
+    const StreamRef crossing = b.send_request(late, ask(2, txn));
     b.now += second;
     TestConnection::turn();
     b.front.set_eviction_order({Eviction::newest}, 3);
     std::vector<StreamRef> past; // three that may have been on the way are read and answered, a fourth is not
-    for (std::uint32_t i = 3; i < 6; ++i) past.push_back(b.asked(late, ask(i, txn)));
-    const std::size_t read = b.told.lines.size();
+    for (std::uint32_t i = 3; i < 6; ++i) past.push_back(b.send_request(late, ask(i, txn)));
+    const std::size_t read = b.handler.streams.size();
     late.say(ask(6, txn));
-    if (b.told.lines.size() != read) std::puts("  more was read");
+    if (b.handler.streams.size() != read) std::puts("  more was read");
     b.front.served(crossing, "settled");
-    for (const StreamRef line : past) b.front.refused(line, 0, false);
-    for (int i = 0; i < 5; ++i) heard(late);
+    for (const StreamRef ref : past) b.front.refused(ref, 0, false);
+    for (int i = 0; i < 5; ++i) print_frame(late);
     TestConnection again = TestConnection::to(5050);
     for (std::uint32_t i = 1; i < 9; ++i) again.say(ask(i, "no id"));
-    for (int i = 0; i < 5; ++i) heard(again);
+    for (int i = 0; i < 5; ++i) print_frame(again);
     b.now += second;
     late.to_end(), again.to_end();
     b.front.set_idle_timeout(0);
     b.front.served(kept, "still here");
-    heard(good);
+    print_frame(good);
   }
 
   say("doors closed: what was connected before is told so, still read and answered, then closed; no others");
-  const StreamRef line = b.asked(good, ask(++stream, txn));
+  const StreamRef ref = b.send_request(good, ask(++stream, txn));
   const auto turn = std::exchange(TestConnection::turn, [] {});
   TestConnection waiting = TestConnection::to(5050); // connected, and not accepted yet
   b.front.stop_accepting();
   TestConnection::turn = turn;
-  heard(waiting), heard(good);
+  print_frame(waiting), print_frame(good);
   std::printf("  closed: %d\n", b.front.closed());
-  b.front.refused(b.asked(good, ask(++stream, txn)), 0, false);
-  heard(good);
-  b.front.served(line, "the last");
-  heard(good);
+  b.front.refused(b.send_request(good, ask(++stream, txn)), 0, false);
+  print_frame(good);
+  b.front.served(ref, "the last");
+  print_frame(good);
   b.now += second;
   good.to_end(), waiting.to_end();
   std::printf("  closed: %d\n", b.front.closed()); // not while their sides stand open, for as long again
