--- a/tests/host.cpp
+++ b/tests/host.cpp
@@ -7,69 +7,69 @@
                     d = "aaaaaaaaaaaaaaa4", e = "aaaaaaaaaaaaaaa5", f = "aaaaaaaaaaaaaaa6";
   const std::string fine = ",\"code\":\"fine\",\"wall_ms\":3,\"content\":\"cmVzdWx0\"";
   {
-    World w("3000");
-    const auto commanded = [&] { std::printf("  link: %s\n", w.command().c_str()); };
-    const auto answered = [&] { std::printf("  balancer: %s\n", w.balancer.frame().c_str()); };
-    const auto called = [&](TestConnection& at) {
+    ServerFixture w("3000");
+    const auto print_command = [&] { std::printf("  link: %s\n", w.command().c_str()); };
+    const auto print_frame = [&] { std::printf("  balancer: %s\n", w.balancer.frame().c_str()); };
+    const auto print_call = [&](TestConnection& at) {
       std::printf("  records: %s\n", at.request({"Op-Of"}).c_str());
     };
 
     say("before the machine is up checks are answered; an op is started once it is");
     w.balancer.say(frame_of(frames::health_check, 1, {}));
-    answered();
+    print_frame();
     w.ask(1, a);
     w.link_up();
-    commanded();
+    print_command();
 
     say("its call, the reply and its result");
     w.notice(1, "AWAIT", a, ",\"content\":\"Y2FsbA==\"");
-    TestConnection records = w.below.next();
-    called(records);
+    TestConnection records = w.records_services.next();
+    print_call(records);
     records.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue");
-    commanded();
+    print_command();
     w.notice(2, "VALUE", a, fine);
-    answered();
+    print_frame();
 
     say("a keyed op runs once: its repeats wait for it, or take its result later");
     w.book(2, b, "m1");
-    commanded();
+    print_command();
     w.book(3, c, "m1");
     w.book(4, b, "m1"); // not new, as it should be
-    answered();
+    print_frame();
     w.notice(3, "VALUE", b, fine);
-    answered(), answered();
+    print_frame(), print_frame();
     w.book(5, d, "m1");
-    answered();
+    print_frame();
 
     say("an end heard twice, or of a run never started, is no second answer");
     w.notice(4, "VALUE", b, fine);
     w.notice(5, "VALUE", "ffffffffffffffff", fine);
     w.notice(6, "AWAIT", b, ",\"content\":\"\"");
     w.balancer.say(frame_of(frames::health_check, 2, {}));
-    answered();
+    print_frame();
 
     say("a command that is not carried out: the op is answered");
     w.ask(6, e);
-    commanded();
-    w.machine.say("{\"action\":\"ERROR\",\"code\":\"APPLY\",\"uid\":\"" + e + "\"}\n");
-    answered();
+    print_command();
+    w.interpreter.say("{\"action\":\"ERROR\",\"code\":\"APPLY\",\"uid\":\"" + e + "\"}\n");
+    print_frame();
 
     say("the link breaks behind two starts: what is keyed is not started again, what came meanwhile is "
         "started");
     w.book(7, f, "m2");
-    commanded();
+    print_command();
     w.ask(8, "bbbbbbbbbbbbbbb1");
-    commanded();
-    w.machine.reset();
-    w.machine = w.machines.next();
-    commanded();
+    print_command();
+    w.interpreter.reset();
+    w.interpreter = w.interpreters.next();
+    print_command();
     w.book(9, "bbbbbbbbbbbbbbb2", "m3"); // two cores: held until one of the others ends
-    w.question.clear();
+    w.last_query.clear();
     w.link_up();
-    commanded();
+    print_command();
     w.notice(7, "VALUE", f, fine);
-    answered();
-    commanded();
+    print_frame();
+    print_command();
 
     say("a balancer resets with an op on the cores: forgotten, and its slot is free once the run ends");
     w.balancer.reset();
@@ -77,140 +77,141 @@
     w.notice(8, "VALUE", "bbbbbbbbbbbbbbb1", fine);
     w.notice(9, "VALUE", "bbbbbbbbbbbbbbb2", fine);
     w.book(1, "ccccccccccccccc1", "m3");
-    answered();
+    print_frame();
 
     say("a reset takes a held keyed op with it: it never ran, so its repeat is run");
-    w.ask(2, "ddddddddddddddd1"), commanded();
-    w.ask(3, "ddddddddddddddd2"), commanded();
+    w.ask(2, "ddddddddddddddd1"), print_command();
+    w.ask(3, "ddddddddddddddd2"), print_command();
     w.book(4, "ddddddddddddddd3", "m4");
     w.balancer.reset();
     w.balancer = TestConnection::to(5050);
     w.book(1, "ddddddddddddddd4", "m4");
     w.notice(10, "VALUE", "ddddddddddddddd1", fine);
-    commanded();
+    print_command();
     w.notice(11, "VALUE", "ddddddddddddddd2", fine);
     w.notice(12, "VALUE", "ddddddddddddddd4", fine);
-    answered();
+    print_frame();
 
     say("told to leave: the list hears of it, checks turn bad, ops are still served; then no more, and the "
         "end");
     w.host->stop();
-    w.list.say("HTTP/1.1 204 No Content\r\n\r\n");
+    w.announce.say("HTTP/1.1 204 No Content\r\n\r\n");
     std::string report;
     while (report.find("false") == std::string::npos) {
-      if (w.list.ended()) w.list = w.lists.next();
-      report = w.list.request({});
-      w.list.say("HTTP/1.1 204 No Content\r\n\r\n");
+      if (w.announce.ended()) w.announce = w.announce_services.next();
+      report = w.announce.request({});
+      w.announce.say("HTTP/1.1 204 No Content\r\n\r\n");
     }
     std::printf("  announce: %s\n", report.c_str());
     w.balancer.say(frame_of(frames::health_check, 3, {}));
-    answered();
+    print_frame();
     w.ask(2, "ccccccccccccccc2");
-    commanded();
-    answered(); // no more
+    print_command();
+    print_frame(); // no more
     w.ask(3, "ccccccccccccccc3");
-    answered();
-    std::printf("  over: %d\n", w.over);
+    print_frame();
+    std::printf("  over: %d\n", w.finished);
     w.notice(13, "VALUE", "ccccccccccccccc2", fine);
-    answered();
+    print_frame();
     w.balancer.to_end();
-    TestConnection::until("end", [&] { return w.over; });
-    std::printf("  over: %d\n", w.over);
+    TestConnection::until("end", [&] { return w.finished; });
+    std::printf("  over: %d\n", w.finished);
   }
   {
-    World w("3000");
-    const auto commanded = [&] { std::printf("  link: %s\n", w.command().c_str()); };
-    const auto answered = [&] { std::printf("  balancer: %s\n", w.balancer.frame().c_str()); };
+    ServerFixture w("3000");
+    const auto print_command = [&] { std::printf("  link: %s\n", w.command().c_str()); };
+    const auto print_frame = [&] { std::printf("  balancer: %s\n", w.balancer.frame().c_str()); };
     w.link_up();
     say("the mark of another op with another body: refused, nothing run; the good op keeps its result");
     w.book(1, a, "m1");
-    commanded();
+    print_command();
     w.notice(1, "AWAIT", a, ",\"content\":\"Y2FsbA==\"");
     w.book(2, b, "m1", "other");
-    answered();
+    print_frame();
     w.notice(2, "VALUE", a, fine);
-    answered();
+    print_frame();
     w.book(3, c, "m1", "other");
-    answered();
+    print_frame();
     w.book(4, d, "m1");
-    answered();
+    print_frame();
 
     say("a stranger holds a mark first, and is not known to the interpreter: the good op runs, its repeat "
         "waits for it");
     w.book(5, e, "m2", "other");
-    commanded();
+    print_command();
     w.book(6, f, "m2");
-    commanded();
-    w.machine.say("{\"action\":\"ERROR\",\"code\":\"APPLY\",\"uid\":\"" + e + "\"}\n");
-    answered();
+    print_command();
+    w.interpreter.say("{\"action\":\"ERROR\",\"code\":\"APPLY\",\"uid\":\"" + e + "\"}\n");
+    print_frame();
     w.book(7, "bbbbbbbbbbbbbbb1", "m2");
     w.notice(3, "VALUE", f, fine);
-    answered(), answered();
+    print_frame(), print_frame();
 
     say("what the first try was started for was over before: its repeats were never run, so one is");
     w.book(8, "bbbbbbbbbbbbbbb2", "m3");
-    commanded();
+    print_command();
     w.book(9, "bbbbbbbbbbbbbbb3", "m3");
     w.book(10, "bbbbbbbbbbbbbbb4", "m3");
     w.notice(4, "VALUE", "bbbbbbbbbbbbbbb2", ",\"code\":\"late\",\"wall_ms\":0");
-    answered();
-    commanded();
+    print_frame();
+    print_command();
     w.notice(5, "VALUE", "bbbbbbbbbbbbbbb3", fine);
-    answered(), answered();
+    print_frame(), print_frame();
   }
   {
-    World w("3000");
+    ServerFixture w("3000");
     say("a hang-up: a file that can't be taken changes nothing; new addresses are gone over to, with what is "
         "in hand");
-    const auto answered = [&] { std::printf("  balancer: %s\n", w.balancer.frame().c_str()); };
+    const auto print_frame = [&] { std::printf("  balancer: %s\n", w.balancer.frame().c_str()); };
     w.link_up();
     w.ask(1, a), w.command();
     w.ask(2, b), w.command();
     w.notice(1, "AWAIT", a, ",\"content\":\"Y2FsbA==\"");
-    TestConnection records = w.below.next();
+    TestConnection records = w.records_services.next();
     records.request({});
-    const std::string elsewhere = World::json("3000", 1);
-    World::hang_up(elsewhere.substr(0, 300));
-    World::hang_up("{}");
+    const std::string elsewhere = ServerFixture::json("3000", 1);
+    ServerFixture::reload_with(elsewhere.substr(0, 300));
+    ServerFixture::reload_with("{}");
     w.notice(2, "AWAIT", b, ",\"content\":\"Y2FsbA==\"");
-    TestConnection second = w.below.next();
+    TestConnection second = w.records_services.next();
     std::printf("  records: %s\n", second.request({"Op-Of"}).c_str());
-    TestConnection machines = TestConnection::listening(7301), lists = TestConnection::listening(2380),
-                   below = TestConnection::listening(5433);
-    World::hang_up(elsewhere);
-    World::hang_up(elsewhere); // once more changes nothing
-    TestConnection list = lists.next();
-    std::printf("  announce there: %s\n", list.request({}).c_str());
+    TestConnection interpreters = TestConnection::listening(7301),
+                   announce_services = TestConnection::listening(2380),
+                   records_services = TestConnection::listening(5433);
+    ServerFixture::reload_with(elsewhere);
+    ServerFixture::reload_with(elsewhere); // once more changes nothing
+    TestConnection announce = announce_services.next();
+    std::printf("  announce there: %s\n", announce.request({}).c_str());
     records.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"); // in hand, ends where it was
     records.to_end();
     w.ask(3, c); // both cores are free, as the others wait for calls
     TestConnection::until("end of the old link",
                           [&] { // once its last question is answered; nothing else is on it
-                            if (w.machine.has_line()) {
-                              const std::string line = w.machine.line();
-                              w.question = line.substr(line.find("\"echo\":\"") + 8);
-                              w.question.resize(w.question.find('"'));
+                            if (w.interpreter.has_line()) {
+                              const std::string line = w.interpreter.line();
+                              w.last_query = line.substr(line.find("\"echo\":\"") + 8);
+                              w.last_query.resize(w.last_query.find('"'));
                               if (line.find("TOP") == std::string::npos)
                                 std::printf("  on the old link: %s\n", line.c_str());
                               w.answer_gauges();
                             }
-                            return w.machine.ended();
+                            return w.interpreter.ended();
                           });
-    w.machine = machines.next();
+    w.interpreter = interpreters.next();
     std::printf("  link there: %s\n", w.command().c_str());
-    w.question.clear();
+    w.last_query.clear();
     w.link_up();
     for (int i = 0; i < 2; ++i) std::printf("  link there: %s\n", w.command().c_str());
     w.notice(3, "AWAIT", c, ",\"content\":\"Y2FsbA==\"");
-    TestConnection third = below.next();
+    TestConnection third = records_services.next();
     std::printf("  records there: %s\n", third.request({"Op-Of"}).c_str());
     w.notice(4, "VALUE", a, fine);
-    answered();
+    print_frame();
     second.reset();
-    std::remove(world_file.c_str());
+    std::remove(fixture_config_path.c_str());
   }
   {
-    World w("400");
+    ServerFixture w("400");
     say("a run that does not end before the kill: its op is answered all the same, and the server ends");
     w.link_up();
     w.ask(1, a);
@@ -219,7 +220,7 @@
     for (std::string frame; frame.find("on 1") == std::string::npos;)
       std::printf("  balancer: %s\n", (frame = w.balancer.frame()).c_str());
     w.balancer.to_end();
-    TestConnection::until("end", [&] { return w.over; });
-    std::printf("  over: %d\n", w.over);
+    TestConnection::until("end", [&] { return w.finished; });
+    std::printf("  over: %d\n", w.finished);
   }
 }
--- a/tests/http.cpp
+++ b/tests/http.cpp
@@ -1,38 +1,38 @@
 #include "driver.hpp"
 #include "http_reply.hpp"
 
-void read(const char* what, const std::string& bytes, std::size_t step = 1000) {
+void show(const char* what, const std::string& bytes, std::size_t step = 1000) {
   HttpReply reply("Op-Not-Begun", 64);
   for (std::size_t at = 0; at < bytes.size(); at += step)
     reply.feed(std::string_view(bytes).substr(at, step));
-  const char* state = reply.state() == HttpReply::State::whole        ? "whole"
-                      : reply.state() == HttpReply::State::unreadable ? "unreadable"
-                                                                      : "not whole";
-  if (reply.state() != HttpReply::State::whole) return void(std::printf("%s: %s\n", what, state));
+  const char* state = reply.state() == HttpReply::State::complete    ? "whole"
+                      : reply.state() == HttpReply::State::malformed ? "unreadable"
+                                                                     : "not whole";
+  if (reply.state() != HttpReply::State::complete) return void(std::printf("%s: %s\n", what, state));
   std::printf("%s: %s, %d, \"%s\", header \"%s\", %s\n", what, state, reply.status(), reply.body().c_str(),
-              reply.header().c_str(), reply.keeps_open() ? "kept open" : "to be closed");
+              reply.header().c_str(), reply.keep_alive() ? "kept open" : "to be closed");
 }
 
 int main() {
   const std::string ok = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
-  read("a reply", ok);
-  read("a reply, byte by byte", ok, 1);
-  read("cut off in its body", ok.substr(0, ok.size() - 1));
-  read("cut off in its head", ok.substr(0, 20));
-  read("with more behind it", ok + "x");
-  read("not begun", "HTTP/1.1 503 Busy\r\nop-not-begun: 1\r\nContent-Length: 0\r\n\r\n", 3);
-  read("not begun, cut off", "HTTP/1.1 503 Busy\r\nOp-Not-Begun: 1\r\nContent-Length: 4\r\n\r\nno");
-  read("another header", "HTTP/1.1 503 Busy\r\nOp-Not-Begun-At: 1\r\nContent-Length: 0\r\n\r\n");
-  read("to be closed", "HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-  read("in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
+  show("a reply", ok);
+  show("a reply, byte by byte", ok, 1);
+  show("cut off in its body", ok.substr(0, ok.size() - 1));
+  show("cut off in its head", ok.substr(0, 20));
+  show("with more behind it", ok + "x");
+  show("not begun", "HTTP/1.1 503 Busy\r\nop-not-begun: 1\r\nContent-Length: 0\r\n\r\n", 3);
+  show("not begun, cut off", "HTTP/1.1 503 Busy\r\nOp-Not-Begun: 1\r\nContent-Length: 4\r\n\r\nno");
+  show("another header", "HTTP/1.1 503 Busy\r\nOp-Not-Begun-At: 1\r\nContent-Length: 0\r\n\r\n");
+  show("to be closed", "HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+  show("in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
        4);
-  read("without a told end", "HTTP/1.1 200 OK\r\n\r\nabc");
-  read("with no body", "HTTP/1.1 204 No Content\r\n\r\n");
-  read("after a word that it follows", "HTTP/1.1 100 Continue\r\n\r\n" + ok);
-  read("too large a body", "HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n" + std::string(65, 'x'));
-  read("too large a head", "HTTP/1.1 200 OK\r\nX: " + std::string(9000, 'x') + "\r\n\r\n", 100);
-  read("a length that is none", "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello");
-  read("two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 4\r\n\r\nhello");
-  read("no HTTP", "hello\r\n\r\n");
-  read("a status that is none", "HTTP/1.1 abc OK\r\n\r\n");
+  show("without a told end", "HTTP/1.1 200 OK\r\n\r\nabc");
+  show("with no body", "HTTP/1.1 204 No Content\r\n\r\n");
+  show("after a word that it follows", "HTTP/1.1 100 Continue\r\n\r\n" + ok);
+  show("too large a body", "HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n" + std::string(65, 'x'));
+  show("too large a head", "HTTP/1.1 200 OK\r\nX: " + std::string(9000, 'x') + "\r\n\r\n", 100);
+  show("a length that is none", "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello");
+  show("two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 4\r\n\r\nhello");
+  show("no HTTP", "hello\r\n\r\n");
+  show("a status that is none", "HTTP/1.1 abc OK\r\n\r\n");
 }
--- a/tests/link.cpp
+++ b/tests/link.cpp
@@ -3,32 +3,32 @@
 
 #include <asio/io_context.hpp>
 
-struct Told final : InterpreterLink::Handler {
-  int caught = 0;
-  int heard = 0;
+struct PrintingHandler final : InterpreterLink::Handler {
+  int times_caught_up = 0;
+  int notices_received = 0;
 
   void machine_up(Nanos since) override {
     std::printf("  up since %lld ms\n", static_cast<long long>(since / ms));
   }
   void caught_up(std::uint64_t known) override {
-    ++caught;
+    ++times_caught_up;
     std::printf("  caught up, known to be read: question %llu\n", static_cast<unsigned long long>(known));
   }
   void run_over(OpId id, Outcome outcome, Nanos lag, std::string result) override {
-    ++heard;
+    ++notices_received;
     std::printf("  run %llx over: outcome %d after %lld ms, %s\n", static_cast<unsigned long long>(id.raw),
                 static_cast<int>(outcome), static_cast<long long>(lag / ms), result.c_str());
   }
   void call_wanted(OpId id, std::string body) override {
-    ++heard;
+    ++notices_received;
     std::printf("  run %llx wants %s\n", static_cast<unsigned long long>(id.raw), body.c_str());
   }
   void gauges(std::span<const double> values) override {
-    ++heard;
+    ++notices_received;
     std::printf("  gauges %zu, first %.2f\n", values.size(), values.empty() ? -1 : values[0]);
   }
   void command_rejected(OpId id, std::string_view command) override {
-    ++heard;
+    ++notices_received;
     std::printf("  %s %llx not carried out\n", std::string(command).c_str(),
                 static_cast<unsigned long long>(id.raw));
   }
@@ -36,9 +36,9 @@
 
 int main() {
   asio::io_context io;
-  Told told;
+  PrintingHandler handler;
   TestConnection machine = TestConnection::listening(7300);
-  InterpreterLink link(io, TestConnection::at(7300), 1 << 20, told);
+  InterpreterLink link(io, TestConnection::at(7300), 1 << 20, handler);
   link.link_reconnect_delay(ms);
   TestConnection::turn = [&] {
     io.restart();
@@ -46,32 +46,34 @@
     link.flush();
   };
   const auto say = [](const char* what) { std::printf("# %s\n", what); };
-  const auto heard = [](TestConnection& peer) { std::printf("> %s\n", peer.line().c_str()); };
+  const auto print_line = [](TestConnection& peer) { std::printf("> %s\n", peer.line().c_str()); };
   const auto caught_up = [&](int times) {
-    TestConnection::until("link", [&] { return told.caught == times; });
+    TestConnection::until("link", [&] { return handler.times_caught_up == times; });
   };
   const auto notices = [&](int more) -> std::function<void()> {
-    const int all = told.heard + more;
-    return [&told, all] { TestConnection::until("notices", [&] { return told.heard >= all; }); };
+    const int all = handler.notices_received + more;
+    return [&handler, all] {
+      TestConnection::until("notices", [&] { return handler.notices_received >= all; });
+    };
   };
   const std::string run = R"("uid":"9b1f03aa5c7e2d41")";
 
   say("the machine comes up late: nothing but CONNECT until then");
   TestConnection at = machine.next();
-  heard(at);
-  link.ask_gauges(); // too early: the answer to CONNECT has not come
+  print_line(at);
+  link.request_gauges(); // too early: the answer to CONNECT has not come
   std::printf("  up: %d\n", link.up());
   at.say("{\"action\":\"BANNER\",\"code\":\"starting\",\"wall_ms\":250}\n");
-  heard(at);
+  print_line(at);
   at.say("{\"action\":\"TOPS\",\"echo\":\"1\",\"meters\":[0.5,3,0.4,120]}\n");
   caught_up(1);
 
   say("commands");
   link.run(OpId{0x9b1f03aa5c7e2d41}, "look\"", std::string("\0\xff body", 7));
   link.resume(OpId{1}, "ok");
-  link.ask_gauges();
-  link.ask_gauges(); // one question at a time
-  for (int i = 0; i < 3; ++i) heard(at);
+  link.request_gauges();
+  link.request_gauges(); // one question at a time
+  for (int i = 0; i < 3; ++i) print_line(at);
 
   say("notices, in pieces");
   auto all = notices(8);
@@ -96,57 +98,57 @@
   all();
 
   say("the link breaks: made anew from the last notice; what is asked meanwhile is not sent");
-  link.ask_gauges();
-  heard(at);
+  link.request_gauges();
+  print_line(at);
   at.reset();
   TestConnection::until("break", [&] { return !link.up(); });
-  link.ask_gauges();
+  link.request_gauges();
   TestConnection again = machine.next();
-  heard(again);
+  print_line(again);
   all = notices(2);
   again.say(
       "{\"action\":\"BANNER\",\"code\":\"starting\",\"wall_ms\":900}\n{\"action\":\"AWAIT\",\"pos\":9," +
       run + ",\"content\":\"eA==\"}\n{\"action\":\"AWAIT\",\"pos\":10," + run + ",\"content\":\"eQ==\"}\n");
-  heard(again);
+  print_line(again);
   again.say("{\"action\":\"TOPS\",\"echo\":\"4\",\"meters\":[1]}\n");
   caught_up(2);
   all();
 
   say("notices missing, or one that can't be read: asked for once more, then passed over");
-  const auto link_reconnect_delay = [&](const char* first, int times) {
+  const auto reconnect = [&](const char* first, int times) {
     TestConnection next = machine.next();
-    heard(next);
+    print_line(next);
     next.say("{\"action\":\"BANNER\",\"code\":\"starting\",\"wall_ms\":950}\n" + std::string(first));
     std::printf("> %s\n", next.line().c_str());
-    next.say("{\"action\":\"TOPS\",\"echo\":\"" + std::to_string(link.next_question() - 1) +
+    next.say("{\"action\":\"TOPS\",\"echo\":\"" + std::to_string(link.next_query_number() - 1) +
              "\",\"meters\":[1]}\n");
     caught_up(times);
     return next;
   };
   const std::string thirteen = "{\"action\":\"AWAIT\",\"pos\":13," + run + ",\"content\":\"eg==\"}\n";
   again.say(thirteen);
-  TestConnection third = link_reconnect_delay(thirteen.c_str(), 3);
+  TestConnection third = reconnect(thirteen.c_str(), 3);
   const std::string spoilt = "{\"action\":\"AWAIT\",\"pos\":14," + run + ",\"content\":\"e?==\"}\n";
   third.say(spoilt);
-  TestConnection fourth = link_reconnect_delay(spoilt.c_str(), 4);
+  TestConnection fourth = reconnect(spoilt.c_str(), 4);
   const std::string no_result =
       "{\"action\":\"VALUE\",\"pos\":15," + run + ",\"code\":\"fine\",\"content\":7}\n";
   fourth.say(no_result);
-  TestConnection fifth = link_reconnect_delay(no_result.c_str(), 5);
+  TestConnection fifth = reconnect(no_result.c_str(), 5);
 
   say("a line without end: the link is made anew");
   fifth.say(std::string(70'000, 'x'));
   TestConnection sixth = machine.next();
-  heard(sixth);
+  print_line(sixth);
 
   say("a link that is taken and never speaks, or falls silent with a question out: made anew; trickling is "
       "speaking");
-  link.silent_for(100 * ms);
+  link.link_silence_timeout(100 * ms);
   sixth.reset();
   TestConnection mute = machine.next();
-  heard(mute);
+  print_line(mute);
   TestConnection seventh = machine.next();
-  heard(seventh);
+  print_line(seventh);
   mute.to_end();
   const std::string banner = "{\"action\":\"BANNER\",\"code\":\"running\",\"wall_ms\":990}\n";
   const auto pass = [&](Nanos time) {
@@ -155,14 +157,14 @@
   };
   for (const char c : banner) seventh.say(std::string(1, c)), pass(2 * ms);
   seventh.line();
-  seventh.say("{\"action\":\"TOPS\",\"echo\":\"" + std::to_string(link.next_question() - 1) +
+  seventh.say("{\"action\":\"TOPS\",\"echo\":\"" + std::to_string(link.next_query_number() - 1) +
               "\",\"meters\":[1]}\n");
   caught_up(6);
   pass(250 * ms); // nothing is owed
   std::printf("  up: %d\n", link.up());
-  link.ask_gauges();
+  link.request_gauges();
   TestConnection eighth = machine.next();
-  heard(eighth);
+  print_line(eighth);
 
   say("no descriptor is free for it: made once one is");
   {
@@ -175,13 +177,13 @@
       std::printf("  up: %d\n", link.up());
     }
     TestConnection ninth = machine.next();
-    heard(ninth);
+    print_line(ninth);
   }
 
   say("it does not read: made anew before what waits for it fills the memory");
   {
     TestConnection small = TestConnection::listening(7302);
-    Told quiet;
+    PrintingHandler quiet;
     InterpreterLink other(io, TestConnection::at(7302), 64 * 1024, quiet);
     other.link_reconnect_delay(ms);
     TestConnection::turn = [&] {
@@ -195,14 +197,14 @@
     stuck.say("{\"action\":\"BANNER\",\"code\":\"running\",\"wall_ms\":5}\n");
     stuck.line();
     stuck.say("{\"action\":\"TOPS\",\"echo\":\"1\",\"meters\":[1]}\n");
-    TestConnection::until("link", [&] { return quiet.caught == 1; });
+    TestConnection::until("link", [&] { return quiet.times_caught_up == 1; });
     std::size_t sent = 0;
     TestConnection::until("break", [&] {
       if (other.up()) other.run(OpId{7}, "look", std::string(2048, 'x')), ++sent;
       return !other.up();
     });
     TestConnection again = small.next();
-    heard(again);
+    print_line(again);
     std::printf("  made anew before %s\n", sent < 20'000 ? "50 MB waited" : "nothing");
   }
 }
--- a/tests/log.cpp
+++ b/tests/log.cpp
@@ -4,16 +4,16 @@
 
 int main() {
   using namespace cometshift;
-  for (int i = 0; i < 8; ++i) note("frame", "connection %d: a length out of range", i);
-  warn("accept", "Too many open files");
-  note("reload", "left as it was: %s", "a \"quoted\" name\\path");
-  set_log(true, "info");
-  note("interpreter", "up for %d ms", 12);
-  note("reload", "left as it was: %s", "a \"quoted\" name\\path\twith a tab");
-  warn("results", "no room to keep one");
-  set_log(true, "warning");
-  note("drain", "told to leave");
-  warn("recording", "a gap begins: the disk is full");
-  set_log(false, "error");
-  warn("recording", "a gap begins: the disk is full");
+  for (int i = 0; i < 8; ++i) log_info("frame", "connection %d: a length out of range", i);
+  log_warning("accept", "Too many open files");
+  log_info("reload", "left as it was: %s", "a \"quoted\" name\\path");
+  configure_log(true, "info");
+  log_info("interpreter", "up for %d ms", 12);
+  log_info("reload", "left as it was: %s", "a \"quoted\" name\\path\twith a tab");
+  log_warning("results", "no room to keep one");
+  configure_log(true, "warning");
+  log_info("drain", "told to leave");
+  log_warning("recording", "a gap begins: the disk is full");
+  configure_log(false, "error");
+  log_warning("recording", "a gap begins: the disk is full");
 }
--- a/tests/many.cpp
+++ b/tests/many.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 constexpr Nanos second = 1000 * ms;
-constexpr int thirty = 30;
-const std::string folder = "many.folder";
+constexpr int server_count = 30;
+const std::string work_folder = "many.folder";
 asio::io_context io;
 
 void say(const char* what) { std::printf("# %s\n", what); }
@@ -51,7 +51,7 @@
   void with_list() { announce = std::make_unique<AnnounceService>(io, list, number + 1); }
   // `limit`: descriptors that the system lets it have; 0: as they are.
   void start(const std::string& program, Site site, Tcp::endpoint records, int limit = 0) {
-    const std::string path = folder + "/" + std::to_string(number);
+    const std::string path = work_folder + "/" + std::to_string(number);
     site.name = "n" + std::to_string(number);
     site.seed = static_cast<std::uint64_t>(number) + 1;
     write_file(path + ".json", configuration(site, words(listen), words(vm), words(list), words(records)));
@@ -64,7 +64,7 @@
     process = std::make_unique<Child>(command, path + ".log");
   }
   // Asks ten times a second, on a connection that is made anew as long as none is taken.
-  void ask_on(Nanos now, Nanos every) {
+  void send_periodically(Nanos now, Nanos every) {
     if (!caller || caller->ended())
       caller = std::make_unique<TestConnection>(TestConnection::to(listen.port())), stream = 0;
     take();
@@ -101,7 +101,7 @@
 using Servers = std::vector<Server*>;
 
 // Those of one part; each has ports of its own, and the parties stay to the end.
-Servers some(int count) {
+Servers new_servers(int count) {
   static std::vector<std::unique_ptr<Server>> all;
   Servers servers;
   for (; count > 0; --count)
@@ -114,7 +114,7 @@
   return *all.emplace_back(std::make_unique<RecordsService>(io, Server::at(port), 1));
 }
 
-void leave(Servers& servers) {
+void drain_and_check(Servers& servers) {
   for (Server* server : servers) server->process->tell(SIGTERM);
   int well = 0, gone = 0;
   const Nanos end = steady_now() + 10 * second;
@@ -133,18 +133,18 @@
   std::printf("  told to leave: %d of %zu ended, %d with 0\n", gone, servers.size(), well);
 }
 
-void ready(const std::string& program) {
+void test_start(const std::string& program) {
   say("thirty start in one instant; link late, mute, or both, list down or silent, records down for a while");
-  Servers servers = some(thirty);
+  Servers servers = new_servers(server_count);
   RecordsService& records = service_below();
   records.latency(2 * ms);
-  static std::vector<std::unique_ptr<Door>> mutes;
+  static std::vector<std::unique_ptr<Door>> silent_listeners;
   static std::vector<Tcp::socket> held;
   for (Server* server : servers) {
     const int kind = server->number % 6;
     if (kind != 1 && kind != 2) server->with_machine();
     if (kind == 2) // taken, and nothing is ever said
-      mutes.push_back(
+      silent_listeners.push_back(
           std::make_unique<Door>(io, server->vm, [](Tcp::socket s) { held.push_back(std::move(s)); }));
     if (kind != 4) server->with_list();
     if (kind == 3) server->announce->silent(1);
@@ -152,27 +152,27 @@
   records.down(true);
   for (Server* server : servers) server->start(program, {.leave_time = 3 * second}, records.address());
   const Nanos begun = steady_now();
-  bool helped = false;
+  bool recovered = false;
   int count = 0;
-  for (Nanos now = begun; now - begun < 12 * second && count < thirty; now = steady_now()) {
+  for (Nanos now = begun; now - begun < 12 * second && count < server_count; now = steady_now()) {
     run_for(2 * ms);
-    if (!helped &&
+    if (!recovered &&
         now - begun >= 2 * second) { // late, but there; what is mute is left by its machine for good
-      helped = true;
+      recovered = true;
       records.down(false);
-      for (auto& door : mutes) door->shut();
+      for (auto& door : silent_listeners) door->shut();
       run_for(ms);
       for (Server* server : servers)
         if (!server->machine) server->with_machine();
     }
     count = 0;
     for (Server* server : servers) {
-      server->ask_on(now, 100 * ms);
+      server->send_periodically(now, 100 * ms);
       count += server->ready >= 0 && server->ready <= 10 * second;
     }
   }
   std::printf("  an op acked within 10 s of the start: %s\n",
-              count * 10 >= thirty * 9 ? "nine in ten or more" : "too few");
+              count * 10 >= server_count * 9 ? "nine in ten or more" : "too few");
   int listed = 0;
   run_for(second);
   for (Server* server : servers) listed += server->announce && server->announce->listed();
@@ -189,13 +189,13 @@
   std::printf("  served nobody: %d\n",
               static_cast<int>(std::count_if(servers.begin(), servers.end(),
                                              [](const Server* s) { return s->acked == 0; })));
-  leave(servers);
+  drain_and_check(servers);
 }
 
 // Killed in the instant in which it has accepted a connection, with what was written on it not answered yet.
-void killed(const std::string& program) {
+void test_kill_after_accept(const std::string& program) {
   say("killed right behind an accept, five times: the next start listens there at once, and serves");
-  Servers servers = some(1);
+  Servers servers = new_servers(1);
   Server& server = *servers[0];
   RecordsService& records = service_below();
   server.with_machine(), server.with_list();
@@ -206,7 +206,7 @@
     server.start(program, site, records.address());
     while (server.acked == before && steady_now() - server.began < 5 * second) {
       run_for(ms);
-      server.ask_on(steady_now(), 20 * ms);
+      server.send_periodically(steady_now(), 20 * ms);
     }
     return server.ready >= 0 && server.ready < 2 * second;
   };
@@ -227,20 +227,20 @@
     served += serves();
   }
   std::printf("  %d accepted, served within two seconds of the start %d times\n", taken, served);
-  leave(servers);
+  drain_and_check(servers);
 }
 
 // The share of each is a small part of one call, as where the fleet is large.
-void cold_sum(const std::string& program) {
+void test_cold_load(const std::string& program) {
   say("thirty cold ones, all at once, to one service below whose calls take long");
-  Servers servers = some(thirty);
+  Servers servers = new_servers(server_count);
   RecordsService& records = service_below();
   records.latency(60 * ms);
   records.crowding(1000);
   constexpr double budget = 6;
   for (Server* server : servers) {
     server->with_machine(), server->with_list();
-    server->start(program, {.leave_time = 3 * second, .cold = true, .calls_out = budget / thirty},
+    server->start(program, {.leave_time = 3 * second, .cold = true, .calls_out = budget / server_count},
                   records.address());
   }
   WindowMean in_hand(5 * second, steady_now());
@@ -249,7 +249,7 @@
   const Nanos begun = steady_now();
   for (Nanos now = begun; now - begun < 7 * second; now = steady_now()) {
     run_for(ms);
-    for (Server* server : servers) server->ask_on(now, 50 * ms);
+    for (Server* server : servers) server->send_periodically(now, 50 * ms);
     in_hand.change(now, records.in_hand() - before);
     before = records.in_hand();
     most = std::max(most, in_hand.mean_with(in_hand.count(), 0));
@@ -259,13 +259,13 @@
               most <= budget);
   std::printf("  it was used for more than a tenth: %d; ops answered: %d\n", most > budget / 10,
               answers > 1000 && acked > 100);
-  leave(servers);
+  drain_and_check(servers);
 }
 
 // Idle clients come until no more is taken, half of them having said a word; the list is down all the while.
-void descriptors(const std::string& program, int limit) {
+void test_descriptor_limit(const std::string& program, int limit) {
   std::printf("# idle clients fill %d descriptors while the list is down\n", limit);
-  Servers servers = some(1);
+  Servers servers = new_servers(1);
   Server& server = *servers[0];
   RecordsService& records = service_below();
   server.with_machine();
@@ -282,7 +282,7 @@
   const Nanos begun = steady_now();
   while (server.acked == 0 && steady_now() - begun < 5 * second) {
     run_for(2 * ms);
-    server.ask_on(steady_now(), 100 * ms);
+    server.send_periodically(steady_now(), 100 * ms);
   }
   std::printf("  within its descriptors: %d; a caller gets in and its op, with a call, is acked: %d\n",
               most<static_cast<std::size_t>(limit), server.acked> 0);
@@ -290,27 +290,27 @@
   const Nanos up = steady_now();
   while (!server.announce->listed() && steady_now() - up < 3 * second) run_for(5 * ms);
   std::printf("  the list is back: listed within 1.5 s: %d\n", steady_now() - up < 3 * second / 2);
-  leave(servers);
-  if (std::ifstream log(folder + "/" + std::to_string(server.number) + ".log"); log)
+  drain_and_check(servers);
+  if (std::ifstream log(work_folder + "/" + std::to_string(server.number) + ".log"); log)
     for (std::string line; std::getline(log, line);)
       if (line.find("Too many open files") != std::string::npos) std::puts("  none was free");
 }
 
 } // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   if (count != 2) return 2;
   rlimit files{};
   getrlimit(RLIMIT_NOFILE, &files);
   files.rlim_cur = std::min<rlim_t>(files.rlim_max, 4096);
   setrlimit(RLIMIT_NOFILE, &files);
-  std::filesystem::remove_all(folder);
-  std::filesystem::create_directories(folder);
+  std::filesystem::remove_all(work_folder);
+  std::filesystem::create_directories(work_folder);
   TestConnection::turn = [] { io.poll(); };
-  ready(words[1]);
-  cold_sum(words[1]);
-  killed(words[1]);
-  descriptors(words[1], 384);
-  descriptors(words[1], 512);
-  std::filesystem::remove_all(folder);
+  test_start(arguments[1]);
+  test_cold_load(arguments[1]);
+  test_kill_after_accept(arguments[1]);
+  test_descriptor_limit(arguments[1], 384);
+  test_descriptor_limit(arguments[1], 512);
+  std::filesystem::remove_all(work_folder);
 }
--- a/tests/records.cpp
+++ b/tests/records.cpp
@@ -5,36 +5,40 @@
 
 int main() {
   asio::io_context io;
-  int all_over = 0;
+  int ended_calls = 0;
   bool quiet = false;
-  Records records(io, TestConnection::at(5432), 2);
+  RecordsClient records(io, TestConnection::at(5432), 2);
   TestConnection::turn = [&] {
     io.restart();
     io.poll();
   };
   const auto say = [](const char* what) { std::printf("# %s\n", what); };
-  const auto heard = [](TestConnection& peer) { std::printf("> %s\n", peer.request({"Op-"}).c_str()); };
-  const auto over = [&]() -> std::function<void()> {
-    const int before = all_over;
-    return [&all_over, before] { TestConnection::until("end", [&] { return all_over > before; }); };
+  const auto print_request = [](TestConnection& peer) {
+    std::printf("> %s\n", peer.request({"Op-"}).c_str());
+  };
+  const auto expect_end = [&]() -> std::function<void()> {
+    const int before = ended_calls;
+    return [&ended_calls, before] { TestConnection::until("end", [&] { return ended_calls > before; }); };
   };
   const auto reply = [](const std::string& status, const std::string& body, const std::string& more = "") {
     return "HTTP/1.1 " + status + "\r\n" + more + "Content-Length: " + std::to_string(body.size()) +
            "\r\n\r\n" + body;
   };
   const auto call = [&](unsigned op, Nanos time_out, const char* body) {
-    records.call(OpId{op}, time_out, body, [&all_over, &quiet, op](Outcome outcome, std::string said) {
-      static const char* names[] = {"done",        "failed", "shed",   "timed out",
-                                    "unreachable", "cut",    "halted", "moot"};
-      if (!quiet)
-        std::printf("  call of %x over: %s %s\n", op, names[static_cast<int>(outcome)], said.c_str());
-      ++all_over;
-    });
+    records.call(OpId{op}, time_out, body,
+                 [&ended_calls, &quiet, op](Outcome outcome, std::string body_text) {
+                   static const char* names[] = {"done",        "failed", "shed",   "timed out",
+                                                 "unreachable", "cut",    "halted", "moot"};
+                   if (!quiet)
+                     std::printf("  call of %x over: %s %s\n", op, names[static_cast<int>(outcome)],
+                                 body_text.c_str());
+                   ++ended_calls;
+                 });
   };
   unsigned id = 1;
 
   say("the service is down: refused, which proves that nothing ran");
-  auto ended = over();
+  auto ended = expect_end();
   call(id, 5000 * ms, "first");
   ended();
 
@@ -42,8 +46,8 @@
   TestConnection service = TestConnection::listening(5432);
   call(++id, 250 * ms + 1, "second");
   TestConnection at = service.next();
-  heard(at);
-  ended = over();
+  print_request(at);
+  ended = expect_end();
   at.say(reply("200 OK", "value"));
   ended();
   const std::pair<const char*, const char*> replies[] = {
@@ -52,8 +56,8 @@
   for (const auto& [status, header] : replies) {
     call(++id, 5000 * ms, "x");
     at = service.next();
-    heard(at);
-    ended = over();
+    print_request(at);
+    ended = expect_end();
     at.say(reply(status, "no", header));
     ended();
   }
@@ -61,42 +65,42 @@
   say("two at once have a connection each; a third finds none free and never leaves");
   call(20, 5000 * ms, "a");
   call(21, 5000 * ms, "b");
-  ended = over();
+  ended = expect_end();
   call(22, 5000 * ms, "c");
   ended();
   at = service.next();
-  heard(at);
+  print_request(at);
   TestConnection other = service.next();
-  heard(other);
+  print_request(other);
 
   say("given up: by closing, without a word; a second call for the same op gives up the first");
-  records.give_up(OpId{20});
+  records.cancel(OpId{20});
   at.to_end();
   call(21, 5000 * ms, "b again");
   other.to_end();
   at = service.next();
-  heard(at);
+  print_request(at);
 
   say("cut off, malformed, too large or reset: how far it got can't be told, and it is not sent again");
-  const std::string spoilt[] = {reply("200 OK", "whole").substr(0, 40), "nonsense\r\n\r\n",
-                                reply("503 Busy", "1", "Op-Not-Begun: 1\r\n").substr(0, 57),
-                                reply("200 OK", std::string(70'000, 'x'))};
+  const std::string broken_replies[] = {reply("200 OK", "whole").substr(0, 40), "nonsense\r\n\r\n",
+                                        reply("503 Busy", "1", "Op-Not-Begun: 1\r\n").substr(0, 57),
+                                        reply("200 OK", std::string(70'000, 'x'))};
   unsigned next = 21;
-  for (const std::string& bytes : spoilt) {
-    ended = over();
+  for (const std::string& bytes : broken_replies) {
+    ended = expect_end();
     at.say(bytes);
     at.reset();
     ended();
     call(++next, 5000 * ms, "again");
     at = service.next();
-    heard(at);
+    print_request(at);
   }
-  ended = over();
+  ended = expect_end();
   at.reset();
   ended();
 
   say("out of time: given up");
-  ended = over();
+  ended = expect_end();
   call(++next, 1, "brief");
   ended();
 
@@ -105,16 +109,16 @@
   at = service.next(); // of the brief call, perhaps
   if (!at.ended()) TestConnection::until("request or end", [&] { return at.ended() || at.has(1); });
   if (at.ended()) at = service.next();
-  heard(at);
-  ended = over();
+  print_request(at);
+  ended = expect_end();
   at.say("HTTP/1.1 100 Continue\r\n\r\n" + reply("200 OK", "first") + reply("200 OK", "copy") + "noise");
   ended();
   call(41, 5000 * ms, "y");
   at.say(reply("200 OK", "copy"));
   at.to_end();
   at = service.next();
-  heard(at);
-  ended = over();
+  print_request(at);
+  ended = expect_end();
   at.say(reply("200 OK", "second"));
   ended();
   std::printf("  connections %zu\n", records.connections());
@@ -124,7 +128,7 @@
   for (int i = 0; i < 2; ++i) {
     TestConnection::turn = idle;
     quiet = true;
-    const int before = all_over;
+    const int before = ended_calls;
     call(50, 100 * ms, "z");
     at = service.next();
     at.request({});
@@ -135,7 +139,7 @@
     usleep(120'000); // both are there now
     TestConnection::turn = idle;
     at.to_end();
-    std::printf("  ends %d, connections %zu\n", all_over - before, records.connections());
+    std::printf("  ends %d, connections %zu\n", ended_calls - before, records.connections());
   }
   quiet = false;
 
@@ -144,14 +148,14 @@
     at = TestConnection(dup(0)); // nothing else of the test's may come free meanwhile
     {
       const NoFreeDescriptors none;
-      ended = over();
+      ended = expect_end();
       call(51, 5000 * ms, "none");
       ended();
     }
-    ended = over();
+    ended = expect_end();
     call(52, 5000 * ms, "one");
     at = service.next();
-    heard(at);
+    print_request(at);
     at.say(reply("200 OK", "there"));
     ended();
   }
--- a/tests/server_fixture.hpp
+++ b/tests/server_fixture.hpp
@@ -9,16 +9,17 @@
 #include <csignal>
 
 // Of this process alone, so that several may run at once.
-inline const std::string world_file = "host_test." + std::to_string(getpid()) + ".json";
+inline const std::string fixture_config_path = "host_test." + std::to_string(getpid()) + ".json";
 
 // A server whose link, records and announce services, and balancers, are played by the test.
-struct World {
-  std::string question;
-  bool over = false;
-  TestConnection machines = TestConnection::listening(7300), lists = TestConnection::listening(2379),
-                 below = TestConnection::listening(5432);
+struct ServerFixture {
+  std::string last_query;
+  bool finished = false;
+  TestConnection interpreters = TestConnection::listening(7300),
+                 announce_services = TestConnection::listening(2379),
+                 records_services = TestConnection::listening(5432);
   std::unique_ptr<Host> host;
-  TestConnection machine, list, balancer;
+  TestConnection interpreter, announce, balancer;
 
   // With other effects look is keyed, and book may not simply be repeated.
   static std::string json(const std::string& stop_ms, int elsewhere = 0,
@@ -48,42 +49,43 @@
     return json;
   }
 
-  explicit World(const std::string& stop_ms, const std::string& window_ns = "9000000000",
-                 bool other_effects = false)
+  explicit ServerFixture(const std::string& stop_ms, const std::string& window_ns = "9000000000",
+                         bool other_effects = false)
       : host(std::make_unique<Host>(parse_configuration(json(stop_ms, 0, window_ns, other_effects)),
-                                    world_file.c_str())),
-        machine((start(), machines.next())), list(lists.next()), balancer(TestConnection::to(5050)) {
-    machine.line(); // CONNECT
-    list.request({});
+                                    fixture_config_path.c_str())),
+        interpreter((start(), interpreters.next())), announce(announce_services.next()),
+        balancer(TestConnection::to(5050)) {
+    interpreter.line(); // CONNECT
+    announce.request({});
   }
-  ~World() {
+  ~ServerFixture() {
     TestConnection::turn = [] {};
   }
   void start() {
-    TestConnection::turn = [this] { over = over || !host->poll(); };
+    TestConnection::turn = [this] { finished = finished || !host->poll(); };
   }
-  static void hang_up(const std::string& file) {
-    std::FILE* out = std::fopen(world_file.c_str(), "w");
+  static void reload_with(const std::string& file) {
+    std::FILE* out = std::fopen(fixture_config_path.c_str(), "w");
     std::fputs(file.c_str(), out);
     std::fclose(out);
     std::raise(SIGHUP), TestConnection::turn();
   }
   void link_up(const std::string& notices = {}) {
-    machine.say("{\"action\":\"BANNER\",\"code\":\"running\",\"wall_ms\":5000}\n" + notices);
+    interpreter.say("{\"action\":\"BANNER\",\"code\":\"running\",\"wall_ms\":5000}\n" + notices);
     command();
     answer_gauges();
   }
   void answer_gauges() {
-    machine.say("{\"action\":\"TOPS\",\"echo\":\"" + question + "\",\"meters\":[0.1,0]}\n");
+    interpreter.say("{\"action\":\"TOPS\",\"echo\":\"" + last_query + "\",\"meters\":[0.1,0]}\n");
   }
   // The next command that is no question for gauges; those are answered on the way, but for a link's first.
   std::string command() {
     for (;;) {
-      const std::string line = machine.line();
+      const std::string line = interpreter.line();
       const std::size_t echo = line.find("\"echo\":\"");
       if (echo == std::string::npos) return line;
-      const bool first = question.empty();
-      question = line.substr(echo + 8, line.find('"', echo + 8) - echo - 8);
+      const bool first = last_query.empty();
+      last_query = line.substr(echo + 8, line.find('"', echo + 8) - echo - 8);
       if (first) return line;
       answer_gauges();
     }
@@ -104,7 +106,7 @@
     ask(stream, txn, {{"verb", "book"}, {"unique", mark}}, body);
   }
   void notice(int pos, const char* action, const std::string& txn, const std::string& more) {
-    machine.say("{\"action\":\"" + std::string(action) + "\",\"pos\":" + std::to_string(pos) + ",\"uid\":\"" +
-                txn + "\"" + more + "}\n");
+    interpreter.say("{\"action\":\"" + std::string(action) + "\",\"pos\":" + std::to_string(pos) +
+                    ",\"uid\":\"" + txn + "\"" + more + "}\n");
   }
 };
--- a/tests/simulated_server.hpp
+++ b/tests/simulated_server.hpp
@@ -17,17 +17,17 @@
 
 constexpr Nanos ms = 1'000'000;
 constexpr Nanos second = 1000 * ms;
-constexpr Nanos linger = 200 * ms;
+constexpr Nanos cancelled_call_linger = 200 * ms;
 constexpr Nanos window = 5 * second;
 constexpr double share = 0.55;
-constexpr Nanos hop = 5 * ms; // until a start is on the cores, a reply with its run
+constexpr Nanos link_delay = 5 * ms; // until a start is on the cores, a reply with its run
 
 inline Settings settings(unsigned server) {
   Settings given{{"cores", 2.0},         {"fall_multiple", 4.0},
                  {"memory_kb", 40000.0}, {"run_factor", 4.0},
                  {"key_kb", 2.0},        {"drain_grace_ns", 2e9},
                  {"callers", 3.0},       {"call_share", share},
-                 {"calls_over_ns", 5e9}, {"call_linger_ns", static_cast<double>(linger)},
+                 {"calls_over_ns", 5e9}, {"call_linger_ns", static_cast<double>(cancelled_call_linger)},
                  {"memory_mb", 64.0},    {"stop_ns", 3e9},
                  {"seed_high", 1.0},     {"seed_low", 2.0 + server},
                  {"name", "n"},          {"tells_patience", 1.0}};
@@ -57,69 +57,69 @@
   };
   const RecordsStub& service;
   unsigned number;
-  Pcg chance;
+  Pcg random;
   Nanos now = 0;
   std::unique_ptr<Core> core;
   std::map<OpId, Call> calls;
-  std::set<OpId> on_way, waiting; // runs before their call, and at it
-  std::set<OpId> over_ops;        // of those on the way
-  std::multimap<Nanos, std::function<void()>> later;
+  std::set<OpId> starting, awaiting_call; // runs before their call, and at it
+  std::set<OpId> ended_ops;               // of those on the way
+  std::multimap<Nanos, std::function<void()>> scheduled;
   std::uint64_t ops = 0;
   int acked = 0, failed_ops = 0, nacked = 0;
-  WindowMean in_flight{window, 0}; // as the service has it
-  std::multiset<Nanos> given_up;   // ends of those that stay
+  WindowMean in_flight{window, 0};     // as the service has it
+  std::multiset<Nanos> cancelled_ends; // ends of those that stay
   double most = 0;
 
-  Settings more; // set beside the usual, or instead
+  Settings overrides; // set beside the usual, or instead
 
-  SimulatedServer(const RecordsStub& s, unsigned n) : service(s), number(n), chance(n + 1) {
+  SimulatedServer(const RecordsStub& s, unsigned n) : service(s), number(n), random(n + 1) {
     begin(0, 3600 * second);
   }
   // One that is begun later.
   SimulatedServer(const RecordsStub& s, unsigned n, Settings m)
-      : service(s), number(n), chance(n + 1), more(std::move(m)) {}
+      : service(s), number(n), random(n + 1), overrides(std::move(m)) {}
   void begin(Nanos at, Nanos machine_up_for) {
     now = at;
-    Settings given = more;
+    Settings given = overrides;
     given.merge(settings(number));
     core.reset(new Core(now, given, *this));
     core->machine_up(now, machine_up_for);
     core->link_up(now, StartNo{0});
   }
   void kill() {
-    for (const auto& [op, call] : calls) leave(call);
+    for (const auto& [op, call] : calls) linger_at_service(call);
     calls.clear();
-    waiting.clear();
-    on_way.clear();
-    over_ops.clear();
-    later.clear();
+    awaiting_call.clear();
+    starting.clear();
+    ended_ops.clear();
+    scheduled.clear();
     core.reset();
   }
-  void leave(const Call& call) {
-    const Nanos end = std::min(std::max(call.ends, service.stalled_until), now + linger);
-    given_up.insert(std::max(now, end));
+  void linger_at_service(const Call& call) {
+    const Nanos end = std::min(std::max(call.ends, service.stalled_until), now + cancelled_call_linger);
+    cancelled_ends.insert(std::max(now, end));
   }
-  void after(Nanos time, std::function<void()> what) { later.emplace(now + time, std::move(what)); }
+  void after(Nanos time, std::function<void()> action) { scheduled.emplace(now + time, std::move(action)); }
 
-  void over(OpId op, Outcome outcome) {
+  void finish_call(OpId op, Outcome outcome) {
     const Call call = calls.at(op);
     calls.erase(op);
     if (outcome == Outcome::done)
       in_flight.change(now, -1);
     else
-      leave(call);
+      linger_at_service(call);
     core->call_finished(now, op, outcome, Content("reply"));
   }
   // Its op is over: a run at its call ends there, one on the way to it when it comes there.
-  void end_at_call(OpId op) {
-    if (waiting.erase(op) > 0)
-      after(hop, [this, op] { core->run_finished(now, op, Outcome::halted, 20 * ms, {}); });
-    else if (on_way.contains(op))
-      over_ops.insert(op);
+  void end_run_at_call(OpId op) {
+    if (awaiting_call.erase(op) > 0)
+      after(link_delay, [this, op] { core->run_finished(now, op, Outcome::halted, 20 * ms, {}); });
+    else if (starting.contains(op))
+      ended_ops.insert(op);
   }
   void lose(OpId op, StreamRef line) {
     core->stream_lost(now, line);
-    end_at_call(op);
+    end_run_at_call(op);
   }
   // An op of the next number, each third keyed; with the mark of an earlier one where that is given.
   OpId ask(ConnectionId connection, CallerId caller, const std::string& mark) {
@@ -133,19 +133,19 @@
                       "", Content("body"), {type.raw, 7});
     return id;
   }
-  void step(Nanos at, bool asks) {
+  void step(Nanos at, bool sends_op) {
     now = at;
-    while (!given_up.empty() && *given_up.begin() <= now) {
+    while (!cancelled_ends.empty() && *cancelled_ends.begin() <= now) {
       in_flight.change(now, -1);
-      given_up.erase(given_up.begin());
+      cancelled_ends.erase(cancelled_ends.begin());
     }
     in_flight.advance(now);
     most = std::max(most, in_flight.mean_with(in_flight.count(), 0));
     if (!core) return;
-    while (!later.empty() && later.begin()->first <= now) {
-      const auto what = std::move(later.begin()->second);
-      later.erase(later.begin());
-      what();
+    while (!scheduled.empty() && scheduled.begin()->first <= now) {
+      const auto action = std::move(scheduled.begin()->second);
+      scheduled.erase(scheduled.begin());
+      action();
     }
     std::vector<OpId> done, late;
     for (const auto& [op, call] : calls) {
@@ -154,9 +154,9 @@
       else if (call.times_out <= now)
         late.push_back(op);
     }
-    for (const OpId op : done) over(op, Outcome::done);
-    for (const OpId op : late) over(op, Outcome::timed_out);
-    if (asks) ask(ConnectionId{1}, CallerId{ops % 3}, {});
+    for (const OpId op : done) finish_call(op, Outcome::done);
+    for (const OpId op : late) finish_call(op, Outcome::timed_out);
+    if (sends_op) ask(ConnectionId{1}, CallerId{ops % 3}, {});
     if (core->anything_due(now)) {
       const double gauges[] = {0.5, 1};
       core->gauges(now, gauges);
@@ -169,30 +169,30 @@
   void refused(StreamRef, OpId, Reason, Nanos, bool) override { ++nacked; }
   void failed(StreamRef, OpId op, Reason) override {
     ++failed_ops;
-    end_at_call(op);
+    end_run_at_call(op);
   }
   void penalize(StreamRef) override {}
   void start(OpId op, OpTypeId, const Content&, StartNo) override {
-    on_way.insert(op);
-    after(hop + 10 * ms, [this, op] {
-      on_way.erase(op);
-      if (over_ops.erase(op) > 0) return core->run_finished(now, op, Outcome::halted, 20 * ms, {});
-      waiting.insert(op);
+    starting.insert(op);
+    after(link_delay + 10 * ms, [this, op] {
+      starting.erase(op);
+      if (ended_ops.erase(op) > 0) return core->run_finished(now, op, Outcome::halted, 20 * ms, {});
+      awaiting_call.insert(op);
       core->call_wanted(now, op, Content("call"));
     });
   }
   void resume(OpId op, const Content&) override {
-    waiting.erase(op);
-    after(hop, [this, op] { core->run_finished(now, op, Outcome::done, 20 * ms, Content("result")); });
+    awaiting_call.erase(op);
+    after(link_delay, [this, op] { core->run_finished(now, op, Outcome::done, 20 * ms, Content("result")); });
   }
   void call(OpId op, Nanos time_out, const Content&) override {
     in_flight.change(now, 1);
-    calls[op] = {now, now + service.call_duration, now + time_out, chance.unit() < service.reply_loss};
+    calls[op] = {now, now + service.call_duration, now + time_out, random.unit() < service.reply_loss};
   }
   void cancel_call(OpId op) override {
     const auto at = calls.find(op);
     if (at == calls.end()) return;
-    leave(at->second);
+    linger_at_service(at->second);
     calls.erase(at);
   }
   void health(bool) override {}
