--- a/control/directory.hpp
+++ b/control/directory.hpp
@@ -24,7 +24,8 @@
 
 namespace cometshift {
 
-using PartNo = Id<struct PartNoTag, std::uint64_t>; // of a change of a part, from 1 in its owner's life
+using PartRevision =
+    Id<struct PartRevisionTag, std::uint64_t>; // of a change of a part, from 1 in its owner's life
 
 enum class Presence : std::uint8_t { alive, unresponsive, left, gone }; // gone: no more in this part
 std::string_view to_text(Presence presence);
@@ -32,11 +33,11 @@
 struct MemberRecord {
   MemberId member{};
   Incarnation incarnation{};
-  AttachmentNumber attached{}; // the newest
+  AttachmentNumber attachment{}; // the newest
   std::string address, zone;
   std::uint64_t since = 0; // Unix ms
   Presence presence = Presence::alive;
-  PartNo number{}; // of the change that it comes from
+  PartRevision revision{}; // of the change that it comes from
   bool operator==(const MemberRecord&) const = default;
 };
 
@@ -45,12 +46,12 @@
   virtual ~DirectoryActions() = default;
   // To a control member, of this one's part: with these, who has it up to `from` has it up to `upto`; a
   // `from` of 0 begins it anew. `last`, `digest`: the whole part's newest change, and its digest there.
-  virtual void part(MemberId to, PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
-                    const std::vector<const MemberRecord*>& records) = 0;
+  virtual void send_part(MemberId to, PartRevision from, PartRevision upto, PartRevision last,
+                         std::uint64_t digest, const std::vector<const MemberRecord*>& records) = 0;
   // To the owner of a part: it is here so far.
-  virtual void have(MemberId to, Incarnation owner, PartNo upto) = 0;
+  virtual void acknowledge_part(MemberId to, Incarnation owner, PartRevision upto) = 0;
   // What this control member's view of a member is now, and was; `gone`: none.
-  virtual void news(const MemberRecord& member, Presence before) = 0;
+  virtual void presence_changed(const MemberRecord& member, Presence before) = 0;
   virtual void duplicate_member(MemberId member) = 0; // two members live under one number
 };
 
@@ -64,21 +65,21 @@
   // - control.most_part: bytes in one word
   // - control.most_members
   Directory(Nanos now, MemberId self, Incarnation incarnation, const std::vector<MemberId>& others,
-            const Settings& figures, DirectoryActions& orders);
+            const Settings& settings, DirectoryActions& actions);
   Directory(const Directory&) = delete;
   Directory& operator=(const Directory&) = delete;
 
   // ---- of those that follow this control member
   // It follows, with its newest attachment. False: no room.
   bool attached(Nanos now, const MemberRecord& record); // its presence and number don't count
-  void heard(Nanos now, MemberId member, Incarnation of);
-  void detached(Nanos now, MemberId member, Incarnation of); // it follows another
-  void left(Nanos now, MemberId member, Incarnation of);     // it has said that it goes
+  void received(Nanos now, MemberId member, Incarnation incarnation);
+  void detached(Nanos now, MemberId member, Incarnation incarnation); // it follows another
+  void left(Nanos now, MemberId member, Incarnation incarnation);     // it has said that it goes
 
   // ---- of other control members
-  void part(Nanos now, MemberId from, Incarnation of, PartNo since, PartNo upto, PartNo last,
-            std::uint64_t digest, const std::vector<MemberRecord>& records);
-  void have(Nanos now, MemberId from, Incarnation owner, PartNo upto);
+  void part_received(Nanos now, MemberId from, Incarnation incarnation, PartRevision since, PartRevision upto,
+                     PartRevision last, std::uint64_t digest, const std::vector<MemberRecord>& records);
+  void part_acknowledged(Nanos now, MemberId from, Incarnation owner, PartRevision upto);
 
   // ---- time
   Nanos next_wake() const; // -1: none
@@ -93,77 +94,78 @@
   const std::map<std::string, Zone, std::less<>>& summary() const { return zones_; }
   std::size_t count() const { return view_.size(); }
   // By number, those over `after`. Stops where `each` returns false.
-  void list(MemberId after, const std::function<bool(const MemberRecord&)>& each) const;
+  void list(MemberId after, const std::function<bool(const MemberRecord&)>& visit) const;
   // A part's digest is the sum of these, of those that aren't gone.
   static std::uint64_t digest_of(const MemberRecord& record);
   struct Counts {
-    std::uint64_t parts = 0, repeats = 0, records = 0, bytes = 0, begun_anew = 0, refused = 0, invalid = 0,
+    std::uint64_t parts = 0, retries = 0, records = 0, bytes = 0, restarts = 0, refused = 0, invalid = 0,
                   visited = 0;
   };
   const Counts& counts() const { return counts_; }
 
  private:
-  struct Mine {
+  struct LocalMember {
     MemberRecord record;
     std::uint64_t digest = 0; // 0 where it is gone
     Nanos last_received_at = 0, wake = -1;
-    Incarnation before{}; // that this one replaced while it was well
+    Incarnation previous_incarnation{}; // that this one replaced while it was well
     Nanos replaced_at = -1;
   };
-  struct Other { // a control member, and its part
-    Incarnation of{};
-    std::deque<Incarnation> lives; // before this one
-    PartNo upto{};
+  struct RemotePart { // a control member, and its part
+    Incarnation incarnation{};
+    std::deque<Incarnation> previous_incarnations; // before this one
+    PartRevision upto{};
     std::uint64_t digest = 0;
     std::map<MemberId, MemberRecord> records;
-    bool lacks = false; // some had no room
+    bool incomplete = false; // some had no room
     // The part as it is told from its beginning, until it is whole.
-    bool comes = true;
-    PartNo coming_upto{};
-    std::map<MemberId, MemberRecord> coming;
-    bool silent = true;
+    bool syncing = true;
+    PartRevision sync_upto{};
+    std::map<MemberId, MemberRecord> sync_records;
+    bool unresponsive = true;
     Nanos last_received_at = 0;
     // What it has of this one's part.
-    PartNo has{}, sent{};
-    bool stale = false, under_way = false; // it lacks something
-    Nanos sent_at = 0, next_beat = 0;
-    int repeats = 0;
+    PartRevision acked{}, sent_upto{};
+    bool out_of_date = false, in_flight = false; // it lacks something
+    Nanos sent_at = 0, next_heartbeat_at = 0;
+    int retries = 0;
   };
 
-  void change(Nanos now, Mine& mine, Presence presence);
-  void forget_gone();
-  void plan(MemberId id, Mine& mine, Nanos at);
-  void tell_doubled(MemberId member);
-  void begin_anew(Other& other);
-  void take(Nanos now, MemberId from, Other& other, const MemberRecord& record);
-  void become_whole(Nanos now, MemberId from, Other& other);
-  void forget_teller(MemberId member, MemberId owner);
-  bool room_for(MemberId member) const;
-  void hear(Nanos now, Other& other);
-  void look_at_all_of(Nanos now, const Other& other);
-  void say(Nanos now, MemberId to, Other& other);
-  void look(Nanos now, MemberId member); // its view anew
-  void count(const MemberRecord& record, int by);
+  void set_presence(Nanos now, LocalMember& local, Presence presence);
+  void drop_oldest_gone();
+  void schedule(MemberId id, LocalMember& local, Nanos at);
+  void report_duplicate(MemberId member);
+  void restart_sync(RemotePart& remote);
+  void apply(Nanos now, MemberId from, RemotePart& remote, const MemberRecord& record);
+  void finish_sync(Nanos now, MemberId from, RemotePart& remote);
+  void remove_source(MemberId member, MemberId owner);
+  bool has_room_for(MemberId member) const;
+  void mark_received(Nanos now, RemotePart& remote);
+  void refresh_all_of(Nanos now, const RemotePart& remote);
+  void send_part(Nanos now, MemberId to, RemotePart& remote);
+  void refresh(Nanos now, MemberId member); // its view anew
+  void add_to_zone(const MemberRecord& record, int delta);
 
   DirectoryActions& actions_;
   MemberId self_;
   Incarnation incarnation_;
-  Nanos beat_, silent_, forget_, answer_;
-  std::size_t most_part_, most_members_;
-  std::map<MemberId, Mine> mine_;
-  std::map<PartNo, MemberId> changes_; // newest of each
-  PartNo last_{}, floor_{};            // of changes; those that are gone are forgotten up to `floor_`
-  std::set<PartNo> gone_;
+  Nanos heartbeat_interval_, unresponsive_timeout_, forget_timeout_, retransmit_timeout_;
+  std::size_t max_part_bytes_, max_members_;
+  std::map<MemberId, LocalMember> local_members_;
+  std::map<PartRevision, MemberId> changes_; // newest of each
+  PartRevision last_revision_{},
+      floor_revision_{}; // of changes; those that are gone are forgotten up to `floor_`
+  std::set<PartRevision> gone_;
   std::uint64_t digest_ = 0;
-  std::map<MemberId, Other> others_;
-  std::map<MemberId, std::set<MemberId>> told_by_; // by which others
+  std::map<MemberId, RemotePart> remotes_;
+  std::map<MemberId, std::set<MemberId>> sources_; // by which others
   std::map<MemberId, MemberRecord> view_;
-  struct Double {
+  struct DuplicateSighting {
     Nanos since = 0;
-    std::set<Incarnation> lives;
+    std::set<Incarnation> incarnations;
   };
-  std::map<MemberId, Double> double_since_; // two lives are told as well
-  std::set<MemberId> told_doubled_;
+  std::map<MemberId, DuplicateSighting> duplicate_since_; // two lives are told as well
+  std::set<MemberId> reported_duplicates_;
   std::map<std::string, Zone, std::less<>> zones_;
   std::set<std::pair<Nanos, MemberId>> wakes_; // of those in this one's part
   Counts counts_;
--- a/peers/control_codec.cpp
+++ b/peers/control_codec.cpp
@@ -12,31 +12,31 @@
 namespace wire = control_wire;
 
 // Against texts longer than the word that says them.
-constexpr std::size_t most_why = 256; // bytes
+constexpr std::size_t max_reason_bytes = 256; // bytes
 
-std::string text(std::string_view some) { return std::string(some); }
-Nanos span_of(std::uint64_t raw) {
+std::string to_string(std::string_view text) { return std::string(text); }
+Nanos nanos_from_wire(std::uint64_t raw) {
   return static_cast<Nanos>(std::min<std::uint64_t>(raw, std::numeric_limits<Nanos>::max() / 4));
 }
 
-void put(wire::Place& out, Version version) {
+void encode(wire::Place& out, Version version) {
   out.set_token(version.token.raw);
   out.set_number(version.number);
 }
 Version version_of(const wire::Place& in) { return {Token{in.token()}, in.number()}; }
 
-void put(wire::Entry& out, const Entry& entry) {
+void encode(wire::Entry& out, const Entry& entry) {
   out.set_key(entry.key);
   out.set_value(entry.value);
-  put(*out.mutable_version(), entry.version);
+  encode(*out.mutable_version(), entry.version);
   out.set_writer(entry.writer.raw);
   out.set_deleted(entry.deleted);
 }
 Entry entry_of(const wire::Entry& in) {
   return {in.key(), in.value(), version_of(in.version()), MemberId{in.writer()}, in.deleted()};
 }
-void put(wire::Entry& out, const Record& record) {
-  put(out, record.entry);
+void encode(wire::Entry& out, const Record& record) {
+  encode(out, record.entry);
   out.set_writer_of(record.writer_incarnation.raw);
   out.set_put(record.put.raw);
 }
@@ -47,22 +47,22 @@
 std::vector<Record> records_of(const Wire& in) {
   std::vector<Record> out;
   out.reserve(static_cast<std::size_t>(in.record_size()));
-  for (const wire::Entry& one : in.record()) out.push_back(record_of(one));
+  for (const wire::Entry& entry : in.record()) out.push_back(record_of(entry));
   return out;
 }
 template <class Wire>
 std::vector<Entry> entries_of(const Wire& in) {
   std::vector<Entry> out;
   out.reserve(static_cast<std::size_t>(in.entry_size()));
-  for (const wire::Entry& one : in.entry()) out.push_back(entry_of(one));
+  for (const wire::Entry& entry : in.entry()) out.push_back(entry_of(entry));
   return out;
 }
 
-void put(wire::Position& out, const Position& at) {
-  put(*out.mutable_taken(), at.taken);
-  if (at.staged != Version{}) put(*out.mutable_staged(), at.staged);
-  if (at.renewing != Version{}) put(*out.mutable_renewing(), at.renewing);
-  if (at.renewed != Version{}) put(*out.mutable_renewed(), at.renewed);
+void encode(wire::Position& out, const Position& at) {
+  encode(*out.mutable_taken(), at.taken);
+  if (at.staged != Version{}) encode(*out.mutable_staged(), at.staged);
+  if (at.renewing != Version{}) encode(*out.mutable_renewing(), at.renewing);
+  if (at.renewed != Version{}) encode(*out.mutable_renewed(), at.renewed);
   out.set_renewals(at.renewals);
 }
 Position position_of(const wire::Position& in) {
@@ -70,10 +70,10 @@
           version_of(in.renewed()), in.renewals()};
 }
 
-template <class Put>
-std::string word(Incarnation to, Put put_in) {
+template <class Fill>
+std::string encode_message(Incarnation to, Fill fill) {
   wire::Control out;
-  put_in(out);
+  fill(out);
   out.set_to(to.raw);
   return out.SerializeAsString();
 }
@@ -83,123 +83,123 @@
 // ---- the one order
 
 std::string prepare(Token token, std::uint32_t round) {
-  return word({}, [&](wire::Control& out) {
+  return encode_message({}, [&](wire::Control& out) {
     out.mutable_prepare()->set_token(token.raw);
     out.mutable_prepare()->set_round(round);
   });
 }
 std::string promise(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing) {
-  return word(to, [&](wire::Control& out) {
-    wire::Promise& one = *out.mutable_promise();
-    one.set_token(token.raw);
-    one.set_round(round);
-    put(*one.mutable_last(), standing.last);
-    put(*one.mutable_committed(), standing.committed);
+  return encode_message(to, [&](wire::Control& out) {
+    wire::Promise& body = *out.mutable_promise();
+    body.set_token(token.raw);
+    body.set_round(round);
+    encode(*body.mutable_last(), standing.last);
+    encode(*body.mutable_committed(), standing.committed);
     for (const auto& [version, roster] : standing.rosters) {
-      wire::Roster& told = *one.add_roster();
-      put(*told.mutable_version(), version);
-      told.set_text(format_roster(roster));
+      wire::Roster& wire_roster = *body.add_roster();
+      encode(*wire_roster.mutable_version(), version);
+      wire_roster.set_text(format_roster(roster));
     }
   });
 }
 std::string refuse(Incarnation to, Token token, Token seen) {
-  return word(to, [&](wire::Control& out) {
+  return encode_message(to, [&](wire::Control& out) {
     out.mutable_refusal()->set_token(token.raw);
     out.mutable_refusal()->set_seen(seen.raw);
   });
 }
 std::string append(const Append& append) {
-  return word({}, [&](wire::Control& out) {
-    wire::Append& one = *out.mutable_append();
-    one.set_token(append.token.raw);
-    one.set_mark(append.sequence);
-    put(*one.mutable_log_from(), append.log_from);
-    put(*one.mutable_previous(), append.previous);
-    put(*one.mutable_committed(), append.committed);
-    for (const Record& record : append.records) put(*one.add_record(), record);
+  return encode_message({}, [&](wire::Control& out) {
+    wire::Append& body = *out.mutable_append();
+    body.set_token(append.token.raw);
+    body.set_mark(append.sequence);
+    encode(*body.mutable_log_from(), append.log_from);
+    encode(*body.mutable_previous(), append.previous);
+    encode(*body.mutable_committed(), append.committed);
+    for (const Record& record : append.records) encode(*body.add_record(), record);
   });
 }
-std::string appended(Incarnation to, Token token, std::uint64_t mark, Version matched, bool gap) {
-  return word(to, [&](wire::Control& out) {
-    wire::Appended& one = *out.mutable_appended();
-    one.set_token(token.raw);
-    one.set_mark(mark);
-    put(*one.mutable_matched(), matched);
-    one.set_gap(gap);
+std::string appended(Incarnation to, Token token, std::uint64_t sequence, Version matched, bool gap) {
+  return encode_message(to, [&](wire::Control& out) {
+    wire::Appended& body = *out.mutable_appended();
+    body.set_token(token.raw);
+    body.set_mark(sequence);
+    encode(*body.mutable_matched(), matched);
+    body.set_gap(gap);
   });
 }
 std::string fetch(Token token, Version base, Version cursor, Token since) {
-  return word({}, [&](wire::Control& out) {
-    wire::Fetch& one = *out.mutable_fetch();
-    one.set_token(token.raw);
-    put(*one.mutable_base(), base);
-    put(*one.mutable_cursor(), cursor);
-    one.set_since(since.raw);
+  return encode_message({}, [&](wire::Control& out) {
+    wire::Fetch& body = *out.mutable_fetch();
+    body.set_token(token.raw);
+    encode(*body.mutable_base(), base);
+    encode(*body.mutable_cursor(), cursor);
+    body.set_since(since.raw);
   });
 }
 std::string chunk(Incarnation to, const Chunk& chunk) {
-  return word(to, [&](wire::Control& out) {
-    wire::Chunk& one = *out.mutable_chunk();
-    one.set_token(chunk.token.raw);
-    put(*one.mutable_base(), chunk.base);
-    put(*one.mutable_from(), chunk.from);
-    put(*one.mutable_upto(), chunk.to);
-    put(*one.mutable_floor(), chunk.floor);
-    put(*one.mutable_committed(), chunk.committed);
-    one.set_last(chunk.last);
-    one.set_no_way(chunk.unavailable);
-    for (const Record& record : chunk.records) put(*one.add_record(), record);
+  return encode_message(to, [&](wire::Control& out) {
+    wire::Chunk& body = *out.mutable_chunk();
+    body.set_token(chunk.token.raw);
+    encode(*body.mutable_base(), chunk.base);
+    encode(*body.mutable_from(), chunk.from);
+    encode(*body.mutable_upto(), chunk.to);
+    encode(*body.mutable_floor(), chunk.floor);
+    encode(*body.mutable_committed(), chunk.committed);
+    body.set_last(chunk.last);
+    body.set_no_way(chunk.unavailable);
+    for (const Record& record : chunk.records) encode(*body.add_record(), record);
   });
 }
 std::string pass(Incarnation to, Token token, const ForwardedPut& passed) {
-  return word(to, [&](wire::Control& out) {
-    wire::Pass& one = *out.mutable_pass();
-    one.set_token(token.raw);
-    one.set_number(passed.number.raw);
-    one.set_oldest(passed.oldest.raw);
-    one.set_key(passed.key);
-    one.set_value(passed.value);
-    one.set_deleted(passed.deleted);
-    if (passed.expected) put(*one.mutable_expected(), *passed.expected);
+  return encode_message(to, [&](wire::Control& out) {
+    wire::Pass& body = *out.mutable_pass();
+    body.set_token(token.raw);
+    body.set_number(passed.number.raw);
+    body.set_oldest(passed.oldest.raw);
+    body.set_key(passed.key);
+    body.set_value(passed.value);
+    body.set_deleted(passed.deleted);
+    if (passed.expected) encode(*body.mutable_expected(), *passed.expected);
   });
 }
 std::string answer(Incarnation to, Token token, PutNumber number, PutOutcome end, Version version,
-                   std::string_view why) {
-  return word(to, [&](wire::Control& out) {
-    wire::Answer& one = *out.mutable_answer();
-    one.set_token(token.raw);
-    one.set_put(number.raw);
-    one.set_end(static_cast<std::uint32_t>(end));
-    put(*one.mutable_version(), version);
-    one.set_why(text(why.substr(0, most_why)));
+                   std::string_view reason) {
+  return encode_message(to, [&](wire::Control& out) {
+    wire::Answer& body = *out.mutable_answer();
+    body.set_token(token.raw);
+    body.set_put(number.raw);
+    body.set_end(static_cast<std::uint32_t>(end));
+    encode(*body.mutable_version(), version);
+    body.set_why(to_string(reason.substr(0, max_reason_bytes)));
   });
 }
 
 // ---- who is there
 
-std::string part(PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
+std::string part(PartRevision from, PartRevision upto, PartRevision last, std::uint64_t digest,
                  const std::vector<const MemberRecord*>& records) {
-  return word({}, [&](wire::Control& out) {
-    wire::Part& one = *out.mutable_part();
-    one.set_from(from.raw);
-    one.set_upto(upto.raw);
-    one.set_last(last.raw);
-    one.set_digest(digest);
+  return encode_message({}, [&](wire::Control& out) {
+    wire::Part& body = *out.mutable_part();
+    body.set_from(from.raw);
+    body.set_upto(upto.raw);
+    body.set_last(last.raw);
+    body.set_digest(digest);
     for (const MemberRecord* record : records) {
-      wire::Member& member = *one.add_record();
+      wire::Member& member = *body.add_record();
       member.set_member(record->member.raw);
       member.set_incarnation(record->incarnation.raw);
-      member.set_attached(record->attached.raw);
+      member.set_attached(record->attachment.raw);
       member.set_address(record->address);
       member.set_zone(record->zone);
       member.set_since(record->since);
       member.set_presence(static_cast<std::uint32_t>(record->presence));
-      member.set_number(record->number.raw);
+      member.set_number(record->revision.raw);
     }
   });
 }
-std::string part_held(Incarnation owner, PartNo upto) {
-  return word({}, [&](wire::Control& out) {
+std::string part_held(Incarnation owner, PartRevision upto) {
+  return encode_message({}, [&](wire::Control& out) {
     out.mutable_part_held()->set_owner(owner.raw);
     out.mutable_part_held()->set_upto(upto.raw);
   });
@@ -209,85 +209,85 @@
 
 std::string follow(AttachmentNumber number, bool primary, const Position& at,
                    const std::vector<FollowedScope>& scopes, std::string_view zone) {
-  return word({}, [&](wire::Control& out) {
-    wire::Follow& one = *out.mutable_follow();
-    one.set_number(number.raw);
-    one.set_primary(primary);
-    put(*one.mutable_at(), at);
+  return encode_message({}, [&](wire::Control& out) {
+    wire::Follow& body = *out.mutable_follow();
+    body.set_number(number.raw);
+    body.set_primary(primary);
+    encode(*body.mutable_at(), at);
     for (const FollowedScope& held : scopes) {
-      wire::Scope& scope = *one.add_scope();
+      wire::Scope& scope = *body.add_scope();
       scope.set_scope(held.scope);
       scope.set_digest(held.digest);
       scope.set_held(held.held);
     }
-    one.set_zone(text(zone));
+    body.set_zone(to_string(zone));
   });
 }
 std::string have(AttachmentNumber number, const Position& at) {
-  return word({}, [&](wire::Control& out) {
+  return encode_message({}, [&](wire::Control& out) {
     out.mutable_have()->set_number(number.raw);
-    put(*out.mutable_have()->mutable_at(), at);
+    encode(*out.mutable_have()->mutable_at(), at);
   });
 }
 std::string compare(AttachmentNumber number, Version at, const std::vector<std::uint64_t>& digests) {
-  return word({}, [&](wire::Control& out) {
-    wire::Compare& one = *out.mutable_compare();
-    one.set_number(number.raw);
-    put(*one.mutable_at(), at);
-    for (const std::uint64_t digest : digests) one.add_digest(digest);
+  return encode_message({}, [&](wire::Control& out) {
+    wire::Compare& body = *out.mutable_compare();
+    body.set_number(number.raw);
+    encode(*body.mutable_at(), at);
+    for (const std::uint64_t digest : digests) body.add_digest(digest);
   });
 }
 std::string unfollow(AttachmentNumber number) {
-  return word({}, [&](wire::Control& out) { out.mutable_unfollow()->set_number(number.raw); });
+  return encode_message({}, [&](wire::Control& out) { out.mutable_unfollow()->set_number(number.raw); });
 }
 
 // ---- and back
 
 std::string delta(Incarnation to, AttachmentNumber number, Version from, Version upto, Version last,
                   Nanos age, const std::vector<const Entry*>& entries) {
-  return word(to, [&](wire::Control& out) {
-    wire::Delta& one = *out.mutable_delta();
-    one.set_number(number.raw);
-    put(*one.mutable_from(), from);
-    put(*one.mutable_upto(), upto);
-    put(*one.mutable_last(), last);
-    one.set_age(age);
-    for (const Entry* entry : entries) put(*one.add_entry(), *entry);
+  return encode_message(to, [&](wire::Control& out) {
+    wire::Delta& body = *out.mutable_delta();
+    body.set_number(number.raw);
+    encode(*body.mutable_from(), from);
+    encode(*body.mutable_upto(), upto);
+    encode(*body.mutable_last(), last);
+    body.set_age(age);
+    for (const Entry* entry : entries) encode(*body.add_entry(), *entry);
   });
 }
 std::string renewal(Incarnation to, AttachmentNumber number, Version at,
                     const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version last,
                     const std::vector<const Entry*>& entries) {
-  return word(to, [&](wire::Control& out) {
-    wire::Renewal& one = *out.mutable_renewal();
-    one.set_number(number.raw);
-    put(*one.mutable_at(), at);
-    for (const std::uint16_t scope : scopes) one.add_scope(scope);
-    put(*one.mutable_from(), from);
-    put(*one.mutable_upto(), upto);
-    put(*one.mutable_last(), last);
-    for (const Entry* entry : entries) put(*one.add_entry(), *entry);
+  return encode_message(to, [&](wire::Control& out) {
+    wire::Renewal& body = *out.mutable_renewal();
+    body.set_number(number.raw);
+    encode(*body.mutable_at(), at);
+    for (const std::uint16_t scope : scopes) body.add_scope(scope);
+    encode(*body.mutable_from(), from);
+    encode(*body.mutable_upto(), upto);
+    encode(*body.mutable_last(), last);
+    for (const Entry* entry : entries) encode(*body.add_entry(), *entry);
   });
 }
 std::string beat(Incarnation to, AttachmentNumber number, Version committed, Nanos age) {
-  return word(to, [&](wire::Control& out) {
-    wire::Beat& one = *out.mutable_beat();
-    one.set_number(number.raw);
-    put(*one.mutable_committed(), committed);
-    one.set_age(age);
+  return encode_message(to, [&](wire::Control& out) {
+    wire::Beat& body = *out.mutable_beat();
+    body.set_number(number.raw);
+    encode(*body.mutable_committed(), committed);
+    body.set_age(age);
   });
 }
 std::string rest(Incarnation to, AttachmentNumber number, Nanos rest) {
-  return word(to, [&](wire::Control& out) {
+  return encode_message(to, [&](wire::Control& out) {
     out.mutable_rest()->set_number(number.raw);
     out.mutable_rest()->set_rest(static_cast<std::uint64_t>(std::max<Nanos>(rest, 0)));
   });
 }
 std::string elsewhere(Incarnation to, AttachmentNumber number) {
-  return word(to, [&](wire::Control& out) { out.mutable_elsewhere()->set_number(number.raw); });
+  return encode_message(to, [&](wire::Control& out) { out.mutable_elsewhere()->set_number(number.raw); });
 }
 std::string again(Incarnation to, AttachmentNumber number) {
-  return word(to, [&](wire::Control& out) { out.mutable_again()->set_number(number.raw); });
+  return encode_message(to, [&](wire::Control& out) { out.mutable_again()->set_number(number.raw); });
 }
 
 // ---- read
@@ -301,87 +301,89 @@
     listener.prepared(Token{in.prepare().token()}, in.prepare().round());
     return true;
   case wire::Control::kPromise: {
-    const wire::Promise& one = in.promise();
-    LogStatus standing{version_of(one.last()), version_of(one.committed()), {}};
-    for (const wire::Roster& told : one.roster()) {
-      std::optional<Roster> roster = parse_roster(told.text());
+    const wire::Promise& body = in.promise();
+    LogStatus standing{version_of(body.last()), version_of(body.committed()), {}};
+    for (const wire::Roster& wire_roster : body.roster()) {
+      std::optional<Roster> roster = parse_roster(wire_roster.text());
       if (!roster) return false;
-      standing.rosters.emplace_back(version_of(told.version()), std::move(*roster));
+      standing.rosters.emplace_back(version_of(wire_roster.version()), std::move(*roster));
     }
-    listener.promised(to, Token{one.token()}, one.round(), standing);
+    listener.promised(to, Token{body.token()}, body.round(), standing);
     return true;
   }
   case wire::Control::kRefusal:
     listener.refused(to, Token{in.refusal().token()}, Token{in.refusal().seen()});
     return true;
   case wire::Control::kAppend: {
-    const wire::Append& one = in.append();
-    listener.appending({Token{one.token()}, one.mark(), version_of(one.log_from()),
-                        version_of(one.previous()), version_of(one.committed()), records_of(one)});
+    const wire::Append& body = in.append();
+    listener.appending({Token{body.token()}, body.mark(), version_of(body.log_from()),
+                        version_of(body.previous()), version_of(body.committed()), records_of(body)});
     return true;
   }
   case wire::Control::kAppended: {
-    const wire::Appended& one = in.appended();
-    listener.appended(to, Token{one.token()}, one.mark(), version_of(one.matched()), one.gap());
+    const wire::Appended& body = in.appended();
+    listener.appended(to, Token{body.token()}, body.mark(), version_of(body.matched()), body.gap());
     return true;
   }
   case wire::Control::kFetch: {
-    const wire::Fetch& one = in.fetch();
-    listener.fetched(Token{one.token()}, version_of(one.base()), version_of(one.cursor()),
-                     Token{one.since()});
+    const wire::Fetch& body = in.fetch();
+    listener.fetched(Token{body.token()}, version_of(body.base()), version_of(body.cursor()),
+                     Token{body.since()});
     return true;
   }
   case wire::Control::kChunk: {
-    const wire::Chunk& one = in.chunk();
+    const wire::Chunk& body = in.chunk();
     Chunk chunk;
-    chunk.token = Token{one.token()};
-    chunk.base = version_of(one.base());
-    chunk.from = version_of(one.from());
-    chunk.to = version_of(one.upto());
-    chunk.floor = version_of(one.floor());
-    chunk.committed = version_of(one.committed());
-    chunk.last = one.last();
-    chunk.unavailable = one.no_way();
-    chunk.records = records_of(one);
+    chunk.token = Token{body.token()};
+    chunk.base = version_of(body.base());
+    chunk.from = version_of(body.from());
+    chunk.to = version_of(body.upto());
+    chunk.floor = version_of(body.floor());
+    chunk.committed = version_of(body.committed());
+    chunk.last = body.last();
+    chunk.unavailable = body.no_way();
+    chunk.records = records_of(body);
     listener.chunked(to, chunk);
     return true;
   }
   case wire::Control::kPass: {
-    const wire::Pass& one = in.pass();
+    const wire::Pass& body = in.pass();
     ForwardedPut passed{
-        PutNumber{one.number()}, PutNumber{one.oldest()}, one.key(), one.value(), one.deleted(), {}};
-    if (one.has_expected()) passed.expected = version_of(one.expected());
-    listener.passed(to, Token{one.token()}, passed);
+        PutNumber{body.number()}, PutNumber{body.oldest()}, body.key(), body.value(), body.deleted(), {}};
+    if (body.has_expected()) passed.expected = version_of(body.expected());
+    listener.passed(to, Token{body.token()}, passed);
     return true;
   }
   case wire::Control::kAnswer: {
-    const wire::Answer& one = in.answer();
-    if (one.end() > static_cast<std::uint32_t>(PutOutcome::unknown)) return false;
-    listener.answered(to, Token{one.token()}, PutNumber{one.put()}, static_cast<PutOutcome>(one.end()),
-                      version_of(one.version()), one.why());
+    const wire::Answer& body = in.answer();
+    if (body.end() > static_cast<std::uint32_t>(PutOutcome::unknown)) return false;
+    listener.answered(to, Token{body.token()}, PutNumber{body.put()}, static_cast<PutOutcome>(body.end()),
+                      version_of(body.version()), body.why());
     return true;
   }
   case wire::Control::kPart: {
-    const wire::Part& one = in.part();
+    const wire::Part& body = in.part();
     std::vector<MemberRecord> records;
-    for (const wire::Member& member : one.record()) {
+    for (const wire::Member& member : body.record()) {
       if (member.presence() > static_cast<std::uint32_t>(Presence::gone)) return false;
       records.push_back({MemberId{member.member()}, Incarnation{member.incarnation()},
                          AttachmentNumber{member.attached()}, member.address(), member.zone(), member.since(),
-                         static_cast<Presence>(member.presence()), PartNo{member.number()}});
+                         static_cast<Presence>(member.presence()), PartRevision{member.number()}});
     }
-    listener.part(PartNo{one.from()}, PartNo{one.upto()}, PartNo{one.last()}, one.digest(), records);
+    listener.part(PartRevision{body.from()}, PartRevision{body.upto()}, PartRevision{body.last()},
+                  body.digest(), records);
     return true;
   }
   case wire::Control::kPartHeld:
-    listener.part_held(Incarnation{in.part_held().owner()}, PartNo{in.part_held().upto()});
+    listener.part_held(Incarnation{in.part_held().owner()}, PartRevision{in.part_held().upto()});
     return true;
   case wire::Control::kFollow: {
-    const wire::Follow& one = in.follow();
+    const wire::Follow& body = in.follow();
     std::vector<FollowedScope> scopes;
-    for (const wire::Scope& scope : one.scope())
+    for (const wire::Scope& scope : body.scope())
       scopes.push_back({scope.scope(), scope.digest(), scope.held()});
-    listener.follow(AttachmentNumber{one.number()}, one.primary(), position_of(one.at()), scopes, one.zone());
+    listener.follow(AttachmentNumber{body.number()}, body.primary(), position_of(body.at()), scopes,
+                    body.zone());
     return true;
   }
   case wire::Control::kHave:
@@ -405,20 +407,21 @@
   const Incarnation to{in.to()};
   switch (in.what_case()) {
   case wire::Control::kDelta: {
-    const wire::Delta& one = in.delta();
-    listener.delta(to, AttachmentNumber{one.number()}, version_of(one.from()), version_of(one.upto()),
-                   version_of(one.last()), one.age(), entries_of(one));
+    const wire::Delta& body = in.delta();
+    listener.delta(to, AttachmentNumber{body.number()}, version_of(body.from()), version_of(body.upto()),
+                   version_of(body.last()), body.age(), entries_of(body));
     return true;
   }
   case wire::Control::kRenewal: {
-    const wire::Renewal& one = in.renewal();
+    const wire::Renewal& body = in.renewal();
     std::vector<std::uint16_t> scopes;
-    for (const std::uint32_t scope : one.scope()) {
+    for (const std::uint32_t scope : body.scope()) {
       if (scope >= max_scopes) return false;
       scopes.push_back(static_cast<std::uint16_t>(scope));
     }
-    listener.renewal(to, AttachmentNumber{one.number()}, version_of(one.at()), scopes, version_of(one.from()),
-                     version_of(one.upto()), version_of(one.last()), entries_of(one));
+    listener.renewal(to, AttachmentNumber{body.number()}, version_of(body.at()), scopes,
+                     version_of(body.from()), version_of(body.upto()), version_of(body.last()),
+                     entries_of(body));
     return true;
   }
   case wire::Control::kBeat:
@@ -426,7 +429,7 @@
                   in.beat().age());
     return true;
   case wire::Control::kRest:
-    listener.rest(to, AttachmentNumber{in.rest().number()}, span_of(in.rest().rest()));
+    listener.rest(to, AttachmentNumber{in.rest().number()}, nanos_from_wire(in.rest().rest()));
     return true;
   case wire::Control::kElsewhere:
     listener.elsewhere(to, AttachmentNumber{in.elsewhere().number()});
--- a/peers/control_codec.hpp
+++ b/peers/control_codec.hpp
@@ -2,9 +2,10 @@
 // (control.proto). Each is one `control` word of a message (peer_codec.hpp), so which fleet, who, in which
 // incarnation and that no byte was spoilt is known before.
 //
-// Bounds: peer_codec::most_control bytes each. What holds entries or records keeps to it by control.most_part,
-// .most_batch and .record_overhead (default_control_settings); tests/control_words.cpp holds the longest
-// against it. Errors: reading returns false for what is no such word; nothing of it was told then.
+// Bounds: peer_codec::most_control bytes each. What holds entries or records keeps to it by
+// control.most_part, .most_batch and .record_overhead (default_control_settings); tests/control_words.cpp
+// holds the longest against it. Errors: reading returns false for what is no such word; nothing of it was
+// told then.
 #pragma once
 
 #include "directory.hpp"
@@ -20,16 +21,16 @@
 std::string promise(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing);
 std::string refuse(Incarnation to, Token token, Token seen);
 std::string append(const Append& append);
-std::string appended(Incarnation to, Token token, std::uint64_t mark, Version matched, bool gap);
+std::string appended(Incarnation to, Token token, std::uint64_t sequence, Version matched, bool gap);
 std::string fetch(Token token, Version base, Version cursor, Token since);
 std::string chunk(Incarnation to, const Chunk& chunk);
 std::string pass(Incarnation to, Token token, const ForwardedPut& put);
 std::string answer(Incarnation to, Token token, PutNumber put, PutOutcome end, Version version,
-                   std::string_view why);
+                   std::string_view reason);
 
-std::string part(PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
+std::string part(PartRevision from, PartRevision upto, PartRevision last, std::uint64_t digest,
                  const std::vector<const MemberRecord*>& records);
-std::string part_held(Incarnation owner, PartNo upto);
+std::string part_held(Incarnation owner, PartRevision upto);
 
 std::string follow(AttachmentNumber number, bool primary, const Position& at,
                    const std::vector<FollowedScope>& scopes, std::string_view zone);
@@ -55,15 +56,15 @@
   virtual void promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing) = 0;
   virtual void refused(Incarnation to, Token token, Token seen) = 0;
   virtual void appending(const Append& append) = 0;
-  virtual void appended(Incarnation to, Token token, std::uint64_t mark, Version matched, bool gap) = 0;
+  virtual void appended(Incarnation to, Token token, std::uint64_t sequence, Version matched, bool gap) = 0;
   virtual void fetched(Token token, Version base, Version cursor, Token since) = 0;
   virtual void chunked(Incarnation to, const Chunk& chunk) = 0;
   virtual void passed(Incarnation to, Token token, const ForwardedPut& put) = 0;
   virtual void answered(Incarnation to, Token token, PutNumber put, PutOutcome end, Version version,
-                        std::string_view why) = 0;
-  virtual void part(PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
+                        std::string_view reason) = 0;
+  virtual void part(PartRevision from, PartRevision upto, PartRevision last, std::uint64_t digest,
                     const std::vector<MemberRecord>& records) = 0;
-  virtual void part_held(Incarnation owner, PartNo upto) = 0;
+  virtual void part_held(Incarnation owner, PartRevision upto) = 0;
   virtual void follow(AttachmentNumber number, bool primary, const Position& at,
                       const std::vector<FollowedScope>& scopes, std::string_view zone) = 0;
   virtual void have(AttachmentNumber number, const Position& at) = 0;
--- a/peers/control_follower.cpp
+++ b/peers/control_follower.cpp
@@ -7,22 +7,23 @@
 
 namespace {
 
-std::vector<MemberId> numbers_of(const std::vector<Follower::Control>& controls) {
-  std::vector<MemberId> numbers;
-  for (const Follower::Control& one : controls) numbers.push_back(one.member);
-  return numbers;
+std::vector<MemberId> member_ids(const std::vector<Follower::Control>& controls) {
+  std::vector<MemberId> ids;
+  for (const Follower::Control& control : controls) ids.push_back(control.member);
+  return ids;
 }
 
 } // namespace
 
-ControlFollower::ControlFollower(Nanos now, const peer_codec::Sender& self, const Follower::Location& place,
+ControlFollower::ControlFollower(Nanos now, const peer_codec::Sender& self,
+                                 const Follower::Location& location,
                                  const std::vector<Follower::Control>& controls,
-                                 std::vector<std::string> scopes, const Settings& figures, std::uint64_t seed,
-                                 ControlFollowerActions& orders)
-    : actions_(orders), zone_(place.zone), now_(now),
+                                 std::vector<std::string> scopes, const Settings& settings,
+                                 std::uint64_t seed, ControlFollowerActions& actions)
+    : actions_(actions), zone_(location.zone), now_(now),
       voters_(now, self.from, {Epoch{1}, {controls.front().member}, {}}, 1),
-      follower_(now, self.incarnation, place, controls, std::move(scopes), figures, seed, *this),
-      peers_(now, self, numbers_of(controls), voters_, figures, seed + 1, *this) {}
+      follower_(now, self.incarnation, location, controls, std::move(scopes), settings, seed, *this),
+      peers_(now, self, member_ids(controls), voters_, settings, seed + 1, *this) {}
 
 bool ControlFollower::message(Nanos now, const peer_codec::Sender& sender, std::string_view payload) {
   now_ = now;
@@ -35,11 +36,11 @@
 void ControlFollower::turn(Nanos now) {
   now_ = now;
   do {
-    for (const MemberId control : std::exchange(lost_, {})) follower_.disconnected(now, control);
+    for (const MemberId control : std::exchange(disconnected_, {})) follower_.disconnected(now, control);
     follower_.due(now);
-    keep_lines();
+    update_connections();
     peers_.due(now);
-  } while (!lost_.empty());
+  } while (!disconnected_.empty());
   peers_.flush(now);
 }
 Nanos ControlFollower::next_wake() const {
@@ -48,77 +49,78 @@
 }
 
 // Lines are kept to those that are followed, and hung up behind the last word to others.
-void ControlFollower::keep_lines() {
+void ControlFollower::update_connections() {
   std::set<MemberId> wanted;
-  for (const Follower::Attachment& line : follower_.attachments()) wanted.insert(line.member);
-  if (wanted == kept_) return;
-  for (const MemberId control : kept_)
-    if (!wanted.contains(control)) peers_.keep(now_, control, false);
+  for (const Follower::Attachment& attachment : follower_.attachments()) wanted.insert(attachment.member);
+  if (wanted == requested_) return;
+  for (const MemberId control : requested_)
+    if (!wanted.contains(control)) peers_.request_connection(now_, control, false);
   for (const MemberId control : wanted)
-    if (!kept_.contains(control)) peers_.keep(now_, control, true);
-  kept_ = std::move(wanted);
+    if (!requested_.contains(control)) peers_.request_connection(now_, control, true);
+  requested_ = std::move(wanted);
 }
 
 // ---- the link
 
-void ControlFollower::peer_state_changed(MemberId of, PeerState, PeerState now) {
+void ControlFollower::peer_state_changed(MemberId member, PeerState, PeerState now) {
   if (now == PeerState::unresponsive || now == PeerState::one_way || now == PeerState::left)
-    lost_.push_back(of);
+    disconnected_.push_back(member);
 }
-bool ControlFollower::message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
-                              Incarnation acked_incarnation, bool leaving,
+bool ControlFollower::message(MemberId from, Incarnation incarnation, std::uint64_t number,
+                              std::uint64_t acked, Incarnation acked_incarnation, bool leaving,
                               const peer_codec::HeartbeatTerms& heartbeat) {
-  return peers_.received(now_, from, of, number, heard, acked_incarnation, leaving, heartbeat);
+  return peers_.received(now_, from, incarnation, number, acked, acked_incarnation, leaving, heartbeat);
 }
 void ControlFollower::control(MemberId from, Incarnation, std::string_view bytes) {
-  from_ = from;
+  sender_id_ = from;
   control_codec::read(bytes, *this);
 }
-void ControlFollower::say(MemberId to, std::string_view about, std::string word) {
-  peers_.keep(now_, to, true); // against a word to one that is followed only from the end of this turn on
-  kept_.insert(to);
-  peers_.enqueue(to, Peers::MessageClass::control, about, peer_codec::control(word));
+void ControlFollower::enqueue(MemberId to, std::string_view key, std::string message) {
+  peers_.request_connection(now_, to,
+                            true); // against a word to one that is followed only from the end of this turn on
+  requested_.insert(to);
+  peers_.enqueue(to, Peers::MessageClass::control, key, peer_codec::control(message));
 }
 
 // ---- to control members
 
 void ControlFollower::follow(MemberId to, AttachmentNumber number, bool primary, const Position& at,
                              const std::vector<FollowedScope>& scopes) {
-  say(to, "follow", control_codec::follow(number, primary, at, scopes, zone_));
+  enqueue(to, "follow", control_codec::follow(number, primary, at, scopes, zone_));
 }
 void ControlFollower::have(MemberId to, AttachmentNumber number, const Position& at) {
-  say(to, "have", control_codec::have(number, at));
+  enqueue(to, "have", control_codec::have(number, at));
 }
 void ControlFollower::compare(MemberId to, AttachmentNumber number, Version at,
                               const std::vector<std::uint64_t>& digests) {
-  say(to, "compare", control_codec::compare(number, at, digests));
+  enqueue(to, "compare", control_codec::compare(number, at, digests));
 }
 void ControlFollower::unfollow(MemberId to, AttachmentNumber number) {
-  if (peers_.up(to)) say(to, "unfollow", control_codec::unfollow(number));
+  if (peers_.is_connected(to)) enqueue(to, "unfollow", control_codec::unfollow(number));
 }
 
 // ---- from control members
 
 void ControlFollower::delta(Incarnation to, AttachmentNumber number, Version from, Version upto, Version last,
                             Nanos age, const std::vector<Entry>& entries) {
-  follower_.delta(now_, from_, to, number, from, upto, last, age, entries);
+  follower_.delta(now_, sender_id_, to, number, from, upto, last, age, entries);
 }
 void ControlFollower::renewal(Incarnation to, AttachmentNumber number, Version at,
                               const std::vector<std::uint16_t>& scopes, Version from, Version upto,
                               Version last, const std::vector<Entry>& entries) {
-  follower_.renewal(now_, from_, to, number, at, scopes, from, upto, last, entries);
+  follower_.renewal(now_, sender_id_, to, number, at, scopes, from, upto, last, entries);
 }
 void ControlFollower::beat(Incarnation to, AttachmentNumber number, Version committed, Nanos age) {
-  follower_.beat(now_, from_, to, number, committed, age);
+  follower_.beat(now_, sender_id_, to, number, committed, age);
 }
 void ControlFollower::rest(Incarnation to, AttachmentNumber number, Nanos rest) {
-  follower_.rest(now_, from_, to, number, rest);
+  follower_.rest(now_, sender_id_, to, number, rest);
 }
 void ControlFollower::elsewhere(Incarnation to, AttachmentNumber number) {
-  follower_.elsewhere(now_, from_, to, number);
+  follower_.elsewhere(now_, sender_id_, to, number);
 }
 void ControlFollower::again(Incarnation to, AttachmentNumber number) {
-  follower_.again(now_, from_, to, number);
+  follower_.again(now_, sender_id_, to, number);
 }
 
 } // namespace cometshift
--- a/peers/control_follower.hpp
+++ b/peers/control_follower.hpp
@@ -21,9 +21,9 @@
   virtual void send(MemberId to, std::string frame) = 0;
   // As FollowerActions has them.
   virtual std::string check(const Entry& entry) = 0;
-  virtual void refused(const Entry& entry, std::string_view why) = 0;
+  virtual void refused(const Entry& entry, std::string_view reason) = 0;
   virtual void applied(Version version, const std::vector<const Entry*>& changed) = 0;
-  virtual void left(MemberId control, LeaveReason why) = 0;
+  virtual void left(MemberId control, LeaveReason reason) = 0;
   virtual void duplicate_member(MemberId number) = 0;
 };
 
@@ -32,9 +32,9 @@
                               peer_codec::Listener,
                               control_codec::FollowerListener {
  public:
-  ControlFollower(Nanos now, const peer_codec::Sender& self, const Follower::Location& place,
+  ControlFollower(Nanos now, const peer_codec::Sender& self, const Follower::Location& location,
                   const std::vector<Follower::Control>& controls, std::vector<std::string> scopes,
-                  const Settings& figures, std::uint64_t seed, ControlFollowerActions& orders);
+                  const Settings& settings, std::uint64_t seed, ControlFollowerActions& actions);
   ControlFollower(const ControlFollower&) = delete;
   ControlFollower& operator=(const ControlFollower&) = delete;
 
@@ -57,9 +57,9 @@
   void dial(MemberId to) override { actions_.dial(to); }
   void disconnect(MemberId to) override { actions_.disconnect(to); }
   void send(MemberId to, std::string frame) override { actions_.send(to, std::move(frame)); }
-  void peer_state_changed(MemberId of, PeerState before, PeerState now) override;
+  void peer_state_changed(MemberId member, PeerState before, PeerState now) override;
   void duplicate_member(MemberId number) override { actions_.duplicate_member(number); }
-  bool message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
+  bool message(MemberId from, Incarnation incarnation, std::uint64_t number, std::uint64_t acked,
                Incarnation acked_incarnation, bool leaving,
                const peer_codec::HeartbeatTerms& heartbeat) override;
   void voters(MemberId, Epoch, const VoterList&) override {}
@@ -68,7 +68,7 @@
   void granted(MemberId, Incarnation, std::string_view, AskNo, bool) override {}
   void refused(MemberId, Incarnation, std::string_view, AskNo, Token, Nanos) override {}
   void done(MemberId, std::string_view, Token, Nanos) override {}
-  void control(MemberId from, Incarnation of, std::string_view bytes) override;
+  void control(MemberId from, Incarnation incarnation, std::string_view bytes) override;
   // To control members
   void follow(MemberId to, AttachmentNumber number, bool primary, const Position& at,
               const std::vector<FollowedScope>& scopes) override;
@@ -78,11 +78,11 @@
   void unfollow(MemberId to, AttachmentNumber number) override;
   // To the server
   std::string check(const Entry& entry) override { return actions_.check(entry); }
-  void refused(const Entry& entry, std::string_view why) override { actions_.refused(entry, why); }
+  void refused(const Entry& entry, std::string_view reason) override { actions_.refused(entry, reason); }
   void applied(Version version, const std::vector<const Entry*>& changed) override {
     actions_.applied(version, changed);
   }
-  void left(MemberId member, LeaveReason why) override { actions_.left(member, why); }
+  void left(MemberId member, LeaveReason reason) override { actions_.left(member, reason); }
   // From control members
   void delta(Incarnation to, AttachmentNumber number, Version from, Version upto, Version last, Nanos age,
              const std::vector<Entry>& entries) override;
@@ -93,15 +93,15 @@
   void elsewhere(Incarnation to, AttachmentNumber number) override;
   void again(Incarnation to, AttachmentNumber number) override;
 
-  void say(MemberId to, std::string_view about, std::string word);
-  void keep_lines();
+  void enqueue(MemberId to, std::string_view key, std::string message);
+  void update_connections();
 
   ControlFollowerActions& actions_;
   std::string zone_;
   Nanos now_;
-  MemberId from_{}; // who speaks, while a word is taken
-  std::vector<MemberId> lost_;
-  std::set<MemberId> kept_;
+  MemberId sender_id_{}; // who speaks, while a word is taken
+  std::vector<MemberId> disconnected_;
+  std::set<MemberId> requested_;
   Voters voters_; // as Peers wants a list; the lines of this link go by choice
   Follower follower_;
   Peers peers_;
--- a/peers/control_member.cpp
+++ b/peers/control_member.cpp
@@ -8,29 +8,29 @@
 namespace {
 
 constexpr double ms = 1e6; // ns
-constexpr const char* lease_of_writer = "control";
-constexpr std::size_t most_strangers = 256; // beside those that follow: a zone's return, some ms of it
+constexpr const char* writer_lease = "control";
+constexpr std::size_t max_unattached = 256; // beside those that follow: a zone's return, some ms of it
 
 // For how long what was granted may last, by a clock as wrong as is allowed.
-Nanos settle_time(const Settings& figures) {
-  const double drift = number(figures, "leases.drift", 0);
-  return static_cast<Nanos>(number(figures, "leases.longest_term", 0) * (1 + drift) / (1 - drift)) + 1;
+Nanos longest_grant(const Settings& settings) {
+  const double drift = number(settings, "leases.drift", 0);
+  return static_cast<Nanos>(number(settings, "leases.longest_term", 0) * (1 + drift) / (1 - drift)) + 1;
 }
-VoterList list_of(const std::set<MemberId>& voters) { return {Epoch{1}, voters, {}}; }
+VoterList voter_list(const std::set<MemberId>& voters) { return {Epoch{1}, voters, {}}; }
 std::vector<MemberId> without(const std::vector<MemberId>& all, MemberId one) {
   std::vector<MemberId> others;
   for (const MemberId member : all)
     if (member != one) others.push_back(member);
   return others;
 }
-std::string about(const char* what, std::uint64_t which) { return what + std::to_string(which); }
+std::string numbered(const char* kind, std::uint64_t number) { return kind + std::to_string(number); }
 
 } // namespace
 
 // A change is in force everywhere within 4 s: a beat of half a second tells a server by its second line that
 // its first has fallen behind, a second is then waited for it, and the rest is room for the turn.
 Settings default_control_settings(bool control) {
-  Settings figures{
+  Settings settings{
       {"control.beat", 500 * ms},
       {"control.silent", 2'000 * ms},
       {"control.behind", 1'000 * ms},
@@ -81,28 +81,28 @@
       {"peers.by_choice", 1.0},
   };
   if (control) {
-    figures["peers.most_beats"] = 20'000.0; // a machine of its own; control's beats come sooner anyway
-    figures["peers.most_members"] = 16'384.0;
-    figures["peers.most_words"] = 512.0;
-    figures["peers.most_waiting_bytes"] = 512.0 * 1024; // the batches under way, and some more
+    settings["peers.most_beats"] = 20'000.0; // a machine of its own; control's beats come sooner anyway
+    settings["peers.most_members"] = 16'384.0;
+    settings["peers.most_words"] = 512.0;
+    settings["peers.most_waiting_bytes"] = 512.0 * 1024; // the batches under way, and some more
   }
-  return figures;
+  return settings;
 }
 
 ControlMember::ControlMember(const ClockReadings& at, const peer_codec::Sender& self,
                              const std::vector<MemberId>& controls, const std::set<MemberId>& voters,
-                             const Settings& figures, std::uint64_t seed, ControlMemberActions& orders)
-    : actions_(orders), self_(self), controls_(controls.begin(), controls.end()), at_(at),
-      behind_(static_cast<Nanos>(required_number(figures, "control.behind", 1 * ms))),
-      voters_(at.late, self.from, list_of(voters), settle_time(figures)),
-      leases_(at.late, self.from, self.incarnation, voters_, figures, seed, *this),
-      replica_(at.early, self.from, self.incarnation, controls_, voters, figures, *this),
-      feed_(at.early, replica_.entries(), figures, seed + 1, *this),
-      directory_(at.early, self.from, self.incarnation, without(controls, self.from), figures, *this),
-      peers_(at.early, self, without(controls, self.from), voters_, figures, seed + 2, *this) {
+                             const Settings& settings, std::uint64_t seed, ControlMemberActions& actions)
+    : actions_(actions), self_(self), controls_(controls.begin(), controls.end()), at_(at),
+      max_lag_(static_cast<Nanos>(required_number(settings, "control.behind", 1 * ms))),
+      voters_(at.late, self.from, voter_list(voters), longest_grant(settings)),
+      leases_(at.late, self.from, self.incarnation, voters_, settings, seed, *this),
+      replica_(at.early, self.from, self.incarnation, controls_, voters, settings, *this),
+      feed_(at.early, replica_.entries(), settings, seed + 1, *this),
+      directory_(at.early, self.from, self.incarnation, without(controls, self.from), settings, *this),
+      peers_(at.early, self, without(controls, self.from), voters_, settings, seed + 2, *this) {
   for (const MemberId one : controls)
-    if (one != self.from) peers_.keep(at.early, one, true);
-  if (voters.contains(self.from)) leases_.acquire(at.early, lease_of_writer);
+    if (one != self.from) peers_.request_connection(at.early, one, true);
+  if (voters.contains(self.from)) leases_.acquire(at.early, writer_lease);
 }
 
 // ---- the lines
@@ -118,18 +118,19 @@
   if (sender.from == self_.from || sender.listen.empty()) return false;
   if (is_control(sender.from)) return true;
   // Against any number of those that come, say who they are and follow nothing.
-  while (strangers_.size() >= most_strangers || (!strangers_.empty() && !peers_.add(at.early, sender.from))) {
-    const MemberId first = strangers_.front();
-    strangers_.pop_front();
-    if (!attached_.contains(first) && first != sender.from) let_go(first);
+  while (unattached_.size() >= max_unattached ||
+         (!unattached_.empty() && !peers_.add(at.early, sender.from))) {
+    const MemberId first = unattached_.front();
+    unattached_.pop_front();
+    if (!attached_.contains(first) && first != sender.from) forget_member(first);
   }
   if (!peers_.add(at.early, sender.from)) return false;
-  if (!attached_.contains(sender.from)) strangers_.push_back(sender.from);
+  if (!attached_.contains(sender.from)) unattached_.push_back(sender.from);
   std::string& address = addresses_[sender.from];
   if (address != sender.listen) actions_.listed(sender.from, address = sender.listen);
   return true;
 }
-void ControlMember::let_go(MemberId member) {
+void ControlMember::forget_member(MemberId member) {
   attached_.erase(member);
   peers_.remove(at_.early, member);
   if (addresses_.erase(member) > 0) actions_.unlisted(member);
@@ -138,7 +139,7 @@
 bool ControlMember::message(const ClockReadings& at, const peer_codec::Sender& sender,
                             std::string_view payload) {
   at_ = at;
-  speaks_at_ = sender.listen;
+  sender_address_ = sender.listen;
   return peer_codec::decode_message(payload, sender, *this);
 }
 
@@ -153,30 +154,30 @@
 void ControlMember::turn(const ClockReadings& at) {
   at_ = at;
   for (;;) {
-    while (!own_.empty()) {
-      const auto what = std::move(own_.front());
-      own_.pop_front();
-      what();
+    while (!self_queue_.empty()) {
+      const auto action = std::move(self_queue_.front());
+      self_queue_.pop_front();
+      action();
     }
     leases_.raise_token_counter(at.unix_ms);
     leases_.due(at.early);
-    look_at_holding();
+    activate_lease();
     replica_.due(at.early);
-    look_at_state();
+    update_feed();
     feed_.due(at.early);
     directory_.due(at.early);
     peers_.due(at.early);
-    if (own_.empty()) break;
+    if (self_queue_.empty()) break;
   }
   peers_.flush(at.early);
 }
-void ControlMember::look_at_state() {
+void ControlMember::update_feed() {
   if (replica_.ready() == feed_.is_inactive())
     feed_.is_inactive() ? feed_.activate(at_.early) : feed_.deactivate(at_.early);
   if (replica_.is_writer(at_.early)) feed_.confirm_current(at_.early);
 }
 Nanos ControlMember::next_wake() const {
-  Nanos next = holding_.token == Token{} ? -1 : holding_.from;
+  Nanos next = pending_lease_.token == Token{} ? -1 : pending_lease_.from;
   for (const Nanos at : {leases_.next_wake(), replica_.next_wake(), feed_.next_wake(), directory_.next_wake(),
                          peers_.next_wake()})
     if (at >= 0 && (next < 0 || at < next)) next = at;
@@ -190,41 +191,42 @@
 
 // ---- the link
 
-void ControlMember::peer_state_changed(MemberId of, PeerState before, PeerState now) {
-  if (is_control(of)) return actions_.peer_state_changed(of, before, now);
+void ControlMember::peer_state_changed(MemberId member, PeerState before, PeerState now) {
+  if (is_control(member)) return actions_.peer_state_changed(member, before, now);
   if (now != PeerState::unresponsive && now != PeerState::left) return;
-  to_self([this, of] {
-    if (attached_.erase(of) > 0) peers_.keep(at_.early, of, false);
+  defer_to_self([this, member] {
+    if (attached_.erase(member) > 0) peers_.request_connection(at_.early, member, false);
   });
 }
-bool ControlMember::message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
+bool ControlMember::message(MemberId from, Incarnation incarnation, std::uint64_t number, std::uint64_t acked,
                             Incarnation acked_incarnation, bool leaving,
                             const peer_codec::HeartbeatTerms& heartbeat) {
-  if (!peers_.received(at_.early, from, of, number, heard, acked_incarnation, leaving, heartbeat))
+  if (!peers_.received(at_.early, from, incarnation, number, acked, acked_incarnation, leaving, heartbeat))
     return false;
-  from_ = from;
-  of_ = of;
+  sender_id_ = from;
+  sender_incarnation_ = incarnation;
   if (!is_control(from))
-    leaving ? directory_.left(at_.early, from, of) : directory_.heard(at_.early, from, of);
+    leaving ? directory_.left(at_.early, from, incarnation)
+            : directory_.received(at_.early, from, incarnation);
   return true;
 }
-void ControlMember::control(MemberId from, Incarnation of, std::string_view bytes) {
-  from_ = from;
-  of_ = of;
+void ControlMember::control(MemberId from, Incarnation incarnation, std::string_view bytes) {
+  sender_id_ = from;
+  sender_incarnation_ = incarnation;
   control_codec::read(bytes, *this);
 }
-void ControlMember::say(MemberId to, std::string_view about, std::string word) {
-  peers_.enqueue(to, Peers::MessageClass::control, about, peer_codec::control(word));
+void ControlMember::enqueue(MemberId to, std::string_view key, std::string message) {
+  peers_.enqueue(to, Peers::MessageClass::control, key, peer_codec::control(message));
 }
 
 // ---- leases
 
-void ControlMember::asked(MemberId from, Incarnation of, Epoch epoch, std::string_view lease, AskNo number,
-                          Token token, Nanos term) {
-  if (is_control(from)) leases_.asked(at_.late, from, of, epoch, lease, number, token, term);
+void ControlMember::asked(MemberId from, Incarnation incarnation, Epoch epoch, std::string_view lease,
+                          AskNo number, Token token, Nanos term) {
+  if (is_control(from)) leases_.asked(at_.late, from, incarnation, epoch, lease, number, token, term);
 }
-void ControlMember::released(MemberId from, Incarnation of, std::string_view lease, AskNo number) {
-  if (is_control(from)) leases_.released(at_.late, from, of, lease, number);
+void ControlMember::released(MemberId from, Incarnation incarnation, std::string_view lease, AskNo number) {
+  if (is_control(from)) leases_.released(at_.late, from, incarnation, lease, number);
 }
 void ControlMember::granted(MemberId from, Incarnation to, std::string_view lease, AskNo number,
                             bool wanted) {
@@ -239,7 +241,7 @@
   if (voter != self_.from)
     return void(peers_.enqueue(voter, Peers::MessageClass::request, lease,
                                peer_codec::ask(epoch, lease, number, token, term)));
-  to_self([this, epoch, lease = std::string(lease), number, token, term] {
+  defer_to_self([this, epoch, lease = std::string(lease), number, token, term] {
     leases_.asked(at_.late, self_.from, self_.incarnation, epoch, lease, number, token, term);
   });
 }
@@ -247,74 +249,76 @@
   if (voter != self_.from)
     return void(
         peers_.enqueue(voter, Peers::MessageClass::request, lease, peer_codec::release(lease, number)));
-  to_self([this, lease = std::string(lease), number] {
+  defer_to_self([this, lease = std::string(lease), number] {
     leases_.released(at_.late, self_.from, self_.incarnation, lease, number);
   });
 }
-void ControlMember::grant(MemberId to, Incarnation of, std::string_view lease, AskNo number, bool wanted) {
+void ControlMember::grant(MemberId to, Incarnation incarnation, std::string_view lease, AskNo number,
+                          bool wanted) {
   if (to != self_.from)
     return void(peers_.enqueue(to, Peers::MessageClass::response, lease,
-                               peer_codec::grant(of, lease, number, wanted)));
-  to_self([this, of, lease = std::string(lease), number, wanted] {
-    leases_.granted(at_.early, self_.from, of, lease, number, wanted);
+                               peer_codec::grant(incarnation, lease, number, wanted)));
+  defer_to_self([this, incarnation, lease = std::string(lease), number, wanted] {
+    leases_.granted(at_.early, self_.from, incarnation, lease, number, wanted);
   });
 }
-void ControlMember::refuse(MemberId to, Incarnation of, std::string_view lease, AskNo number, Token seen,
-                           Nanos left) {
+void ControlMember::refuse(MemberId to, Incarnation incarnation, std::string_view lease, AskNo number,
+                           Token seen, Nanos left) {
   if (to != self_.from)
     return void(peers_.enqueue(to, Peers::MessageClass::response, lease,
-                               peer_codec::refuse(of, lease, number, seen, left)));
-  to_self([this, of, lease = std::string(lease), number, seen, left] {
-    leases_.refused(at_.early, self_.from, of, lease, number, seen, left);
+                               peer_codec::refuse(incarnation, lease, number, seen, left)));
+  defer_to_self([this, incarnation, lease = std::string(lease), number, seen, left] {
+    leases_.refused(at_.early, self_.from, incarnation, lease, number, seen, left);
   });
 }
 void ControlMember::held(std::string_view, Token token, Nanos from, Nanos until) {
-  holding_ = {token, from, until};
-  look_at_holding();
+  pending_lease_ = {token, from, until};
+  activate_lease();
 }
 // Against writing while another may still: a holding may begin later than it is told.
-void ControlMember::look_at_holding() {
-  if (holding_.token == Token{} || holding_.from > at_.early) return;
-  const Holding begun = std::exchange(holding_, {});
+void ControlMember::activate_lease() {
+  if (pending_lease_.token == Token{} || pending_lease_.from > at_.early) return;
+  const PendingLease begun = std::exchange(pending_lease_, {});
   replica_.lease_held(at_.early, begun.token, begun.until);
 }
 void ControlMember::lost(std::string_view, Token token, LossReason) {
-  if (holding_.token == token) holding_ = {};
+  if (pending_lease_.token == token) pending_lease_ = {};
   replica_.lease_lost(at_.early, token);
 }
 
 // ---- the one order
 
 void ControlMember::prepare(MemberId to, Token token, std::uint32_t round) {
-  say(to, "prepare", control_codec::prepare(token, round));
+  enqueue(to, "prepare", control_codec::prepare(token, round));
 }
-void ControlMember::promise(MemberId to, Incarnation of, Token token, std::uint32_t round,
+void ControlMember::promise(MemberId to, Incarnation incarnation, Token token, std::uint32_t round,
                             const LogStatus& standing) {
-  say(to, "promise", control_codec::promise(of, token, round, standing));
+  enqueue(to, "promise", control_codec::promise(incarnation, token, round, standing));
 }
-void ControlMember::refuse(MemberId to, Incarnation of, Token token, Token seen) {
-  say(to, "refuse", control_codec::refuse(of, token, seen));
+void ControlMember::refuse(MemberId to, Incarnation incarnation, Token token, Token seen) {
+  enqueue(to, "refuse", control_codec::refuse(incarnation, token, seen));
 }
 void ControlMember::append(MemberId to, const Append& append) {
-  say(to, append.records.empty() ? "append" : about("append", append.sequence),
-      control_codec::append(append));
+  enqueue(to, append.records.empty() ? "append" : numbered("append", append.sequence),
+          control_codec::append(append));
 }
-void ControlMember::appended(MemberId to, Incarnation of, Token token, std::uint64_t mark, Version matched,
-                             bool gap) {
-  say(to, "appended", control_codec::appended(of, token, mark, matched, gap));
+void ControlMember::appended(MemberId to, Incarnation incarnation, Token token, std::uint64_t sequence,
+                             Version matched, bool gap) {
+  enqueue(to, "appended", control_codec::appended(incarnation, token, sequence, matched, gap));
 }
 void ControlMember::fetch(MemberId to, Token token, Version base, Version cursor, Token since) {
-  say(to, "fetch", control_codec::fetch(token, base, cursor, since));
+  enqueue(to, "fetch", control_codec::fetch(token, base, cursor, since));
 }
-void ControlMember::chunk(MemberId to, Incarnation of, const Chunk& chunk) {
-  say(to, about("chunk", chunk.from.number), control_codec::chunk(of, chunk));
+void ControlMember::chunk(MemberId to, Incarnation incarnation, const Chunk& chunk) {
+  enqueue(to, numbered("chunk", chunk.from.number), control_codec::chunk(incarnation, chunk));
 }
-void ControlMember::pass(MemberId to, Incarnation of, Token token, const ForwardedPut& put) {
-  say(to, about("pass", put.number.raw), control_codec::pass(of, token, put));
+void ControlMember::pass(MemberId to, Incarnation incarnation, Token token, const ForwardedPut& put) {
+  enqueue(to, numbered("pass", put.number.raw), control_codec::pass(incarnation, token, put));
 }
-void ControlMember::answer(MemberId to, Incarnation of, Token token, PutNumber put, PutOutcome end,
-                           Version version, std::string_view why) {
-  say(to, about("answer", put.raw), control_codec::answer(of, token, put, end, version, why));
+void ControlMember::answer(MemberId to, Incarnation incarnation, Token token, PutNumber put, PutOutcome end,
+                           Version version, std::string_view reason) {
+  enqueue(to, numbered("answer", put.raw),
+          control_codec::answer(incarnation, token, put, end, version, reason));
 }
 void ControlMember::committed(const Record& record) {
   feed_.committed(at_.early, record.entry);
@@ -323,121 +327,127 @@
 void ControlMember::replaced() {
   if (!feed_.is_inactive()) feed_.deactivate(at_.early); // what it told of it is not so any more
 }
-void ControlMember::ended(PutNumber put, PutOutcome end, Version version, std::string_view why) {
-  actions_.ended(put, end, version, why);
+void ControlMember::ended(PutNumber put, PutOutcome end, Version version, std::string_view reason) {
+  actions_.ended(put, end, version, reason);
 }
 void ControlMember::superseded(Token, Token seen) {
-  to_self([this, seen] { leases_.refused_by_target(at_.early, lease_of_writer, seen); });
+  defer_to_self([this, seen] { leases_.refused_by_target(at_.early, writer_lease, seen); });
 }
 void ControlMember::prepared(Token token, std::uint32_t round) {
-  if (is_control(from_)) replica_.prepared(at_.early, from_, of_, token, round);
+  if (is_control(sender_id_)) replica_.prepared(at_.early, sender_id_, sender_incarnation_, token, round);
 }
 void ControlMember::promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing) {
-  if (is_control(from_)) replica_.promised(at_.early, from_, of_, to, token, round, standing);
+  if (is_control(sender_id_))
+    replica_.promised(at_.early, sender_id_, sender_incarnation_, to, token, round, standing);
 }
 void ControlMember::refused(Incarnation to, Token token, Token seen) {
-  if (is_control(from_)) replica_.refused(at_.early, from_, of_, to, token, seen);
+  if (is_control(sender_id_)) replica_.refused(at_.early, sender_id_, sender_incarnation_, to, token, seen);
 }
 void ControlMember::appending(const Append& append) {
-  if (!is_control(from_)) return;
-  replica_.appending(at_.early, from_, of_, append);
+  if (!is_control(sender_id_)) return;
+  replica_.appending(at_.early, sender_id_, sender_incarnation_, append);
   if (replica_.ready() && replica_.status().last_received_at == at_.early &&
       replica_.committed() >= append.committed)
     feed_.confirm_current(at_.early);
 }
-void ControlMember::appended(Incarnation to, Token token, std::uint64_t mark, Version matched, bool gap) {
-  if (is_control(from_)) replica_.appended(at_.early, from_, of_, to, token, mark, matched, gap);
+void ControlMember::appended(Incarnation to, Token token, std::uint64_t sequence, Version matched, bool gap) {
+  if (is_control(sender_id_))
+    replica_.appended(at_.early, sender_id_, sender_incarnation_, to, token, sequence, matched, gap);
 }
 void ControlMember::fetched(Token token, Version base, Version cursor, Token since) {
-  if (is_control(from_)) replica_.fetched(at_.early, from_, of_, token, base, cursor, since);
+  if (is_control(sender_id_))
+    replica_.fetched(at_.early, sender_id_, sender_incarnation_, token, base, cursor, since);
 }
 void ControlMember::chunked(Incarnation to, const Chunk& chunk) {
-  if (is_control(from_)) replica_.chunked(at_.early, from_, of_, to, chunk);
+  if (is_control(sender_id_)) replica_.chunked(at_.early, sender_id_, sender_incarnation_, to, chunk);
 }
 void ControlMember::passed(Incarnation to, Token token, const ForwardedPut& put) {
-  if (is_control(from_)) replica_.passed(at_.early, from_, of_, to, token, put);
+  if (is_control(sender_id_)) replica_.passed(at_.early, sender_id_, sender_incarnation_, to, token, put);
 }
 void ControlMember::answered(Incarnation to, Token token, PutNumber put, PutOutcome end, Version version,
-                             std::string_view why) {
-  if (is_control(from_)) replica_.answered(at_.early, from_, of_, to, token, put, end, version, why);
+                             std::string_view reason) {
+  if (is_control(sender_id_))
+    replica_.answered(at_.early, sender_id_, sender_incarnation_, to, token, put, end, version, reason);
 }
 
 // ---- what is given out
 
-void ControlMember::delta(MemberId to, Incarnation of, AttachmentNumber number, Version from, Version upto,
-                          Version last, Nanos age, const std::vector<const Entry*>& entries) {
-  say(to, "part", control_codec::delta(of, number, from, upto, last, age, entries));
+void ControlMember::delta(MemberId to, Incarnation incarnation, AttachmentNumber number, Version from,
+                          Version upto, Version last, Nanos age, const std::vector<const Entry*>& entries) {
+  enqueue(to, "part", control_codec::delta(incarnation, number, from, upto, last, age, entries));
 }
-void ControlMember::renewal(MemberId to, Incarnation of, AttachmentNumber number, Version at,
+void ControlMember::renewal(MemberId to, Incarnation incarnation, AttachmentNumber number, Version at,
                             const std::vector<std::uint16_t>& scopes, Version from, Version upto,
                             Version last, const std::vector<const Entry*>& entries) {
-  say(to, "part", control_codec::renewal(of, number, at, scopes, from, upto, last, entries));
+  enqueue(to, "part", control_codec::renewal(incarnation, number, at, scopes, from, upto, last, entries));
 }
-void ControlMember::beat(MemberId to, Incarnation of, AttachmentNumber number, Version committed, Nanos age) {
-  say(to, "beat", control_codec::beat(of, number, committed, age));
+void ControlMember::beat(MemberId to, Incarnation incarnation, AttachmentNumber number, Version committed,
+                         Nanos age) {
+  enqueue(to, "beat", control_codec::beat(incarnation, number, committed, age));
 }
-void ControlMember::rest(MemberId to, Incarnation of, AttachmentNumber number, Nanos rest) {
-  say(to, "rest", control_codec::rest(of, number, rest));
+void ControlMember::rest(MemberId to, Incarnation incarnation, AttachmentNumber number, Nanos rest) {
+  enqueue(to, "rest", control_codec::rest(incarnation, number, rest));
 }
-void ControlMember::elsewhere(MemberId to, Incarnation of, AttachmentNumber number) {
-  say(to, "elsewhere", control_codec::elsewhere(of, number));
+void ControlMember::elsewhere(MemberId to, Incarnation incarnation, AttachmentNumber number) {
+  enqueue(to, "elsewhere", control_codec::elsewhere(incarnation, number));
 }
-void ControlMember::again(MemberId to, Incarnation of, AttachmentNumber number) {
-  say(to, "elsewhere", control_codec::again(of, number));
+void ControlMember::again(MemberId to, Incarnation incarnation, AttachmentNumber number) {
+  enqueue(to, "elsewhere", control_codec::again(incarnation, number));
 }
 void ControlMember::follow(AttachmentNumber number, bool primary, const Position& at,
                            const std::vector<FollowedScope>& scopes, std::string_view zone) {
-  if (is_control(from_)) return;
-  if (attached_.insert(from_).second) {
-    std::erase(strangers_, from_);
-    peers_.keep(at_.early, from_, true);
+  if (is_control(sender_id_)) return;
+  if (attached_.insert(sender_id_).second) {
+    std::erase(unattached_, sender_id_);
+    peers_.request_connection(at_.early, sender_id_, true);
   }
   MemberRecord record;
-  record.member = from_;
-  record.incarnation = of_;
-  record.attached = number;
-  record.address = speaks_at_;
+  record.member = sender_id_;
+  record.incarnation = sender_incarnation_;
+  record.attachment = number;
+  record.address = sender_address_;
   record.zone = std::string(zone);
   record.since = at_.unix_ms;
   directory_.attached(at_.early, record);
-  feed_.follow(at_.early, from_, of_, number, primary, at, scopes);
+  feed_.follow(at_.early, sender_id_, sender_incarnation_, number, primary, at, scopes);
 }
 void ControlMember::have(AttachmentNumber number, const Position& at) {
-  if (!is_control(from_)) feed_.have(at_.early, from_, of_, number, at);
+  if (!is_control(sender_id_)) feed_.have(at_.early, sender_id_, sender_incarnation_, number, at);
 }
 void ControlMember::compare(AttachmentNumber number, Version at, const std::vector<std::uint64_t>& digests) {
-  if (!is_control(from_)) feed_.compare(at_.early, from_, of_, number, at, digests);
+  if (!is_control(sender_id_)) feed_.compare(at_.early, sender_id_, sender_incarnation_, number, at, digests);
 }
 void ControlMember::unfollow(AttachmentNumber number) {
-  if (is_control(from_)) return;
-  feed_.unfollow(at_.early, from_, of_, number);
-  directory_.detached(at_.early, from_, of_);
-  attached_.erase(from_);
-  peers_.keep(at_.early, from_, false);
+  if (is_control(sender_id_)) return;
+  feed_.unfollow(at_.early, sender_id_, sender_incarnation_, number);
+  directory_.detached(at_.early, sender_id_, sender_incarnation_);
+  attached_.erase(sender_id_);
+  peers_.request_connection(at_.early, sender_id_, false);
 }
 
 // ---- who is there
 
-void ControlMember::part(MemberId to, PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
-                         const std::vector<const MemberRecord*>& records) {
-  say(to, "members", control_codec::part(from, upto, last, digest, records));
+void ControlMember::send_part(MemberId to, PartRevision from, PartRevision upto, PartRevision last,
+                              std::uint64_t digest, const std::vector<const MemberRecord*>& records) {
+  enqueue(to, "members", control_codec::part(from, upto, last, digest, records));
 }
-void ControlMember::have(MemberId to, Incarnation owner, PartNo upto) {
-  say(to, "members held", control_codec::part_held(owner, upto));
+void ControlMember::acknowledge_part(MemberId to, Incarnation owner, PartRevision upto) {
+  enqueue(to, "members held", control_codec::part_held(owner, upto));
 }
-void ControlMember::news(const MemberRecord& member, Presence before) {
+void ControlMember::presence_changed(const MemberRecord& member, Presence before) {
   actions_.presence(member, before);
   if (member.presence == Presence::gone)
-    to_self([this, gone = member.member] {
-      if (!attached_.contains(gone)) let_go(gone);
+    defer_to_self([this, gone = member.member] {
+      if (!attached_.contains(gone)) forget_member(gone);
     });
 }
-void ControlMember::part(PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
+void ControlMember::part(PartRevision from, PartRevision upto, PartRevision last, std::uint64_t digest,
                          const std::vector<MemberRecord>& records) {
-  if (is_control(from_)) directory_.part(at_.early, from_, of_, from, upto, last, digest, records);
+  if (is_control(sender_id_))
+    directory_.part_received(at_.early, sender_id_, sender_incarnation_, from, upto, last, digest, records);
 }
-void ControlMember::part_held(Incarnation owner, PartNo upto) {
-  if (is_control(from_)) directory_.have(at_.early, from_, owner, upto);
+void ControlMember::part_held(Incarnation owner, PartRevision upto) {
+  if (is_control(sender_id_)) directory_.part_acknowledged(at_.early, sender_id_, owner, upto);
 }
 
 } // namespace cometshift
--- a/peers/control_member.hpp
+++ b/peers/control_member.hpp
@@ -38,11 +38,11 @@
   virtual void listed(MemberId member, std::string_view address) = 0;
   virtual void unlisted(MemberId member) = 0;
   virtual std::string rejection_reason(const Entry& entry) = 0; // as the writer; empty: it can be written
-  virtual void ended(PutNumber put, PutOutcome end, Version version, std::string_view why) = 0;
+  virtual void ended(PutNumber put, PutOutcome end, Version version, std::string_view reason) = 0;
   virtual void committed(const Record& record) = 0;
   virtual void began(Token token, bool after_loss) = 0;
   virtual void stepped_down(Token token) = 0;
-  virtual void peer_state_changed(MemberId of, PeerState before, PeerState now) = 0; // of control members
+  virtual void peer_state_changed(MemberId member, PeerState before, PeerState now) = 0; // of control members
   virtual void presence(const MemberRecord& member, Presence before) = 0;
   virtual void duplicate_member(MemberId number) = 0;
 };
@@ -57,7 +57,7 @@
  public:
   ControlMember(const ClockReadings& at, const peer_codec::Sender& self,
                 const std::vector<MemberId>& controls, const std::set<MemberId>& voters,
-                const Settings& figures, std::uint64_t seed, ControlMemberActions& orders);
+                const Settings& settings, std::uint64_t seed, ControlMemberActions& actions);
   ControlMember(const ControlMember&) = delete;
   ControlMember& operator=(const ControlMember&) = delete;
 
@@ -88,80 +88,82 @@
   void dial(MemberId to) override { actions_.dial(to); }
   void disconnect(MemberId to) override { actions_.disconnect(to); }
   void send(MemberId to, std::string frame) override { actions_.send(to, std::move(frame)); }
-  void peer_state_changed(MemberId of, PeerState before, PeerState now) override;
+  void peer_state_changed(MemberId member, PeerState before, PeerState now) override;
   void duplicate_member(MemberId number) override { actions_.duplicate_member(number); }
   // Words of the link and of leases
-  bool message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
+  bool message(MemberId from, Incarnation incarnation, std::uint64_t number, std::uint64_t acked,
                Incarnation acked_incarnation, bool leaving,
                const peer_codec::HeartbeatTerms& heartbeat) override;
   void voters(MemberId, Epoch, const VoterList&) override {} // they are those that the files name
-  void asked(MemberId from, Incarnation of, Epoch epoch, std::string_view lease, AskNo number, Token token,
-             Nanos term) override;
-  void released(MemberId from, Incarnation of, std::string_view lease, AskNo number) override;
+  void asked(MemberId from, Incarnation incarnation, Epoch epoch, std::string_view lease, AskNo number,
+             Token token, Nanos term) override;
+  void released(MemberId from, Incarnation incarnation, std::string_view lease, AskNo number) override;
   void granted(MemberId from, Incarnation to, std::string_view lease, AskNo number, bool wanted) override;
   void refused(MemberId from, Incarnation to, std::string_view lease, AskNo number, Token seen,
                Nanos left) override;
   void done(MemberId, std::string_view, Token, Nanos) override {}
-  void control(MemberId from, Incarnation of, std::string_view bytes) override;
+  void control(MemberId from, Incarnation incarnation, std::string_view bytes) override;
   // Leases
   void ask(MemberId voter, Epoch epoch, std::string_view lease, AskNo number, Token token,
            Nanos term) override;
   void release(MemberId voter, std::string_view lease, AskNo number) override;
-  void grant(MemberId to, Incarnation of, std::string_view lease, AskNo number, bool wanted) override;
-  void refuse(MemberId to, Incarnation of, std::string_view lease, AskNo number, Token seen,
+  void grant(MemberId to, Incarnation incarnation, std::string_view lease, AskNo number,
+             bool wanted) override;
+  void refuse(MemberId to, Incarnation incarnation, std::string_view lease, AskNo number, Token seen,
               Nanos left) override;
   void held(std::string_view lease, Token token, Nanos from, Nanos until) override;
-  void lost(std::string_view lease, Token token, LossReason why) override;
+  void lost(std::string_view lease, Token token, LossReason reason) override;
   // The one order: to others
   void prepare(MemberId to, Token token, std::uint32_t round) override;
-  void promise(MemberId to, Incarnation of, Token token, std::uint32_t round,
+  void promise(MemberId to, Incarnation incarnation, Token token, std::uint32_t round,
                const LogStatus& standing) override;
-  void refuse(MemberId to, Incarnation of, Token token, Token seen) override;
+  void refuse(MemberId to, Incarnation incarnation, Token token, Token seen) override;
   void append(MemberId to, const Append& append) override;
-  void appended(MemberId to, Incarnation of, Token token, std::uint64_t mark, Version matched,
+  void appended(MemberId to, Incarnation incarnation, Token token, std::uint64_t sequence, Version matched,
                 bool gap) override;
   void fetch(MemberId to, Token token, Version base, Version cursor, Token since) override;
-  void chunk(MemberId to, Incarnation of, const Chunk& chunk) override;
-  void pass(MemberId to, Incarnation of, Token token, const ForwardedPut& put) override;
-  void answer(MemberId to, Incarnation of, Token token, PutNumber put, PutOutcome end, Version version,
-              std::string_view why) override;
+  void chunk(MemberId to, Incarnation incarnation, const Chunk& chunk) override;
+  void pass(MemberId to, Incarnation incarnation, Token token, const ForwardedPut& put) override;
+  void answer(MemberId to, Incarnation incarnation, Token token, PutNumber put, PutOutcome end,
+              Version version, std::string_view reason) override;
   // ... and here
   std::string rejection_reason(const Entry& entry) override { return actions_.rejection_reason(entry); }
   void committed(const Record& record) override;
   void replaced() override;
-  void ended(PutNumber put, PutOutcome end, Version version, std::string_view why) override;
+  void ended(PutNumber put, PutOutcome end, Version version, std::string_view reason) override;
   void began(Token token, bool after_loss) override { actions_.began(token, after_loss); }
   void stepped_down(Token token) override { actions_.stepped_down(token); }
   void superseded(Token token, Token seen) override;
   // What is given out
-  void delta(MemberId to, Incarnation of, AttachmentNumber number, Version from, Version upto, Version last,
-             Nanos age, const std::vector<const Entry*>& entries) override;
-  void renewal(MemberId to, Incarnation of, AttachmentNumber number, Version at,
+  void delta(MemberId to, Incarnation incarnation, AttachmentNumber number, Version from, Version upto,
+             Version last, Nanos age, const std::vector<const Entry*>& entries) override;
+  void renewal(MemberId to, Incarnation incarnation, AttachmentNumber number, Version at,
                const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version last,
                const std::vector<const Entry*>& entries) override;
-  void beat(MemberId to, Incarnation of, AttachmentNumber number, Version committed, Nanos age) override;
-  void rest(MemberId to, Incarnation of, AttachmentNumber number, Nanos rest) override;
-  void elsewhere(MemberId to, Incarnation of, AttachmentNumber number) override;
-  void again(MemberId to, Incarnation of, AttachmentNumber number) override;
+  void beat(MemberId to, Incarnation incarnation, AttachmentNumber number, Version committed,
+            Nanos age) override;
+  void rest(MemberId to, Incarnation incarnation, AttachmentNumber number, Nanos rest) override;
+  void elsewhere(MemberId to, Incarnation incarnation, AttachmentNumber number) override;
+  void again(MemberId to, Incarnation incarnation, AttachmentNumber number) override;
   // Who is there
-  void part(MemberId to, PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
-            const std::vector<const MemberRecord*>& records) override;
-  void have(MemberId to, Incarnation owner, PartNo upto) override;
-  void news(const MemberRecord& member, Presence before) override;
+  void send_part(MemberId to, PartRevision from, PartRevision upto, PartRevision last, std::uint64_t digest,
+                 const std::vector<const MemberRecord*>& records) override;
+  void acknowledge_part(MemberId to, Incarnation owner, PartRevision upto) override;
+  void presence_changed(const MemberRecord& member, Presence before) override;
   // Words of control members and of servers
   void prepared(Token token, std::uint32_t round) override;
   void promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing) override;
   void refused(Incarnation to, Token token, Token seen) override;
   void appending(const Append& append) override;
-  void appended(Incarnation to, Token token, std::uint64_t mark, Version matched, bool gap) override;
+  void appended(Incarnation to, Token token, std::uint64_t sequence, Version matched, bool gap) override;
   void fetched(Token token, Version base, Version cursor, Token since) override;
   void chunked(Incarnation to, const Chunk& chunk) override;
   void passed(Incarnation to, Token token, const ForwardedPut& put) override;
   void answered(Incarnation to, Token token, PutNumber put, PutOutcome end, Version version,
-                std::string_view why) override;
-  void part(PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
+                std::string_view reason) override;
+  void part(PartRevision from, PartRevision upto, PartRevision last, std::uint64_t digest,
             const std::vector<MemberRecord>& records) override;
-  void part_held(Incarnation owner, PartNo upto) override;
+  void part_held(Incarnation owner, PartRevision upto) override;
   void follow(AttachmentNumber number, bool primary, const Position& at,
               const std::vector<FollowedScope>& scopes, std::string_view zone) override;
   void have(AttachmentNumber number, const Position& at) override;
@@ -169,30 +171,30 @@
   void unfollow(AttachmentNumber number) override;
 
   bool is_control(MemberId member) const { return controls_.contains(member); }
-  void say(MemberId to, std::string_view about, std::string word);
-  void to_self(std::function<void()> what) { own_.push_back(std::move(what)); }
-  void look_at_state();
-  void look_at_holding();
-  void let_go(MemberId member);
+  void enqueue(MemberId to, std::string_view key, std::string message);
+  void defer_to_self(std::function<void()> action) { self_queue_.push_back(std::move(action)); }
+  void update_feed();
+  void activate_lease();
+  void forget_member(MemberId member);
 
   ControlMemberActions& actions_;
   peer_codec::Sender self_;
   std::set<MemberId> controls_;
   ClockReadings at_;
-  Nanos behind_;            // for longer it gives nothing out
+  Nanos max_lag_;           // for longer it gives nothing out
   Nanos behind_since_ = -1; // that the writer has committed more than is here; -1: it is level
-  MemberId from_{};         // who speaks, while a word is taken
-  Incarnation of_{};
-  std::string speaks_at_; // its address, as it says
-  std::deque<std::function<void()>> own_;
-  std::deque<MemberId> strangers_; // were welcome, and follow nothing yet: the first make room
-  std::set<MemberId> attached_;    // servers to whom a line is kept
+  MemberId sender_id_{};    // who speaks, while a word is taken
+  Incarnation sender_incarnation_{};
+  std::string sender_address_; // its address, as it says
+  std::deque<std::function<void()>> self_queue_;
+  std::deque<MemberId> unattached_; // were welcome, and follow nothing yet: the first make room
+  std::set<MemberId> attached_;     // servers to whom a line is kept
   std::map<MemberId, std::string> addresses_;
-  struct Holding {
+  struct PendingLease {
     Token token{};
     Nanos from = 0, until = 0;
   };
-  Holding holding_; // of the lease, told and not begun yet; token 0: none
+  PendingLease pending_lease_; // of the lease, told and not begun yet; token 0: none
   Voters voters_;
   Leases leases_;
   Replica replica_;
--- a/peers/links.cpp
+++ b/peers/links.cpp
@@ -11,19 +11,19 @@
 
 namespace {
 
-constexpr std::size_t more_incoming = 8;      // than two for each member: one that is going, one that comes
-constexpr std::chrono::seconds first_word{2}; // in which a connection has to say who it is
+constexpr std::size_t spare_incoming = 8; // than two for each member: one that is going, one that comes
+constexpr std::chrono::seconds hello_timeout{2};             // in which a connection has to say who it is
 constexpr std::chrono::milliseconds accept_retry_delay{100}; // where no descriptor is free
-constexpr std::size_t read_at_once = 16 * 1024;              // bytes: others have their turn between
-constexpr int sent_ahead =
+constexpr std::size_t max_read_bytes = 16 * 1024;            // bytes: others have their turn between
+constexpr int send_buffer_bytes =
     32 * 1024; // bytes that the system may hold of messages: what is old there is of no use
 
 } // namespace
 
 Links::Links(asio::io_context& io, Tcp::endpoint listen, peer_codec::Sender self,
-             std::map<MemberId, Tcp::endpoint> others, Handler& taker)
-    : io_(io), acceptor_(io), retry_(io), self_(std::move(self)), others_(std::move(others)), taker_(taker),
-      some_(read_at_once, '\0') {
+             std::map<MemberId, Tcp::endpoint> others, Handler& handler)
+    : io_(io), acceptor_(io), retry_(io), self_(std::move(self)), others_(std::move(others)),
+      handler_(handler), read_buffer_(max_read_bytes, '\0') {
   try {
     acceptor_.open(listen.protocol());
     acceptor_.set_option(
@@ -44,13 +44,13 @@
   asio::error_code ignored;
   acceptor_.close(ignored);
   retry_.cancel();
-  for (auto& [number, one] : incoming_) {
-    one->socket.close(ignored);
-    one->timer.cancel();
+  for (auto& [number, incoming] : incoming_) {
+    incoming->socket.close(ignored);
+    incoming->timer.cancel();
   }
   incoming_.clear();
-  by_heard_.clear();
-  by_speaker_.clear();
+  by_last_read_.clear();
+  by_sender_.clear();
   outgoing_.clear();
 }
 
@@ -63,12 +63,13 @@
 void Links::remove(MemberId member) {
   if (others_.erase(member) == 0) return;
   disconnect(member);
-  const auto at = by_speaker_.find(member);
-  if (at == by_speaker_.end()) return;
-  for (const std::uint64_t number : std::set(at->second)) end(std::shared_ptr(incoming_.at(number)), nullptr);
+  const auto at = by_sender_.find(member);
+  if (at == by_sender_.end()) return;
+  for (const std::uint64_t number : std::set(at->second))
+    close_incoming(std::shared_ptr(incoming_.at(number)), nullptr);
 }
 
-std::size_t Links::most_incoming() const { return 2 * others_.size() + more_incoming; }
+std::size_t Links::max_incoming() const { return 2 * others_.size() + spare_incoming; }
 
 // ---- those that others dial
 
@@ -87,18 +88,18 @@
     }
     if (error) continue;
     // Against any number of connections: what they hold is bounded by it.
-    while (incoming_.size() >= most_incoming()) make_room();
-    const auto one = std::make_shared<Incoming>(std::move(socket), io_);
-    one->number = next_++;
-    one->socket.non_blocking(true, error);
-    incoming_.emplace(one->number, one);
-    by_heard_.emplace(one->heard, one->number);
-    one->timer.expires_after(first_word);
-    one->timer.async_wait([this, weak = std::weak_ptr(one)](asio::error_code stopped) {
-      const auto held = weak.lock();
-      if (!stopped && held && !held->known) end(held, "it does not say who it is");
+    while (incoming_.size() >= max_incoming()) evict_oldest();
+    const auto incoming = std::make_shared<Incoming>(std::move(socket), io_);
+    incoming->number = next_number_++;
+    incoming->socket.non_blocking(true, error);
+    incoming_.emplace(incoming->number, incoming);
+    by_last_read_.emplace(incoming->last_read, incoming->number);
+    incoming->timer.expires_after(hello_timeout);
+    incoming->timer.async_wait([this, weak = std::weak_ptr(incoming)](asio::error_code stopped) {
+      const auto live = weak.lock();
+      if (!stopped && live && !live->identified) close_incoming(live, "it does not say who it is");
     });
-    read(one);
+    read(incoming);
   }
 }
 
@@ -108,126 +109,129 @@
   });
 }
 
-void Links::end(const std::shared_ptr<Incoming>& one, const char* why) {
-  if (incoming_.erase(one->number) == 0) return;
-  by_heard_.erase({one->heard, one->number});
-  if (const auto at = by_speaker_.find(one->sender.from); one->known && at != by_speaker_.end()) {
-    at->second.erase(one->number);
-    if (at->second.empty()) by_speaker_.erase(at);
+void Links::close_incoming(const std::shared_ptr<Incoming>& incoming, const char* reason) {
+  if (incoming_.erase(incoming->number) == 0) return;
+  by_last_read_.erase({incoming->last_read, incoming->number});
+  if (const auto at = by_sender_.find(incoming->sender.from);
+      incoming->identified && at != by_sender_.end()) {
+    at->second.erase(incoming->number);
+    if (at->second.empty()) by_sender_.erase(at);
   }
-  if (why) taker_.log_event(std::string("a connection closed: ") + why);
+  if (reason) handler_.log_event(std::string("a connection closed: ") + reason);
   asio::error_code ignored;
-  one->socket.close(ignored);
-  one->timer.cancel();
+  incoming->socket.close(ignored);
+  incoming->timer.cancel();
 }
 
-void Links::make_room() { end(std::shared_ptr(incoming_.at(by_heard_.begin()->second)), "room for another"); }
+void Links::evict_oldest() {
+  close_incoming(std::shared_ptr(incoming_.at(by_last_read_.begin()->second)), "room for another");
+}
 
 // A member that dials anew speaks there: what still lies in an earlier connection of it is old.
-void Links::replace(const Incoming& by) {
+void Links::close_superseded(const Incoming& newer) {
   std::vector<std::shared_ptr<Incoming>> before;
-  for (const std::uint64_t number : by_speaker_[by.sender.from])
-    if (const auto& one = incoming_.at(number); one->sender.incarnation == by.sender.incarnation)
-      before.push_back(one);
-  for (const auto& one : before) end(one, nullptr);
-  by_speaker_[by.sender.from].insert(by.number);
+  for (const std::uint64_t number : by_sender_[newer.sender.from])
+    if (const auto& incoming = incoming_.at(number); incoming->sender.incarnation == newer.sender.incarnation)
+      before.push_back(incoming);
+  for (const auto& incoming : before) close_incoming(incoming, nullptr);
+  by_sender_[newer.sender.from].insert(newer.number);
 }
 
 // Most are idle: what is read of any of them passes through one place, and each keeps what is no message yet.
-void Links::read(const std::shared_ptr<Incoming>& one) {
-  one->socket.async_wait(Tcp::socket::wait_read, [this, one](asio::error_code error) {
-    if (closed_ || !incoming_.contains(one->number)) return;
+void Links::read(const std::shared_ptr<Incoming>& incoming) {
+  incoming->socket.async_wait(Tcp::socket::wait_read, [this, incoming](asio::error_code error) {
+    if (closed_ || !incoming_.contains(incoming->number)) return;
     std::size_t n = 0;
-    if (!error) n = one->socket.read_some(asio::buffer(some_), error);
-    if (error == asio::error::would_block) return read(one);
-    if (error) return end(one, nullptr);
-    one->in.append(some_, 0, n);
-    by_heard_.erase({one->heard, one->number});
-    one->heard = ++heards_;
-    by_heard_.emplace(one->heard, one->number);
-    const char* why = nullptr;
-    if (!parse(*one, why)) return end(one, why);
-    if (one->in.empty()) one->in.shrink_to_fit();
-    read(one);
+    if (!error) n = incoming->socket.read_some(asio::buffer(read_buffer_), error);
+    if (error == asio::error::would_block) return read(incoming);
+    if (error) return close_incoming(incoming, nullptr);
+    incoming->buffer.append(read_buffer_, 0, n);
+    by_last_read_.erase({incoming->last_read, incoming->number});
+    incoming->last_read = ++reads_;
+    by_last_read_.emplace(incoming->last_read, incoming->number);
+    const char* reason = nullptr;
+    if (!parse(*incoming, reason)) return close_incoming(incoming, reason);
+    if (incoming->buffer.empty()) incoming->buffer.shrink_to_fit();
+    read(incoming);
   });
 }
 
-bool Links::parse(Incoming& one, const char*& why) {
-  const std::string_view all = one.in;
+bool Links::parse(Incoming& incoming, const char*& reason) {
+  const std::string_view all = incoming.buffer;
   std::size_t from = 0;
   while (all.size() - from >= frames::header_size) {
     const std::uint32_t length = frames::read_le(all.data() + from, 4);
-    if (!frames::is_valid_length(length) || length + 4 > peer_codec::most_letter)
-      return why = "no letter", false;
+    if (!frames::is_valid_length(length) || length + 4 > peer_codec::max_message_bytes)
+      return reason = "no letter", false;
     if (all.size() - from < length + 4) break;
     const auto type = static_cast<std::uint8_t>(all[from + 4]);
     const std::string_view payload = all.substr(from + frames::header_size, length + 4 - frames::header_size);
     from += length + 4;
-    if (!one.known) {
-      if (type != frames::peer_hello || !peer_codec::decode_hello(payload, one.sender))
-        return why = "it says nothing that can be read", false;
-      if (one.sender.fleet != self_.fleet) return why = "of another fleet", false;
-      if (one.sender.to != self_.from) return why = "for another member", false;
-      if (!others_.contains(one.sender.from) &&
-          !(taker_.accept_unlisted(one.sender) && others_.contains(one.sender.from)))
-        return why = "of no member that is listed", false;
-      one.known = true;
-      one.timer.cancel();
-      replace(one);
-    } else if (type != frames::peer_message || !taker_.message(one.sender, payload)) {
-      return why = "a letter that can't be read", false;
+    if (!incoming.identified) {
+      if (type != frames::peer_hello || !peer_codec::decode_hello(payload, incoming.sender))
+        return reason = "it says nothing that can be read", false;
+      if (incoming.sender.fleet != self_.fleet) return reason = "of another fleet", false;
+      if (incoming.sender.to != self_.from) return reason = "for another member", false;
+      if (!others_.contains(incoming.sender.from) &&
+          !(handler_.accept_unlisted(incoming.sender) && others_.contains(incoming.sender.from)))
+        return reason = "of no member that is listed", false;
+      incoming.identified = true;
+      incoming.timer.cancel();
+      close_superseded(incoming);
+    } else if (type != frames::peer_message || !handler_.message(incoming.sender, payload)) {
+      return reason = "a letter that can't be read", false;
     }
-    if (!incoming_.contains(one.number)) return false; // closed or removed meanwhile
+    if (!incoming_.contains(incoming.number)) return false; // closed or removed meanwhile
   }
-  one.in.erase(0, from);
+  incoming.buffer.erase(0, from);
   return true;
 }
 
 // ---- those that this member dials
 
-bool Links::current(MemberId to, const Held& held) const {
+bool Links::is_current(MemberId to, const OutgoingPtr& outgoing) const {
   const auto at = outgoing_.find(to);
-  return at != outgoing_.end() && at->second == held;
+  return at != outgoing_.end() && at->second == outgoing;
 }
 
-void Links::lost(MemberId to, const Held& held) {
-  if (!current(to, held)) return;
+void Links::outgoing_closed(MemberId to, const OutgoingPtr& outgoing) {
+  if (!is_current(to, outgoing)) return;
   outgoing_.erase(to);
-  taker_.broken(to);
+  handler_.broken(to);
 }
 
 void Links::dial(MemberId to) {
   const auto listed = others_.find(to);
   if (listed == others_.end()) return;
-  const auto held = std::make_shared<Outgoing>(io_);
-  outgoing_[to] = held;
-  held->socket.async_connect(listed->second, [this, to, held](asio::error_code error) {
-    if (!current(to, held)) return;
-    if (error) return lost(to, held);
+  const auto outgoing = std::make_shared<Outgoing>(io_);
+  outgoing_[to] = outgoing;
+  outgoing->socket.async_connect(listed->second, [this, to, outgoing](asio::error_code error) {
+    if (!is_current(to, outgoing)) return;
+    if (error) return outgoing_closed(to, outgoing);
     asio::error_code ignored;
-    held->socket.set_option(Tcp::no_delay(true), ignored);
-    held->socket.set_option(asio::socket_base::send_buffer_size(sent_ahead), ignored);
+    outgoing->socket.set_option(Tcp::no_delay(true), ignored);
+    outgoing->socket.set_option(asio::socket_base::send_buffer_size(send_buffer_bytes), ignored);
     peer_codec::Sender sender = self_;
     sender.to = to;
-    held->frame = peer_codec::hello(sender);
-    asio::async_write(held->socket, asio::buffer(held->frame),
-                      [this, to, held](asio::error_code failed, std::size_t) {
-                        if (!current(to, held)) return;
-                        if (failed) return lost(to, held);
-                        taker_.connected(to);
+    outgoing->frame = peer_codec::hello(sender);
+    asio::async_write(outgoing->socket, asio::buffer(outgoing->frame),
+                      [this, to, outgoing](asio::error_code failed, std::size_t) {
+                        if (!is_current(to, outgoing)) return;
+                        if (failed) return outgoing_closed(to, outgoing);
+                        handler_.connected(to);
                       });
-    await_end(to, held);
+    watch_for_close(to, outgoing);
   });
 }
 
-void Links::await_end(MemberId to, const Held& held) {
-  held->socket.async_read_some(asio::buffer(held->ignored),
-                               [this, to, held](asio::error_code error, std::size_t) {
-                                 if (error)
-                                   lost(to, held);
-                                 else if (current(to, held))
-                                   await_end(to, held);
-                               });
+void Links::watch_for_close(MemberId to, const OutgoingPtr& outgoing) {
+  outgoing->socket.async_read_some(asio::buffer(outgoing->discarded),
+                                   [this, to, outgoing](asio::error_code error, std::size_t) {
+                                     if (error)
+                                       outgoing_closed(to, outgoing);
+                                     else if (is_current(to, outgoing))
+                                       watch_for_close(to, outgoing);
+                                   });
 }
 
 void Links::disconnect(MemberId to) {
@@ -241,13 +245,13 @@
 void Links::send(MemberId to, std::string frame) {
   const auto at = outgoing_.find(to);
   if (at == outgoing_.end()) return;
-  const Held held = at->second;
-  held->frame = std::move(frame);
-  asio::async_write(held->socket, asio::buffer(held->frame),
-                    [this, to, held](asio::error_code error, std::size_t) {
-                      if (!current(to, held)) return;
-                      if (error) return lost(to, held);
-                      taker_.written(to);
+  const OutgoingPtr outgoing = at->second;
+  outgoing->frame = std::move(frame);
+  asio::async_write(outgoing->socket, asio::buffer(outgoing->frame),
+                    [this, to, outgoing](asio::error_code error, std::size_t) {
+                      if (!is_current(to, outgoing)) return;
+                      if (error) return outgoing_closed(to, outgoing);
+                      handler_.written(to);
                     });
 }
 
--- a/peers/links.hpp
+++ b/peers/links.hpp
@@ -35,12 +35,12 @@
     virtual bool message(const peer_codec::Sender& sender, std::string_view payload) = 0;
     // One of this fleet that is not listed wants to speak. True: it was listed meanwhile by `add`.
     virtual bool accept_unlisted(const peer_codec::Sender&) { return false; }
-    virtual void log_event(std::string_view words) = 0; // for the log
+    virtual void log_event(std::string_view text) = 0; // for the log
   };
   using Tcp = asio::ip::tcp;
 
   Links(asio::io_context& io, Tcp::endpoint listen, peer_codec::Sender self,
-        std::map<MemberId, Tcp::endpoint> others, Handler& taker);
+        std::map<MemberId, Tcp::endpoint> others, Handler& handler);
   ~Links();
 
   // Who else is listed, while this one lives. Another endpoint of one that is listed serves from the next
@@ -60,44 +60,44 @@
     explicit Outgoing(asio::io_context& io) : socket(io) {}
     Tcp::socket socket;
     std::string frame;
-    char ignored[64]; // nothing comes on it but its end
+    char discarded[64]; // nothing comes on it but its end
   };
   struct Incoming {
     explicit Incoming(Tcp::socket s, asio::io_context& io) : socket(std::move(s)), timer(io) {}
     Tcp::socket socket;
     asio::steady_timer timer; // for its first word
-    std::string in;
+    std::string buffer;
     peer_codec::Sender sender;
     std::uint64_t number = 0;
-    bool known = false;      // it has said who it is
-    std::uint64_t heard = 0; // by order: the one that was heard last has the greatest
+    bool identified = false;     // it has said who it is
+    std::uint64_t last_read = 0; // by order: the one that was heard last has the greatest
   };
-  using Held = std::shared_ptr<Outgoing>;
+  using OutgoingPtr = std::shared_ptr<Outgoing>;
 
   void accept();
   void accept_all();
-  void read(const std::shared_ptr<Incoming>& one);
-  void end(const std::shared_ptr<Incoming>& one, const char* why);
-  void make_room();
-  void replace(const Incoming& by);
-  bool parse(Incoming& one, const char*& why);
-  void await_end(MemberId to, const Held& held);
-  void lost(MemberId to, const Held& held);
-  bool current(MemberId to, const Held& held) const;
-  std::size_t most_incoming() const;
+  void read(const std::shared_ptr<Incoming>& incoming);
+  void close_incoming(const std::shared_ptr<Incoming>& incoming, const char* reason);
+  void evict_oldest();
+  void close_superseded(const Incoming& newer);
+  bool parse(Incoming& incoming, const char*& reason);
+  void watch_for_close(MemberId to, const OutgoingPtr& outgoing);
+  void outgoing_closed(MemberId to, const OutgoingPtr& outgoing);
+  bool is_current(MemberId to, const OutgoingPtr& outgoing) const;
+  std::size_t max_incoming() const;
 
   asio::io_context& io_;
   Tcp::acceptor acceptor_;
   asio::steady_timer retry_;
   peer_codec::Sender self_;
   std::map<MemberId, Tcp::endpoint> others_;
-  Handler& taker_;
-  std::map<MemberId, Held> outgoing_;
-  std::map<std::uint64_t, std::shared_ptr<Incoming>> incoming_; // by number
-  std::set<std::pair<std::uint64_t, std::uint64_t>> by_heard_;  // with their numbers
-  std::map<MemberId, std::set<std::uint64_t>> by_speaker_;      // the numbers of those that are known
-  std::string some_;                                            // what is read, before it is a connection's
-  std::uint64_t next_ = 1, heards_ = 0;
+  Handler& handler_;
+  std::map<MemberId, OutgoingPtr> outgoing_;
+  std::map<std::uint64_t, std::shared_ptr<Incoming>> incoming_;    // by number
+  std::set<std::pair<std::uint64_t, std::uint64_t>> by_last_read_; // with their numbers
+  std::map<MemberId, std::set<std::uint64_t>> by_sender_;          // the numbers of those that are known
+  std::string read_buffer_; // what is read, before it is a connection's
+  std::uint64_t next_number_ = 1, reads_ = 0;
   bool closed_ = false;
 };
 
--- a/peers/peers.hpp
+++ b/peers/peers.hpp
@@ -44,7 +44,7 @@
   virtual void disconnect(MemberId to) = 0; // nothing of that connection follows
   // One frame; ends by `written` or `broken`.
   virtual void send(MemberId to, std::string frame) = 0;
-  virtual void peer_state_changed(MemberId of, PeerState before, PeerState now) = 0;
+  virtual void peer_state_changed(MemberId member, PeerState before, PeerState now) = 0;
   virtual void duplicate_member(MemberId number) = 0; // two members live under one number
 };
 
@@ -69,25 +69,25 @@
   // - peers.by_choice: 1: connections are kept to those alone that `keep` names; else also to the voters,
   //   by a voter to all it hears, and, where no voter is heard, to a few others at a time, by turns
   Peers(Nanos now, peer_codec::Sender self, std::vector<MemberId> others, const Voters& voters,
-        const Settings& figures, std::uint64_t seed, PeerActions& orders);
+        const Settings& settings, std::uint64_t seed, PeerActions& actions);
 
   // Who else there is, while this member lives. False: it is this member itself, or there is no room.
   bool add(Nanos now, MemberId member);    // true and nothing else where it is known already
   void remove(Nanos now, MemberId member); // hangs up; what waits is dropped, what was heard is forgotten
-  bool knows(MemberId member) const { return fellows_.contains(member); }
-  std::size_t known() const { return fellows_.size(); }
+  bool knows(MemberId member) const { return peers_.contains(member); }
+  std::size_t known() const { return peers_.size(); }
 
   // Whether a line to it is wanted by the caller, beside what the voters' rule wants; dialled again until it
   // isn't. Without either the line is hung up, and what waits is dropped. False: nobody of that number.
-  bool keep(Nanos now, MemberId member, bool wanted);
+  bool request_connection(Nanos now, MemberId member, bool wanted);
   const std::set<MemberId>& wanted() const { return wanted_; } // as the last turn found
-  bool up(MemberId to) const;                                  // a line to it stands
+  bool is_connected(MemberId to) const;                        // a line to it stands
 
   // To be said with the next message. False: no room, too long, or nobody of that number.
-  bool enqueue(MemberId to, MessageClass slot, std::string_view about, std::string word);
-  void enqueue_all(MessageClass slot, std::string_view about,
-                   const std::string& word); // to all to whom a line is wanted
-  std::size_t room(MemberId to) const;       // bytes that `say` still takes, a word's matter included
+  bool enqueue(MemberId to, MessageClass message_class, std::string_view key, std::string item);
+  void enqueue_all(MessageClass message_class, std::string_view key,
+                   const std::string& item); // to all to whom a line is wanted
+  std::size_t free_bytes(MemberId to) const; // bytes that `say` still takes, a word's matter included
   void leave(Nanos now);                     // says so; what waits is still said
   bool all_sent() const;                     // to all that can be reached
 
@@ -95,8 +95,9 @@
   void written(Nanos now, MemberId to);
   void broken(Nanos now, MemberId to);
   // A message came: true if what it says is to be taken, false if it came before.
-  bool received(Nanos now, MemberId from, Incarnation of, std::uint64_t number, std::uint64_t echo,
-                Incarnation echo_of, bool leaving, const peer_codec::HeartbeatTerms& heartbeat = {});
+  bool received(Nanos now, MemberId from, Incarnation incarnation, std::uint64_t number, std::uint64_t acked,
+                Incarnation acked_incarnation, bool leaving,
+                const peer_codec::HeartbeatTerms& heartbeat = {});
 
   Nanos next_wake() const; // -1: none
   void due(Nanos now);
@@ -113,7 +114,7 @@
     bool wanted = false;
   };
   std::vector<Status> status() const; // of all: for people
-  PeerState peer_state(MemberId of) const;
+  PeerState peer_state(MemberId member) const;
 
   // What this member has cost since it began: members looked at (by a call or a wake), messages and their
   // bytes as frames, tries to connect.
@@ -121,85 +122,88 @@
     std::uint64_t peers_examined = 0, messages = 0, bytes = 0, dials = 0;
   };
   const Costs& costs() const { return costs_; }
-  std::size_t lines() const { return lines_; }               // that stand
-  Nanos min_unresponsive_timeout() const { return silent_; } // by the figures: the least patience
-  Nanos beat() const; // as it is now, to those who ask for no rarer one
+  std::size_t connections() const { return connections_; } // that stand
+  Nanos min_unresponsive_timeout() const {
+    return min_unresponsive_timeout_;
+  }                                 // by the figures: the least patience
+  Nanos heartbeat_interval() const; // as it is now, to those who ask for no rarer one
 
  private:
-  enum class Line { none, dialling, up, sending };
-  struct Fellow {
-    Line line = Line::none;
-    Nanos since = 0;      // the line is as it is
-    Nanos again = 0;      // no dial before then
-    bool unheard = false; // it was found deaf, and has answered nothing since
-    bool kept = false;    // the caller wants a line
-    int tries = 0;        // that came to nothing, in a row
-    using Matter = std::pair<MessageClass, std::string>;
-    std::map<Matter, std::string> words;
-    std::size_t bytes = 0; // of the words, matters included
-    Matter said_to{},
-        control_to{MessageClass::control, {}}; // went out last: the next message goes on behind them
-    Nanos next_beat = 0;
-    std::uint64_t number = 0; // of the last message
+  enum class ConnectionState { none, connecting, idle, writing };
+  struct Peer {
+    ConnectionState connection = ConnectionState::none;
+    Nanos connection_since = 0; // the line is as it is
+    Nanos retry_at = 0;         // no dial before then
+    bool awaiting_ack = false;  // it was found deaf, and has answered nothing since
+    bool requested = false;     // the caller wants a line
+    int failed_attempts = 0;    // that came to nothing, in a row
+    using ItemKey = std::pair<MessageClass, std::string>;
+    std::map<ItemKey, std::string> pending;
+    std::size_t pending_bytes = 0; // of the words, matters included
+    ItemKey last_sent_key{},
+        last_control_key{MessageClass::control, {}}; // went out last: the next message goes on behind them
+    Nanos next_heartbeat_at = 0;
+    std::uint64_t last_sent = 0; // of the last message
     // Letters that were sent and not answered, by number; of many only the first and the last count.
-    std::deque<std::pair<std::uint64_t, Nanos>> unanswered;
-    Nanos asked_at = -1;     // a word that wants an answer went out on this line, and nothing was heard since
-    bool missed = false;     // it wrote without having heard what went out on this line long before
-    Nanos missed_since = -1; // that went out, and it has answered nothing since, on no line
+    std::deque<std::pair<std::uint64_t, Nanos>> unacked;
+    Nanos request_sent_at =
+        -1; // a word that wants an answer went out on this line, and nothing was heard since
+    bool ack_overdue = false; // it wrote without having heard what went out on this line long before
+    Nanos unacked_since = -1; // that went out, and it has answered nothing since, on no line
     PeerState peer_state = PeerState::unknown;
     Nanos last_received_at = -1;
     peer_codec::HeartbeatTerms heartbeat{}; // as it said last
-    Nanos answer_until = -1;                // it hears no voter, and asked for a line back
-    Incarnation newest{};
-    Nanos newest_at = 0;
-    std::map<Incarnation, std::uint64_t> last; // messages, by who wrote them
-    bool told_doubled = false;
+    Nanos connect_back_until = -1;          // it hears no voter, and asked for a line back
+    Incarnation newest_incarnation{};
+    Nanos newest_incarnation_at = 0;
+    std::map<Incarnation, std::uint64_t> last_received; // messages, by who wrote them
+    bool duplicate_reported = false;
     std::uint64_t messages = 0, dropped = 0, dials = 0;
     // As it is filed below.
     Nanos wake = -1;
-    bool stands = false, sends = false, ready = false, heard = false, is_wanted = false;
+    bool is_connected = false, is_writing = false, is_ready = false, is_receiving = false, is_wanted = false;
   };
   using Wakes = std::set<std::pair<Nanos, MemberId>>;
 
-  bool wanted(Nanos now, MemberId of, const Fellow& fellow) const;
-  bool deserted(Nanos now) const;
-  void ask_others(Nanos now);
-  void look_at_voters();
-  void judge(Nanos now, MemberId of, Fellow& fellow);
-  void look(Nanos now, MemberId of, Fellow& fellow);
-  void send(Nanos now, MemberId to, Fellow& fellow);
-  void down(Nanos now, Fellow& fellow);
-  void end(Nanos now, MemberId of, Fellow& fellow);
-  void let_go(Fellow& fellow, bool stale_only);
-  std::string next_words(Fellow& fellow, bool& asks);
-  Nanos unresponsive_timeout(const Fellow& fellow) const;
-  Nanos wake_of(MemberId of, const Fellow& fellow) const;
-  void file(MemberId member, Fellow& fellow);
+  bool wants_connection(Nanos now, MemberId member, const Peer& peer) const;
+  bool is_isolated(Nanos now) const;
+  void contact_others(Nanos now);
+  void update_voters();
+  void update_state(Nanos now, MemberId member, Peer& peer);
+  void process(Nanos now, MemberId member, Peer& peer);
+  void send(Nanos now, MemberId to, Peer& peer);
+  void on_disconnected(Nanos now, Peer& peer);
+  void close(Nanos now, MemberId member, Peer& peer);
+  void drop_pending(Peer& peer, bool stale_only);
+  std::string take_items(Peer& peer, bool& has_request);
+  Nanos unresponsive_timeout(const Peer& peer) const;
+  Nanos wake_time(MemberId member, const Peer& peer) const;
+  void reindex(MemberId member, Peer& peer);
 
   PeerActions& actions_;
   peer_codec::Sender self_;
-  Pcg chance_;
-  Nanos beat_, silent_, rest_least_, rest_most_;
-  std::size_t most_words_, most_bytes_, most_members_;
-  double most_beats_;
-  bool by_choice_;
+  Pcg random_;
+  Nanos heartbeat_interval_, min_unresponsive_timeout_, min_backoff_, max_backoff_;
+  std::size_t max_pending_, max_pending_bytes_, max_members_;
+  double max_heartbeats_;
+  bool only_requested_;
   const Voters& voters_;
-  std::set<MemberId> voters_seen_; // as the lines are kept to them
-  bool grants_seen_;
+  std::set<MemberId> last_voters_; // as the lines are kept to them
+  bool last_may_grant_;
   bool leaving_ = false;
   Nanos now_;
-  Nanos deserted_at_; // unless a voter is heard before
-  bool lonely_ = false;
-  std::set<MemberId> asked_; // while lonely
-  Nanos ask_at_ = -1;        // others
-  std::map<MemberId, Fellow> fellows_;
-  std::vector<MemberId> numbers_; // of the fellows, in order: to draw from
+  Nanos isolated_at_; // unless a voter is heard before
+  bool isolated_ = false;
+  std::set<MemberId> contacted_; // while lonely
+  Nanos contact_at_ = -1;        // others
+  std::map<MemberId, Peer> peers_;
+  std::vector<MemberId> members_; // of the fellows, in order: to draw from
   // The fellows by what they wait for; each is filed anew with each change of it.
   Wakes wakes_;
-  std::set<MemberId> touched_; // to be looked at in this turn
-  std::set<MemberId> ready_;   // a line stands and is free, and words wait
-  std::set<MemberId> wanted_, answered_;
-  std::size_t lines_ = 0, sending_ = 0, hearing_ = 0;
+  std::set<MemberId> dirty_; // to be looked at in this turn
+  std::set<MemberId> ready_; // a line stands and is free, and words wait
+  std::set<MemberId> wanted_, connect_back_;
+  std::size_t connections_ = 0, writing_ = 0, receiving_from_ = 0;
   Costs costs_;
 };
 
--- a/tests/control_directory.cpp
+++ b/tests/control_directory.cpp
@@ -34,8 +34,8 @@
 
 struct Printed final : DirectoryActions {
   bool quiet = false;
-  void part(MemberId to, PartNo from, PartNo upto, PartNo last, std::uint64_t,
-            const std::vector<const MemberRecord*>& records) override {
+  void send_part(MemberId to, PartRevision from, PartRevision upto, PartRevision last, std::uint64_t,
+                 const std::vector<const MemberRecord*>& records) override {
     if (quiet && records.empty()) return;
     std::printf("  to %u part %llu to %llu of %llu:", to.raw, static_cast<unsigned long long>(from.raw),
                 static_cast<unsigned long long>(upto.raw), static_cast<unsigned long long>(last.raw));
@@ -43,10 +43,10 @@
       std::printf(" %u %s", one->member.raw, std::string(to_text(one->presence)).c_str());
     std::printf("\n");
   }
-  void have(MemberId to, Incarnation, PartNo upto) override {
+  void acknowledge_part(MemberId to, Incarnation, PartRevision upto) override {
     std::printf("  to %u have %llu\n", to.raw, static_cast<unsigned long long>(upto.raw));
   }
-  void news(const MemberRecord& m, Presence before) override {
+  void presence_changed(const MemberRecord& m, Presence before) override {
     std::printf("  news of %u/%llu: %s, was %s\n", m.member.raw,
                 static_cast<unsigned long long>(m.incarnation.raw), std::string(to_text(m.presence)).c_str(),
                 std::string(to_text(before)).c_str());
@@ -68,16 +68,16 @@
     }
     directory.due(now = time * ms);
   }
-  void part(PartNo since, PartNo upto, PartNo last, std::vector<MemberRecord> records,
-            std::uint64_t of = 22) {
-    if (since == PartNo{}) digest = 0;
+  void part(PartRevision since, PartRevision upto, PartRevision last, std::vector<MemberRecord> records,
+            std::uint64_t incarnation = 22) {
+    if (since == PartRevision{}) digest = 0;
     for (const MemberRecord& one : records) digest += Directory::digest_of(one);
-    directory.part(now, MemberId{2}, Incarnation{of}, since, upto, last, digest, records);
+    directory.part_received(now, MemberId{2}, Incarnation{incarnation}, since, upto, last, digest, records);
   }
 };
 MemberRecord told(MemberRecord record, Presence presence, std::uint64_t number) {
   record.presence = presence;
-  record.number = PartNo{number};
+  record.revision = PartRevision{number};
   return record;
 }
 void zones(const Directory& directory) {
@@ -92,17 +92,17 @@
     s.directory.attached(0, record(20, 1, 5));
     s.part({}, {}, {}, {});
     s.to(0);
-    s.directory.have(s.now, MemberId{2}, Incarnation{11}, PartNo{1});
+    s.directory.part_acknowledged(s.now, MemberId{2}, Incarnation{11}, PartRevision{1});
     s.directory.attached(s.now, record(21, 1, 3, "b"));
     s.directory.left(s.now, MemberId{21}, Incarnation{1});
     s.to(0);
-    s.directory.have(s.now, MemberId{2}, Incarnation{11}, PartNo{3});
+    s.directory.part_acknowledged(s.now, MemberId{2}, Incarnation{11}, PartRevision{3});
     zones(s.directory);
     s.out.quiet = true;
     s.to(1500);
     s.part({}, {}, {}, {});
     s.to(1700);
-    s.directory.heard(s.now, MemberId{20}, Incarnation{1});
+    s.directory.received(s.now, MemberId{20}, Incarnation{1});
     s.to(6000);
     zones(s.directory);
   }
@@ -111,7 +111,7 @@
     Driver s;
     s.out.quiet = true;
     s.directory.attached(0, record(20, 1, 5));
-    s.part({}, PartNo{2}, PartNo{2},
+    s.part({}, PartRevision{2}, PartRevision{2},
            {told(record(20, 1, 4), Presence::unresponsive, 1), told(record(21, 1, 1), Presence::alive, 2)});
     s.directory.detached(0, MemberId{20}, Incarnation{1});
     s.directory.attached(0, record(22, 1, 1));
@@ -124,11 +124,13 @@
         "whole");
     Driver s;
     s.out.quiet = true;
-    s.part({}, PartNo{1}, PartNo{1}, {told(record(20, 1, 1), Presence::alive, 1)});
-    s.part(PartNo{2}, PartNo{3}, PartNo{3}, {told(record(21, 1, 1), Presence::alive, 3)});
-    s.part({}, PartNo{1}, PartNo{2}, {told(record(21, 1, 2), Presence::alive, 1)}, 23);
-    s.part(PartNo{1}, PartNo{2}, PartNo{2}, {told(record(22, 1, 2), Presence::alive, 2)}, 23);
-    s.part({}, PartNo{1}, PartNo{1}, {told(record(20, 1, 1), Presence::alive, 1)}); // of the life before
+    s.part({}, PartRevision{1}, PartRevision{1}, {told(record(20, 1, 1), Presence::alive, 1)});
+    s.part(PartRevision{2}, PartRevision{3}, PartRevision{3}, {told(record(21, 1, 1), Presence::alive, 3)});
+    s.part({}, PartRevision{1}, PartRevision{2}, {told(record(21, 1, 2), Presence::alive, 1)}, 23);
+    s.part(PartRevision{1}, PartRevision{2}, PartRevision{2}, {told(record(22, 1, 2), Presence::alive, 2)},
+           23);
+    s.part({}, PartRevision{1}, PartRevision{1},
+           {told(record(20, 1, 1), Presence::alive, 1)}); // of the life before
     say("its owner is silent: so are they; forgotten later");
     s.to(1700);
     s.to(5100);
@@ -140,14 +142,14 @@
     s.out.quiet = true;
     s.directory.attached(0, record(20, 1, 5));
     s.directory.attached(0, record(20, 2, 6));
-    s.directory.heard(2 * second, MemberId{20}, Incarnation{1});
-    s.part({}, PartNo{1}, PartNo{1}, {told(record(21, 1, 1), Presence::alive, 1)});
+    s.directory.received(2 * second, MemberId{20}, Incarnation{1});
+    s.part({}, PartRevision{1}, PartRevision{1}, {told(record(21, 1, 1), Presence::alive, 1)});
     s.directory.attached(0, record(21, 2, 2));
     for (Nanos t = 500; t <= 4000; t += 500) {
       s.to(t);
-      s.directory.heard(s.now, MemberId{21}, Incarnation{2});
-      s.directory.heard(s.now, MemberId{20}, Incarnation{2});
-      s.part(PartNo{1}, PartNo{1}, PartNo{1}, {});
+      s.directory.received(s.now, MemberId{21}, Incarnation{2});
+      s.directory.received(s.now, MemberId{20}, Incarnation{2});
+      s.part(PartRevision{1}, PartRevision{1}, PartRevision{1}, {});
     }
   }
 }
@@ -162,18 +164,20 @@
     std::unique_ptr<Directory> directory;
     Owner(World& w, MemberId i) : world(w), id(i) {}
     Incarnation life() const { return Incarnation{id.raw * 1000 + lives}; }
-    void part(MemberId to, PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
-              const std::vector<const MemberRecord*>& records) override {
+    void send_part(MemberId to, PartRevision from, PartRevision upto, PartRevision last, std::uint64_t digest,
+                   const std::vector<const MemberRecord*>& records) override {
       std::vector<MemberRecord> all;
       for (const MemberRecord* one : records) all.push_back(*one);
       world.send(to, [=, of = life(), from_id = id](Directory& at, Nanos now) {
-        at.part(now, from_id, of, from, upto, last, digest, all);
+        at.part_received(now, from_id, of, from, upto, last, digest, all);
       });
     }
-    void have(MemberId to, Incarnation owner, PartNo upto) override {
-      world.send(to, [=, from_id = id](Directory& at, Nanos now) { at.have(now, from_id, owner, upto); });
+    void acknowledge_part(MemberId to, Incarnation owner, PartRevision upto) override {
+      world.send(to, [=, from_id = id](Directory& at, Nanos now) {
+        at.part_acknowledged(now, from_id, owner, upto);
+      });
     }
-    void news(const MemberRecord&, Presence) override {}
+    void presence_changed(const MemberRecord&, Presence) override {}
     void duplicate_member(MemberId) override { ++world.duplicate_member; }
   };
   struct Line {
@@ -201,7 +205,7 @@
   static constexpr Nanos quiet = 12 * second, length = 22 * second;
 
  public:
-  std::uint64_t duplicate_member = 0, begun_anew = 0, repeats = 0;
+  std::uint64_t duplicate_member = 0, restarts = 0, retries = 0;
 
   explicit World(std::uint64_t seed) : chance_(seed), harsh_(seed % 2 == 1), members_(20 + seed % 30) {
     for (unsigned o = 1; o <= 3 + seed % 4; ++o)
@@ -218,8 +222,8 @@
       what();
     }
     for (const auto& owner : owners_) {
-      begun_anew += owner->directory->counts().begun_anew;
-      repeats += owner->directory->counts().repeats;
+      restarts += owner->directory->counts().restarts;
+      retries += owner->directory->counts().retries;
       std::map<std::string, Directory::Zone, std::less<>> zones;
       owner->directory->list({}, [&](const MemberRecord& one) {
         ++(one.presence == Presence::alive  ? zones[one.zone].well
@@ -310,7 +314,7 @@
         if (line.life != owners_[line.owner]->lives)
           attach(member, line);
         else
-          owners_[line.owner]->directory->heard(now_, id(member), Incarnation{member.lives});
+          owners_[line.owner]->directory->received(now_, id(member), Incarnation{member.lives});
       }
     for (auto& owner : owners_) owner->directory->due(now_);
     at(now_ + 100 * ms, [this] { tick(); });
@@ -318,13 +322,13 @@
 };
 
 int many(std::uint64_t seeds, bool stop) {
-  std::uint64_t wrong = 0, begun_anew = 0, repeats = 0, duplicate_member = 0;
+  std::uint64_t wrong = 0, restarts = 0, retries = 0, duplicate_member = 0;
   std::string first;
   for (std::uint64_t seed = 1; seed <= seeds && !(stop && wrong > 0); ++seed) {
     World world(seed);
     const std::string what = world.play();
-    begun_anew += world.begun_anew;
-    repeats += world.repeats;
+    restarts += world.restarts;
+    retries += world.retries;
     duplicate_member += world.duplicate_member;
     if (what.empty()) continue;
     if (wrong++ == 0) first = "seed " + std::to_string(seed) + ", " + what;
@@ -332,7 +336,7 @@
   std::printf("%llu seeds, wrong %llu; parts repeated %llu, begun anew by their digest %llu; taken for "
               "doubled %llu times\n",
               static_cast<unsigned long long>(seeds), static_cast<unsigned long long>(wrong),
-              static_cast<unsigned long long>(repeats), static_cast<unsigned long long>(begun_anew),
+              static_cast<unsigned long long>(retries), static_cast<unsigned long long>(restarts),
               static_cast<unsigned long long>(duplicate_member));
   if (!first.empty()) std::printf("  first: %s\n", first.c_str());
   return wrong > 0 ? 1 : 0;
@@ -340,12 +344,12 @@
 
 struct Silent final : DirectoryActions {
   std::size_t records = 0;
-  void part(MemberId, PartNo, PartNo, PartNo, std::uint64_t,
-            const std::vector<const MemberRecord*>& all) override {
+  void send_part(MemberId, PartRevision, PartRevision, PartRevision, std::uint64_t,
+                 const std::vector<const MemberRecord*>& all) override {
     records += all.size();
   }
-  void have(MemberId, Incarnation, PartNo) override {}
-  void news(const MemberRecord&, Presence) override {}
+  void acknowledge_part(MemberId, Incarnation, PartRevision) override {}
+  void presence_changed(const MemberRecord&, Presence) override {}
   void duplicate_member(MemberId) override {}
 };
 int cost() {
@@ -357,9 +361,9 @@
     Silent out;
     Directory directory(0, MemberId{1}, Incarnation{1}, {MemberId{2}}, given, out);
     for (unsigned i = 0; i < all; ++i) directory.attached(0, record(100 + i, 1, 1));
-    directory.part(0, MemberId{2}, Incarnation{2}, {}, {}, {}, 0, {});
+    directory.part_received(0, MemberId{2}, Incarnation{2}, {}, {}, {}, 0, {});
     directory.due(0);
-    directory.have(0, MemberId{2}, Incarnation{1}, PartNo{all});
+    directory.part_acknowledged(0, MemberId{2}, Incarnation{1}, PartRevision{all});
     const std::uint64_t before = directory.counts().visited;
     out.records = 0;
     directory.attached(0, record(100, 2, 2));
--- a/tests/control_words.cpp
+++ b/tests/control_words.cpp
@@ -59,8 +59,8 @@
     say("append " + n(a.token.raw) + " mark " + n(a.sequence) + " log from " + of(a.log_from) + " behind " +
         of(a.previous) + " committed " + of(a.committed) + of(a.records));
   }
-  void appended(Incarnation to, Token token, std::uint64_t mark, Version matched, bool gap) override {
-    say("appended to " + n(to.raw) + " " + n(token.raw) + " mark " + n(mark) + " up to " + of(matched) +
+  void appended(Incarnation to, Token token, std::uint64_t sequence, Version matched, bool gap) override {
+    say("appended to " + n(to.raw) + " " + n(token.raw) + " mark " + n(sequence) + " up to " + of(matched) +
         (gap ? " gap" : ""));
   }
   void fetched(Token token, Version base, Version cursor, Token since) override {
@@ -82,17 +82,17 @@
         std::string(to_text(end)) + " " + of(version) + " " + std::string(why.substr(0, 20)) + " (" +
         n(why.size()) + ")");
   }
-  void part(PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
+  void part(PartRevision from, PartRevision upto, PartRevision last, std::uint64_t digest,
             const std::vector<MemberRecord>& records) override {
     std::string out =
         "part " + n(from.raw) + " to " + n(upto.raw) + " of " + n(last.raw) + " digest " + n(digest);
     for (const MemberRecord& r : records)
-      out += "; " + n(r.member.raw) + " of " + n(r.incarnation.raw) + " attached " + n(r.attached.raw) + " " +
-             r.address + " " + r.zone + " since " + n(r.since) + " " + std::string(to_text(r.presence)) +
-             " " + n(r.number.raw);
+      out += "; " + n(r.member.raw) + " of " + n(r.incarnation.raw) + " attached " + n(r.attachment.raw) +
+             " " + r.address + " " + r.zone + " since " + n(r.since) + " " +
+             std::string(to_text(r.presence)) + " " + n(r.revision.raw);
     say(out);
   }
-  void part_held(Incarnation owner, PartNo upto) override {
+  void part_held(Incarnation owner, PartRevision upto) override {
     say("held of " + n(owner.raw) + " to " + n(upto.raw));
   }
   void follow(AttachmentNumber number, bool primary, const Position& at,
@@ -146,9 +146,8 @@
       gone{"fleet/x", "", a, MemberId{4}, true};
   const Record record{route, Incarnation{8}, PutNumber{6}};
   const Position at{a, b, Version{Token{5}, 3}, b, 4};
-  const MemberRecord member{
-      MemberId{12},           Incarnation{13}, AttachmentNumber{14}, "10.0.0.2:6000", "z1", 15,
-      Presence::unresponsive, PartNo{16}};
+  const MemberRecord member{MemberId{12}, Incarnation{13},        AttachmentNumber{14}, "10.0.0.2:6000", "z1",
+                            15,           Presence::unresponsive, PartRevision{16}};
   const std::vector<std::string> control{
       prepare(token, 2),
       promise(to, token, 2, {b, a, {{a, {{{MemberId{1}, Incarnation{11}}}, Token{4}}}}}),
@@ -161,8 +160,8 @@
       pass(to, token, {PutNumber{7}, PutNumber{6}, "fleet/x", "1", false, a}),
       pass(to, token, {PutNumber{8}, PutNumber{6}, "fleet/x", "", true, {}}),
       answer(to, token, PutNumber{7}, PutOutcome::refused, a, std::string(1000, 'y')),
-      part(PartNo{1}, PartNo{2}, PartNo{3}, 99, {&member}),
-      part_held(to, PartNo{3}),
+      part(PartRevision{1}, PartRevision{2}, PartRevision{3}, 99, {&member}),
+      part_held(to, PartRevision{3}),
       follow(AttachmentNumber{4}, true, at, {{"fleet", 1, true}, {"service/9", 0, false}}, "z1"),
       have(AttachmentNumber{4}, at),
       compare(AttachmentNumber{4}, a, {1, 2}),
@@ -225,7 +224,7 @@
          bytes + static_cast<double>(size) + overhead <= most_batch || append.records.empty();
          bytes += static_cast<double>(size) + overhead)
       append.records.push_back(one);
-    wrong += control_codec::append(append).size() > peer_codec::most_control;
+    wrong += control_codec::append(append).size() > peer_codec::max_control_bytes;
   }
   std::printf("wrong %d\n", wrong);
   return wrong > 0;
--- a/tests/link_costs.cpp
+++ b/tests/link_costs.cpp
@@ -170,7 +170,7 @@
     all[1] = std::make_unique<Member>(net, all, MemberId{1}, list, std::vector<MemberId>{}, centre);
     const auto start = [this, list, by_choice](std::uint32_t number) {
       all[1]->peers.add(net.now, MemberId{number});
-      if (by_choice) all[1]->peers.keep(net.now, MemberId{number}, true);
+      if (by_choice) all[1]->peers.request_connection(net.now, MemberId{number}, true);
       all[number] =
           std::make_unique<Member>(net, all, MemberId{number}, list, std::vector{MemberId{1}}, figures(1));
     };
--- a/tests/peers.cpp
+++ b/tests/peers.cpp
@@ -252,8 +252,8 @@
     s.to(0);
     for (const MemberId member : members(2, 31)) s.peers.connected(0, member);
     s.to(0);
-    std::printf("  %zu lines, a beat of %lld ms\n", s.peers.lines(),
-                static_cast<long long>(s.peers.beat() / ms));
+    std::printf("  %zu lines, a beat of %lld ms\n", s.peers.connections(),
+                static_cast<long long>(s.peers.heartbeat_interval() / ms));
     int before = 0;
     std::uint64_t number = 1, to_old = 0;
     for (Nanos at = 0; at < 3000; at += 10) {
@@ -292,7 +292,7 @@
     s.peers.written(6 * ms, MemberId{2});
     s.peers.broken(6 * ms, MemberId{2});
     std::printf("  all said: %s, known: %zu, lines: %zu\n", yes(s.peers.all_sent()), s.peers.known(),
-                s.peers.lines());
+                s.peers.connections());
     s.to(10);
     s.heard(2, 1, 0);
     s.peers.add(10 * ms, MemberId{2});
@@ -309,9 +309,9 @@
     s.peers.enqueue(MemberId{3}, Peers::MessageClass::control, "", peer_codec::control("ab"));
     s.to(10);
     std::printf("  next wake %lld, room %zu\n", static_cast<long long>(s.peers.next_wake() / ms),
-                s.peers.room(MemberId{3}));
+                s.peers.free_bytes(MemberId{3}));
     s.to(20);
-    s.peers.keep(20 * ms, MemberId{3}, true);
+    s.peers.request_connection(20 * ms, MemberId{3}, true);
     s.to(20);
     s.peers.enqueue(MemberId{3}, Peers::MessageClass::control, "", peer_codec::control("ab"));
     s.peers.enqueue_all(Peers::MessageClass::update, "t", peer_codec::done("t", Token{1}, 0));
@@ -319,14 +319,14 @@
     s.to(22);
     s.peers.written(22 * ms, MemberId{3});
     s.heard(3, 2, 1);
-    std::printf("  up: %s\n", yes(s.peers.up(MemberId{3})));
+    std::printf("  up: %s\n", yes(s.peers.is_connected(MemberId{3})));
     s.to(30);
     s.peers.enqueue(MemberId{3}, Peers::MessageClass::control, "", peer_codec::control("abc"));
-    s.peers.keep(30 * ms, MemberId{3}, false);
+    s.peers.request_connection(30 * ms, MemberId{3}, false);
     s.to(30);
     std::printf("  kept, where nobody has the number: %s; up: %s, room %zu\n",
-                yes(s.peers.keep(30 * ms, MemberId{9}, true)), yes(s.peers.up(MemberId{3})),
-                s.peers.room(MemberId{3}));
+                yes(s.peers.request_connection(30 * ms, MemberId{9}, true)),
+                yes(s.peers.is_connected(MemberId{3})), s.peers.free_bytes(MemberId{3}));
     s.out.quiet = true;
     s.to(2000);
     std::printf("  dials: %d\n", s.out.dials);
@@ -357,7 +357,7 @@
     other.to(20);
     other.out.quiet = true;
     other.to(311);
-    std::printf("  lines after the time of silence: %zu\n", other.peers.lines());
+    std::printf("  lines after the time of silence: %zu\n", other.peers.connections());
   }
   {
     say("bytes that wait are bounded; a word about the same that has no room leaves the earlier one; others "
@@ -370,17 +370,17 @@
     };
     s.to(0);
     const auto room = [&](const char* what, bool taken) {
-      std::printf("  %s: %s, room %zu\n", what, yes(taken), s.peers.room(MemberId{2}));
+      std::printf("  %s: %s, room %zu\n", what, yes(taken), s.peers.free_bytes(MemberId{2}));
     };
-    room("a word over the most", control("a", peer_codec::most_control + 1));
+    room("a word over the most", control("a", peer_codec::max_control_bytes + 1));
     int taken = 0;
     for (const char* about : {"a", "b", "c", "d", "e", "f", "g", "h"})
-      taken += control(about, peer_codec::most_control);
+      taken += control(about, peer_codec::max_control_bytes);
     std::printf("  of eight the largest: %d\n", taken);
     room("about the same, smaller", control("a", 100));
-    room("one more of the largest", control("h", peer_codec::most_control));
-    room("and another", control("i", peer_codec::most_control));
-    room("about the same, larger", control("a", peer_codec::most_control));
+    room("one more of the largest", control("h", peer_codec::max_control_bytes));
+    room("and another", control("i", peer_codec::max_control_bytes));
+    room("about the same, larger", control("a", peer_codec::max_control_bytes));
     s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", peer_codec::release("t", AskNo{2}));
     s.peers.connected(10 * ms, MemberId{2});
     s.to(10);
@@ -389,7 +389,7 @@
       s.peers.written(20 * ms, MemberId{2});
       s.to(20);
     }
-    std::printf("  room %zu\n", s.peers.room(MemberId{2}));
+    std::printf("  room %zu\n", s.peers.free_bytes(MemberId{2}));
   }
 }
 
@@ -540,13 +540,13 @@
     say("wanted again while a dial rests: unreached from then on");
     Driver s(two, two, {{"peers.by_choice", 1.0}, {"peers.rest_least", 4000e6}, {"peers.rest_most", 4000e6}});
     s.out.words_too = false;
-    s.peers.keep(0, MemberId{2}, true);
+    s.peers.request_connection(0, MemberId{2}, true);
     up(s, 0);
     s.heard(2, 1, 1, 70, false, rarely);
-    s.peers.keep(100 * ms, MemberId{2}, false);
+    s.peers.request_connection(100 * ms, MemberId{2}, false);
     s.to(100);
     s.to(1000);
-    s.peers.keep(1000 * ms, MemberId{2}, true);
+    s.peers.request_connection(1000 * ms, MemberId{2}, true);
     s.to(1000);
     s.to(1299);
     s.to(1300);
--- a/tests/printed_peers.hpp
+++ b/tests/printed_peers.hpp
@@ -18,11 +18,12 @@
     if (!quiet) {
       std::printf("    letter %llu of member %u, heard %llu%s", static_cast<unsigned long long>(n), from.raw,
                   static_cast<unsigned long long>(heard), leaving ? ", leaving" : "");
-      if (heartbeat.next_in != 0 && heartbeat.next_in != beat)
-        std::printf(", next in %lld", static_cast<long long>(heartbeat.next_in / 1'000'000));
-      if (heartbeat.rarely > 0)
-        std::printf(", one in %lld will do", static_cast<long long>(heartbeat.rarely / 1'000'000));
-      std::printf("%s\n", heartbeat.lonely ? ", lonely" : "");
+      if (heartbeat.next_within != 0 && heartbeat.next_within != beat)
+        std::printf(", next in %lld", static_cast<long long>(heartbeat.next_within / 1'000'000));
+      if (heartbeat.requested_interval > 0)
+        std::printf(", one in %lld will do",
+                    static_cast<long long>(heartbeat.requested_interval / 1'000'000));
+      std::printf("%s\n", heartbeat.isolated ? ", lonely" : "");
     }
     return true;
   }
