--- a/control/directory.cpp
+++ b/control/directory.cpp
@@ -62,11 +62,11 @@
 }
 
 std::uint64_t Directory::digest_of(const MemberRecord& record) {
-  const std::uint64_t settings[] = {record.member.raw, record.incarnation.raw, record.attachment.raw,
-                                    record.since, static_cast<std::uint64_t>(record.presence)};
-  const std::uint64_t texts = XXH3_64bits_withSeed(record.address.data(), record.address.size(),
-                                                   XXH3_64bits(record.zone.data(), record.zone.size()));
-  return XXH3_64bits_withSeed(settings, sizeof settings, texts);
+  const std::uint64_t numbers[] = {record.member.raw, record.incarnation.raw, record.attachment.raw,
+                                   record.since, static_cast<std::uint64_t>(record.presence)};
+  const std::uint64_t text_hash = XXH3_64bits_withSeed(record.address.data(), record.address.size(),
+                                                       XXH3_64bits(record.zone.data(), record.zone.size()));
+  return XXH3_64bits_withSeed(numbers, sizeof numbers, text_hash);
 }
 
 // ---- of those that follow this control member
@@ -159,8 +159,9 @@
 void Directory::left(Nanos now, MemberId member, Incarnation incarnation) {
   const auto at = local_members_.find(member);
   if (at == local_members_.end() || at->second.record.incarnation != incarnation) return;
-  const Presence is = at->second.record.presence;
-  if (is == Presence::alive || is == Presence::unresponsive) set_presence(now, at->second, Presence::left);
+  const Presence presence = at->second.record.presence;
+  if (presence == Presence::alive || presence == Presence::unresponsive)
+    set_presence(now, at->second, Presence::left);
 }
 
 void Directory::report_duplicate(MemberId member) {
@@ -179,9 +180,10 @@
   if (incarnation != remote.incarnation) {
     // Against a late word of a life before; unless it was the one that was taken for the newer by such a
     // word.
-    const bool before = std::find(remote.previous_incarnations.begin(), remote.previous_incarnations.end(),
-                                  incarnation) != remote.previous_incarnations.end();
-    if (before && now - remote.last_received_at < unresponsive_timeout_) return;
+    const bool superseded =
+        std::find(remote.previous_incarnations.begin(), remote.previous_incarnations.end(), incarnation) !=
+        remote.previous_incarnations.end();
+    if (superseded && now - remote.last_received_at < unresponsive_timeout_) return;
     if (remote.incarnation != Incarnation{}) remote.previous_incarnations.push_back(remote.incarnation);
     if (remote.previous_incarnations.size() > max_previous_incarnations)
       remote.previous_incarnations.pop_front();
@@ -195,23 +197,24 @@
       return void(++counts_.invalid);
   if (since == PartRevision{} && upto != PartRevision{})
     restart_sync(remote); // what was gone may be forgotten there
-  PartRevision& here = remote.syncing ? remote.sync_upto : remote.upto;
-  if (since > here) return actions_.acknowledge_part(from, incarnation, here); // what came between isn't here
-  if (upto < here) return actions_.acknowledge_part(from, incarnation, here);
-  const bool news = upto > here || !records.empty();
-  if (news) {
+  PartRevision& held_upto = remote.syncing ? remote.sync_upto : remote.upto;
+  if (since > held_upto)
+    return actions_.acknowledge_part(from, incarnation, held_upto); // what came between isn't here
+  if (upto < held_upto) return actions_.acknowledge_part(from, incarnation, held_upto);
+  const bool has_changes = upto > held_upto || !records.empty();
+  if (has_changes) {
     counts_.records += records.size();
     for (const MemberRecord& record : records) apply(now, from, remote, record);
-    here = upto;
+    held_upto = upto;
   }
-  if (remote.syncing && here == last) finish_sync(now, from, remote);
+  if (remote.syncing && held_upto == last) finish_sync(now, from, remote);
   // Compared where all is here, unless some had no room.
   if (!remote.syncing && remote.upto == last && !remote.incomplete && remote.digest != digest) {
     ++counts_.restarts;
     restart_sync(remote);
     return actions_.acknowledge_part(from, incarnation, PartRevision{});
   }
-  if (news || remote.syncing)
+  if (has_changes || remote.syncing)
     actions_.acknowledge_part(from, incarnation, remote.syncing ? remote.sync_upto : remote.upto);
 }
 
@@ -317,13 +320,13 @@
     ++remote.retries;
     ++counts_.retries;
   }
-  const bool goes = remote.out_of_date && !remote.in_flight && !remote.unresponsive;
-  if (!goes && now < remote.next_heartbeat_at) return;
+  const bool sends_records = remote.out_of_date && !remote.in_flight && !remote.unresponsive;
+  if (!sends_records && now < remote.next_heartbeat_at) return;
   if (remote.acked < floor_revision_) remote.acked = {}; // anew
   PartRevision from = remote.acked;
   PartRevision upto = from;
   std::vector<const MemberRecord*> records;
-  if (goes) {
+  if (sends_records) {
     upto = last_revision_;
     std::size_t bytes = 0;
     for (auto at = changes_.upper_bound(from); at != changes_.end(); ++at) {
@@ -377,12 +380,12 @@
     LocalMember& local = local_members_.at(id);
     local.wake = -1;
     ++counts_.visited;
-    const bool well = local.record.presence == Presence::alive;
-    const Nanos at = local.last_received_at + (well ? unresponsive_timeout_ : forget_timeout_);
+    const bool alive = local.record.presence == Presence::alive;
+    const Nanos at = local.last_received_at + (alive ? unresponsive_timeout_ : forget_timeout_);
     if (at > now)
       schedule(id, local, at); // it was heard since
     else
-      set_presence(now, local, well ? Presence::unresponsive : Presence::gone);
+      set_presence(now, local, alive ? Presence::unresponsive : Presence::gone);
   }
   for (auto& [id, remote] : remotes_) {
     if (!remote.unresponsive && now - remote.last_received_at >= unresponsive_timeout_) {
@@ -398,10 +401,10 @@
     }
     send_part(now, id, remote);
   }
-  std::vector<MemberId> doubles;
+  std::vector<MemberId> duplicates;
   for (const auto& [id, seen] : duplicate_since_)
-    if (now - seen.since >= duplicate_timeouts * unresponsive_timeout_) doubles.push_back(id);
-  for (const MemberId id : doubles) {
+    if (now - seen.since >= duplicate_timeouts * unresponsive_timeout_) duplicates.push_back(id);
+  for (const MemberId id : duplicates) {
     duplicate_since_.erase(id);
     report_duplicate(id);
   }
@@ -414,30 +417,30 @@
   ++counts_.visited;
   const MemberRecord* best = nullptr;
   Presence presence = Presence::gone;
-  std::set<Incarnation> well;
-  const auto weigh = [&](const MemberRecord& record, bool unheard, bool old) {
-    const Presence told =
-        unheard && record.presence == Presence::alive ? Presence::unresponsive : record.presence;
-    if (told == Presence::alive && !old) well.insert(record.incarnation);
+  std::set<Incarnation> alive;
+  const auto consider = [&](const MemberRecord& record, bool owner_unresponsive, bool outdated) {
+    const Presence effective =
+        owner_unresponsive && record.presence == Presence::alive ? Presence::unresponsive : record.presence;
+    if (effective == Presence::alive && !outdated) alive.insert(record.incarnation);
     const auto rank = [](Presence p, const MemberRecord& r) {
       return std::make_pair(p == Presence::alive, r.attachment);
     };
-    if (best && rank(told, record) <= rank(presence, *best)) return;
+    if (best && rank(effective, record) <= rank(presence, *best)) return;
     best = &record;
-    presence = told;
+    presence = effective;
   };
   if (const auto at = local_members_.find(member);
       at != local_members_.end() && at->second.record.presence != Presence::gone)
-    weigh(at->second.record, false, false);
+    consider(at->second.record, false, false);
   if (const auto sources = sources_.find(member); sources != sources_.end())
     for (const MemberId owner : sources->second) {
       const RemotePart& remote = remotes_.at(owner);
-      weigh(remote.records.at(member), remote.unresponsive, remote.syncing);
+      consider(remote.records.at(member), remote.unresponsive, remote.syncing);
     }
-  if (well.size() < 2)
+  if (alive.size() < 2)
     duplicate_since_.erase(member);
-  else if (DuplicateSighting& seen = duplicate_since_[member]; seen.incarnations != well)
-    seen = {now, well}; // against a member that starts anew again and again
+  else if (DuplicateSighting& seen = duplicate_since_[member]; seen.incarnations != alive)
+    seen = {now, alive}; // against a member that starts anew again and again
   const auto at = view_.find(member);
   const Presence before = at == view_.end() ? Presence::gone : at->second.presence;
   if (at != view_.end()) add_to_zone(at->second, -1);
@@ -450,20 +453,20 @@
     return actions_.presence_changed(last, before);
   }
   MemberRecord& seen = view_[member];
-  const Incarnation life = seen.incarnation;
+  const Incarnation incarnation_before = seen.incarnation;
   seen = *best;
   seen.presence = presence;
   add_to_zone(seen, 1);
-  if (before != presence || life != seen.incarnation) actions_.presence_changed(seen, before);
+  if (before != presence || incarnation_before != seen.incarnation) actions_.presence_changed(seen, before);
 }
 
 void Directory::add_to_zone(const MemberRecord& record, int delta) {
   const auto at = zones_.try_emplace(record.zone).first;
   Zone& zone = at->second;
-  std::size_t& one = record.presence == Presence::alive  ? zone.well
-                     : record.presence == Presence::left ? zone.left
-                                                         : zone.silent;
-  one += static_cast<std::size_t>(delta);
+  std::size_t& counter = record.presence == Presence::alive  ? zone.well
+                         : record.presence == Presence::left ? zone.left
+                                                             : zone.silent;
+  counter += static_cast<std::size_t>(delta);
   if (zone == Zone{}) zones_.erase(at);
 }
 
--- a/peers/control_codec.cpp
+++ b/peers/control_codec.cpp
@@ -88,14 +88,14 @@
     out.mutable_prepare()->set_round(round);
   });
 }
-std::string promise(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing) {
+std::string promise(Incarnation to, Token token, std::uint32_t round, const LogStatus& status) {
   return encode_message(to, [&](wire::Control& out) {
     wire::Promise& body = *out.mutable_promise();
     body.set_token(token.raw);
     body.set_round(round);
-    encode(*body.mutable_last(), standing.last);
-    encode(*body.mutable_committed(), standing.committed);
-    for (const auto& [version, roster] : standing.rosters) {
+    encode(*body.mutable_last(), status.last);
+    encode(*body.mutable_committed(), status.committed);
+    for (const auto& [version, roster] : status.rosters) {
       wire::Roster& wire_roster = *body.add_roster();
       encode(*wire_roster.mutable_version(), version);
       wire_roster.set_text(format_roster(roster));
@@ -302,13 +302,13 @@
     return true;
   case wire::Control::kPromise: {
     const wire::Promise& body = in.promise();
-    LogStatus standing{version_of(body.last()), version_of(body.committed()), {}};
+    LogStatus status{version_of(body.last()), version_of(body.committed()), {}};
     for (const wire::Roster& wire_roster : body.roster()) {
       std::optional<Roster> roster = parse_roster(wire_roster.text());
       if (!roster) return false;
-      standing.rosters.emplace_back(version_of(wire_roster.version()), std::move(*roster));
+      status.rosters.emplace_back(version_of(wire_roster.version()), std::move(*roster));
     }
-    listener.promised(to, Token{body.token()}, body.round(), standing);
+    listener.promised(to, Token{body.token()}, body.round(), status);
     return true;
   }
   case wire::Control::kRefusal:
--- a/peers/control_codec.hpp
+++ b/peers/control_codec.hpp
@@ -18,7 +18,7 @@
 
 // `to`: the incarnation that is meant; {}: any.
 std::string prepare(Token token, std::uint32_t round);
-std::string promise(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing);
+std::string promise(Incarnation to, Token token, std::uint32_t round, const LogStatus& status);
 std::string refuse(Incarnation to, Token token, Token seen);
 std::string append(const Append& append);
 std::string appended(Incarnation to, Token token, std::uint64_t sequence, Version matched, bool gap);
@@ -53,7 +53,7 @@
  public:
   virtual ~ControlListener() = default;
   virtual void prepared(Token token, std::uint32_t round) = 0;
-  virtual void promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing) = 0;
+  virtual void promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& status) = 0;
   virtual void refused(Incarnation to, Token token, Token seen) = 0;
   virtual void appending(const Append& append) = 0;
   virtual void appended(Incarnation to, Token token, std::uint64_t sequence, Version matched, bool gap) = 0;
--- a/peers/control_member.cpp
+++ b/peers/control_member.cpp
@@ -17,10 +17,10 @@
   return static_cast<Nanos>(number(settings, "leases.longest_term", 0) * (1 + drift) / (1 - drift)) + 1;
 }
 VoterList voter_list(const std::set<MemberId>& voters) { return {Epoch{1}, voters, {}}; }
-std::vector<MemberId> without(const std::vector<MemberId>& all, MemberId one) {
+std::vector<MemberId> without(const std::vector<MemberId>& all, MemberId removed) {
   std::vector<MemberId> others;
   for (const MemberId member : all)
-    if (member != one) others.push_back(member);
+    if (member != removed) others.push_back(member);
   return others;
 }
 std::string numbered(const char* kind, std::uint64_t number) { return kind + std::to_string(number); }
@@ -100,8 +100,8 @@
       feed_(at.early, replica_.entries(), settings, seed + 1, *this),
       directory_(at.early, self.from, self.incarnation, without(controls, self.from), settings, *this),
       peers_(at.early, self, without(controls, self.from), voters_, settings, seed + 2, *this) {
-  for (const MemberId one : controls)
-    if (one != self.from) peers_.request_connection(at.early, one, true);
+  for (const MemberId control : controls)
+    if (control != self.from) peers_.request_connection(at.early, control, true);
   if (voters.contains(self.from)) leases_.acquire(at.early, writer_lease);
 }
 
@@ -292,8 +292,8 @@
   enqueue(to, "prepare", control_codec::prepare(token, round));
 }
 void ControlMember::promise(MemberId to, Incarnation incarnation, Token token, std::uint32_t round,
-                            const LogStatus& standing) {
-  enqueue(to, "promise", control_codec::promise(incarnation, token, round, standing));
+                            const LogStatus& status) {
+  enqueue(to, "promise", control_codec::promise(incarnation, token, round, status));
 }
 void ControlMember::refuse(MemberId to, Incarnation incarnation, Token token, Token seen) {
   enqueue(to, "refuse", control_codec::refuse(incarnation, token, seen));
@@ -336,9 +336,9 @@
 void ControlMember::prepared(Token token, std::uint32_t round) {
   if (is_control(sender_id_)) replica_.prepared(at_.early, sender_id_, sender_incarnation_, token, round);
 }
-void ControlMember::promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing) {
+void ControlMember::promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& status) {
   if (is_control(sender_id_))
-    replica_.promised(at_.early, sender_id_, sender_incarnation_, to, token, round, standing);
+    replica_.promised(at_.early, sender_id_, sender_incarnation_, to, token, round, status);
 }
 void ControlMember::refused(Incarnation to, Token token, Token seen) {
   if (is_control(sender_id_)) replica_.refused(at_.early, sender_id_, sender_incarnation_, to, token, seen);
--- a/peers/control_member.hpp
+++ b/peers/control_member.hpp
@@ -116,7 +116,7 @@
   // The one order: to others
   void prepare(MemberId to, Token token, std::uint32_t round) override;
   void promise(MemberId to, Incarnation incarnation, Token token, std::uint32_t round,
-               const LogStatus& standing) override;
+               const LogStatus& status) override;
   void refuse(MemberId to, Incarnation incarnation, Token token, Token seen) override;
   void append(MemberId to, const Append& append) override;
   void appended(MemberId to, Incarnation incarnation, Token token, std::uint64_t sequence, Version matched,
@@ -152,7 +152,7 @@
   void presence_changed(const MemberRecord& member, Presence before) override;
   // Words of control members and of servers
   void prepared(Token token, std::uint32_t round) override;
-  void promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing) override;
+  void promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& status) override;
   void refused(Incarnation to, Token token, Token seen) override;
   void appending(const Append& append) override;
   void appended(Incarnation to, Token token, std::uint64_t sequence, Version matched, bool gap) override;
--- a/peers/peers.cpp
+++ b/peers/peers.cpp
@@ -30,7 +30,7 @@
 constexpr std::size_t max_connect_back = 8;   // lonely ones that are dialled for it, at a time
 const std::pair first_control_key{Peers::MessageClass::control, std::string()};
 
-Nanos round_up_to_ms(Nanos span) { return (span + ms - 1) / ms * ms; }
+Nanos round_up_to_ms(Nanos duration) { return (duration + ms - 1) / ms * ms; }
 
 } // namespace
 
@@ -100,8 +100,8 @@
   writing_ -= peer.is_writing;
   receiving_from_ -= peer.is_receiving;
   if (peer.wake >= 0) wakes_.erase({peer.wake, member});
-  for (std::set<MemberId>* some : {&dirty_, &ready_, &wanted_, &connect_back_, &contacted_})
-    some->erase(member);
+  for (std::set<MemberId>* index : {&dirty_, &ready_, &wanted_, &connect_back_, &contacted_})
+    index->erase(member);
   members_.erase(std::lower_bound(members_.begin(), members_.end(), member));
   peers_.erase(at);
 }
@@ -146,10 +146,10 @@
     for (const MemberId member : members_)
       if (!voters_.is_voter(member)) contacted_.insert(member);
   } else {
-    const bool anew = others >= 2 * contacts_per_round;
+    const bool avoid_previous = others >= 2 * contacts_per_round;
     while (contacted_.size() < contacts_per_round) {
       const MemberId drawn = members_[random_.next() % members_.size()];
-      if (!voters_.is_voter(drawn) && !(anew && before.contains(drawn))) contacted_.insert(drawn);
+      if (!voters_.is_voter(drawn) && !(avoid_previous && before.contains(drawn))) contacted_.insert(drawn);
     }
     // Spread, against a whole fleet that asks at one moment.
     contact_at_ =
@@ -161,16 +161,16 @@
 
 // The list is the caller's, and changes under this module.
 void Peers::update_voters() {
-  const bool grants = voters_.may_grant(self_.from);
-  if (grants != last_may_grant_)
+  const bool may_grant = voters_.may_grant(self_.from);
+  if (may_grant != last_may_grant_)
     dirty_.insert(members_.begin(), members_.end());
   else if (voters_.all() != last_voters_)
-    for (const std::set<MemberId>* some :
+    for (const std::set<MemberId>* voters :
          std::initializer_list<const std::set<MemberId>*>{&last_voters_, &voters_.all()})
-      for (const MemberId voter : *some)
+      for (const MemberId voter : *voters)
         if (peers_.contains(voter)) dirty_.insert(voter);
   if (voters_.all() != last_voters_) last_voters_ = voters_.all();
-  last_may_grant_ = grants;
+  last_may_grant_ = may_grant;
 }
 
 // ---- what is to be said
@@ -183,12 +183,12 @@
                          : peer_codec::max_item_bytes))
     return false;
   Peer& peer = at->second;
-  const auto [found, fresh] = peer.pending.try_emplace(Peer::ItemKey{message_class, std::string(key)});
+  const auto [found, inserted] = peer.pending.try_emplace(Peer::ItemKey{message_class, std::string(key)});
   const std::size_t bytes =
-      peer.pending_bytes - found->second.size() + item.size() + (fresh ? key.size() : std::size_t{0});
-  if ((fresh && peer.pending.size() > max_pending_) ||
+      peer.pending_bytes - found->second.size() + item.size() + (inserted ? key.size() : std::size_t{0});
+  if ((inserted && peer.pending.size() > max_pending_) ||
       (bytes > max_pending_bytes_ && bytes > peer.pending_bytes)) {
-    if (fresh) peer.pending.erase(found); // what waits of an earlier word about it goes on waiting
+    if (inserted) peer.pending.erase(found); // what waits of an earlier word about it goes on waiting
     return ++peer.dropped, false;
   }
   peer.pending_bytes = bytes;
@@ -268,9 +268,9 @@
   peer.request_sent_at = -1;
   peer.ack_overdue = false;
   const double missing = static_cast<double>(wanted_.size() - std::min(wanted_.size(), connections_));
-  const double most = std::max(static_cast<double>(max_backoff_), missing * 1e9 / max_heartbeats_);
-  const double rest = std::min(static_cast<double>(min_backoff_) * std::exp2(peer.failed_attempts), most);
-  peer.retry_at = now + static_cast<Nanos>(rest * (0.5 + random_.unit()));
+  const double limit = std::max(static_cast<double>(max_backoff_), missing * 1e9 / max_heartbeats_);
+  const double backoff = std::min(static_cast<double>(min_backoff_) * std::exp2(peer.failed_attempts), limit);
+  peer.retry_at = now + static_cast<Nanos>(backoff * (0.5 + random_.unit()));
   peer.failed_attempts = std::min(peer.failed_attempts + 1, max_backoff_doublings);
   drop_pending(peer, true); // against telling as fresh what was so some time ago
 }
@@ -290,8 +290,8 @@
   const auto at = peers_.find(from);
   if (at == peers_.end()) return false;
   Peer& peer = at->second;
-  const auto [last, fresh] = peer.last_received.emplace(incarnation, 0);
-  if (fresh) {
+  const auto [last, inserted] = peer.last_received.emplace(incarnation, 0);
+  if (inserted) {
     peer.newest_incarnation = incarnation;
     peer.newest_incarnation_at = now;
     while (peer.last_received.size() > max_incarnations)
@@ -325,10 +325,10 @@
     peer.connect_back_until = -1;
   }
   if (acked_incarnation == self_.incarnation && acked <= peer.last_sent) {
-    bool answered = false;
-    for (; !peer.unacked.empty() && peer.unacked.front().first <= acked; answered = true)
+    bool any_acked = false;
+    for (; !peer.unacked.empty() && peer.unacked.front().first <= acked; any_acked = true)
       peer.unacked.pop_front();
-    if (answered) peer.failed_attempts = 0, peer.awaiting_ack = false, peer.unacked_since = -1;
+    if (any_acked) peer.failed_attempts = 0, peer.awaiting_ack = false, peer.unacked_since = -1;
   }
   // It writes, and has not heard what went to it long ago: that stands on the way, and so would an answer.
   if (!peer.unacked.empty() && now - peer.unacked.front().second >= min_unresponsive_timeout_) {
@@ -368,12 +368,12 @@
 void Peers::update_state(Nanos now, MemberId member, Peer& peer) {
   if (peer.peer_state == PeerState::unknown || peer.peer_state == PeerState::left) return;
   PeerState next = PeerState::reachable;
-  const Nanos most = unresponsive_timeout(peer);
-  const bool unacked = (!peer.unacked.empty() && now - peer.unacked.front().second >= most) ||
-                       (peer.unacked_since >= 0 && now - peer.unacked_since >= most);
+  const Nanos timeout = unresponsive_timeout(peer);
+  const bool unacked = (!peer.unacked.empty() && now - peer.unacked.front().second >= timeout) ||
+                       (peer.unacked_since >= 0 && now - peer.unacked_since >= timeout);
   const bool unreached = peer.is_wanted && peer.connection == ConnectionState::none &&
                          now - peer.connection_since >= min_unresponsive_timeout_;
-  if (now - peer.last_received_at >= most)
+  if (now - peer.last_received_at >= timeout)
     next = PeerState::unresponsive;
   else if (wants_connection(now, member, peer) && (unacked || unreached || peer.awaiting_ack))
     next = PeerState::one_way;
@@ -399,27 +399,27 @@
 Nanos Peers::wake_time(MemberId member, const Peer& peer) const {
   Nanos next = -1;
   const auto also = [&next](Nanos at) { next = next < 0 ? at : std::min(next, at); };
-  const Nanos most = unresponsive_timeout(peer);
-  const bool want = wants_connection(now_, member, peer);
-  const bool may_be_deaf = want && peer.peer_state == PeerState::reachable;
-  if (may_be_deaf && peer.unacked_since >= 0) also(peer.unacked_since + most);
+  const Nanos timeout = unresponsive_timeout(peer);
+  const bool wanted = wants_connection(now_, member, peer);
+  const bool may_be_one_way = wanted && peer.peer_state == PeerState::reachable;
+  if (may_be_one_way && peer.unacked_since >= 0) also(peer.unacked_since + timeout);
   if (peer.peer_state == PeerState::reachable || peer.peer_state == PeerState::one_way)
-    also(peer.last_received_at + most);
+    also(peer.last_received_at + timeout);
   if (now_ < peer.connect_back_until) also(peer.connect_back_until);
   if (peer.request_sent_at >= 0) also(peer.request_sent_at + min_unresponsive_timeout_);
   switch (peer.connection) {
   case ConnectionState::none:
-    if (want && !leaving_) also(peer.retry_at);
-    if (may_be_deaf) also(peer.connection_since + min_unresponsive_timeout_);
+    if (wanted && !leaving_) also(peer.retry_at);
+    if (may_be_one_way) also(peer.connection_since + min_unresponsive_timeout_);
     break;
   case ConnectionState::idle:
     also(peer.next_heartbeat_at);
-    if (!peer.unacked.empty()) also(peer.unacked.front().second + most);
+    if (!peer.unacked.empty()) also(peer.unacked.front().second + timeout);
     break;
   case ConnectionState::connecting:
   case ConnectionState::writing:
     also(peer.connection_since + min_unresponsive_timeout_);
-    if (may_be_deaf && !peer.unacked.empty()) also(peer.unacked.front().second + most);
+    if (may_be_one_way && !peer.unacked.empty()) also(peer.unacked.front().second + timeout);
     break;
   }
   return next;
@@ -535,28 +535,30 @@
 // go before those of control, and leave them half of a message.
 std::string Peers::take_items(Peer& peer, bool& has_request) {
   std::string items;
-  const auto put = [&](bool control, Peer::ItemKey& last_sent_key, std::size_t room) {
-    auto next = peer.pending.upper_bound(last_sent_key);
+  const auto append = [&](bool control, Peer::ItemKey& last_key, std::size_t limit) {
+    auto next = peer.pending.upper_bound(last_key);
     for (;;) {
-      const auto border = peer.pending.lower_bound(first_control_key);
-      const auto first = control ? border : peer.pending.begin();
-      const auto last = control ? peer.pending.end() : border;
+      const auto first_control = peer.pending.lower_bound(first_control_key);
+      const auto first = control ? first_control : peer.pending.begin();
+      const auto last = control ? peer.pending.end() : first_control;
       if (first == last) return;
       if (next == last) next = first;
-      if (items.size() + next->second.size() > room) return;
+      if (items.size() + next->second.size() > limit) return;
       const MessageClass message_class = next->first.first;
-      const bool wants = (message_class == MessageClass::request || message_class == MessageClass::control) &&
-                         peer_codec::expects_response(next->second);
+      const bool expects_response =
+          (message_class == MessageClass::request || message_class == MessageClass::control) &&
+          peer_codec::expects_response(next->second);
       items += next->second;
-      last_sent_key = next->first;
-      has_request = has_request || wants;
+      last_key = next->first;
+      has_request = has_request || expects_response;
       peer.pending_bytes -= next->first.second.size() + next->second.size();
       next = peer.pending.erase(next);
     }
   };
-  const bool controls = !peer.pending.empty() && peer.pending.rbegin()->first.first == MessageClass::control;
-  put(false, peer.last_sent_key, controls ? max_payload / 2 : max_payload);
-  if (controls) put(true, peer.last_control_key, max_payload);
+  const bool has_control =
+      !peer.pending.empty() && peer.pending.rbegin()->first.first == MessageClass::control;
+  append(false, peer.last_sent_key, has_control ? max_payload / 2 : max_payload);
+  if (has_control) append(true, peer.last_control_key, max_payload);
   return items;
 }
 
