--- a/control/directory.cpp
+++ b/control/directory.cpp
@@ -10,15 +10,18 @@
 
 namespace {
 
-constexpr double ms = 1e6;                           // ns
-constexpr std::size_t max_text_bytes = 128;          // bytes of an address or a zone
-constexpr std::size_t max_control_members = 64;      // control members; a fleet sets aside ten
-constexpr std::size_t max_previous_incarnations = 4; // of an owner, whose late words are passed over
-constexpr std::size_t gone_fraction = 4; // of the members that a part may hold, as many may be told as gone
-constexpr Nanos duplicate_timeouts =
-    4; // a life that ended is told as well for one of them, and words may be late
-constexpr int max_backoff_doublings = 2;    // of the time for an answer
-constexpr std::size_t record_overhead = 48; // bytes of a record beside its texts, at the most
+constexpr double ms = 1e6;                      // ns
+constexpr std::size_t max_text_bytes = 128;     // of an address or a zone
+constexpr std::size_t max_control_members = 64; // a fleet reserves ten
+// Previous incarnations of an owner, whose late messages are ignored.
+constexpr std::size_t max_previous_incarnations = 4;
+// One in this many members of a part may be kept as gone.
+constexpr std::size_t gone_fraction = 4;
+// In units of control.silent: two incarnations that are both reported as alive for this long are duplicates.
+// An incarnation that ended is reported as alive for one such timeout, and messages may be late.
+constexpr Nanos duplicate_timeouts = 4;
+constexpr int max_backoff_doublings = 2;    // of the retransmit timeout
+constexpr std::size_t record_overhead = 48; // upper bound for the bytes of a record without its texts
 
 std::size_t bytes_of(const MemberRecord& record) {
   return record.address.size() + record.zone.size() + record_overhead;
@@ -69,9 +72,10 @@
   return XXH3_64bits_withSeed(numbers, sizeof numbers, text_hash);
 }
 
-// ---- of those that follow this control member
+// ---- members that follow this control member
 
-// Written into the part under the next number. What is gone is told until it is forgotten, oldest first.
+// Enters the change into the part with the next revision. Removals are replicated until they are dropped,
+// oldest first.
 void Directory::set_presence(Nanos now, LocalMember& local, Presence presence) {
   MemberRecord& record = local.record;
   if (record.revision.raw != 0) changes_.erase(record.revision);
@@ -120,7 +124,7 @@
   } else if (at->second.record.presence != Presence::gone) {
     LocalMember& local = at->second;
     if (local.record.incarnation == record.incarnation) {
-      if (record.attachment < local.record.attachment) return true; // late
+      if (record.attachment < local.record.attachment) return true; // a late message
     } else if (local.record.presence == Presence::alive) {
       local.previous_incarnation = local.record.incarnation;
       local.replaced_at = now;
@@ -131,12 +135,13 @@
   local.record.revision = old.revision;
   local.record.presence = Presence::alive;
   local.last_received_at = now;
-  // A line that is made anew says nothing new to others but its number, which tells lives and lines apart.
+  // Of a reattachment the others learn only the attachment number, which tells incarnations and attachments
+  // apart.
   set_presence(now, local, Presence::alive);
   return true;
 }
 
-// A life that was replaced and speaks on is another's.
+// Messages of an incarnation long after it was replaced come from another member with the same number.
 void Directory::received(Nanos now, MemberId member, Incarnation incarnation) {
   const auto at = local_members_.find(member);
   if (at == local_members_.end() || at->second.record.presence == Presence::gone) return;
@@ -169,7 +174,7 @@
   actions_.duplicate_member(member);
 }
 
-// ---- of other control members
+// ---- messages of other control members
 
 void Directory::part_received(Nanos now, MemberId from, Incarnation incarnation, PartRevision since,
                               PartRevision upto, PartRevision last, std::uint64_t digest,
@@ -178,8 +183,9 @@
   if (at == remotes_.end()) return void(++counts_.invalid);
   RemotePart& remote = at->second;
   if (incarnation != remote.incarnation) {
-    // Against a late word of a life before; unless it was the one that was taken for the newer by such a
-    // word.
+    // Messages of a previous incarnation are late ones and are ignored. If a late message made an old
+    // incarnation the current one, that one sends nothing more, and the real one is accepted after the
+    // unresponsive timeout.
     const bool superseded =
         std::find(remote.previous_incarnations.begin(), remote.previous_incarnations.end(), incarnation) !=
         remote.previous_incarnations.end();
@@ -196,10 +202,9 @@
     if (!is_valid(record) || record.revision <= since || record.revision > upto)
       return void(++counts_.invalid);
   if (since == PartRevision{} && upto != PartRevision{})
-    restart_sync(remote); // what was gone may be forgotten there
+    restart_sync(remote); // its owner may have dropped removals
   PartRevision& held_upto = remote.syncing ? remote.sync_upto : remote.upto;
-  if (since > held_upto)
-    return actions_.acknowledge_part(from, incarnation, held_upto); // what came between isn't here
+  if (since > held_upto) return actions_.acknowledge_part(from, incarnation, held_upto); // a gap
   if (upto < held_upto) return actions_.acknowledge_part(from, incarnation, held_upto);
   const bool has_changes = upto > held_upto || !records.empty();
   if (has_changes) {
@@ -208,7 +213,7 @@
     held_upto = upto;
   }
   if (remote.syncing && held_upto == last) finish_sync(now, from, remote);
-  // Compared where all is here, unless some had no room.
+  // The digests are compared when all changes were received, unless some records had no room.
   if (!remote.syncing && remote.upto == last && !remote.incomplete && remote.digest != digest) {
     ++counts_.restarts;
     restart_sync(remote);
@@ -218,7 +223,7 @@
     actions_.acknowledge_part(from, incarnation, remote.syncing ? remote.sync_upto : remote.upto);
 }
 
-// What was told before stays until the part is whole again.
+// The previous records stay in use until the new copy is complete.
 void Directory::restart_sync(RemotePart& remote) {
   remote.syncing = true;
   remote.incomplete = false;
@@ -238,7 +243,7 @@
   }
   const auto at = remote.records.find(record.member);
   if (at != remote.records.end()) {
-    if (at->second.revision >= record.revision) return; // came before
+    if (at->second.revision >= record.revision) return; // already received
     remote.digest -= digest_of(at->second);
   }
   if (record.presence == Presence::gone) {
@@ -257,7 +262,7 @@
   refresh(now, record.member);
 }
 
-// A part that was told from its beginning takes the place of the one before.
+// The new copy of the part replaces the previous one.
 void Directory::finish_sync(Nanos now, MemberId from, RemotePart& remote) {
   remote.syncing = false;
   remote.upto = remote.sync_upto;
@@ -311,7 +316,7 @@
 
 // ---- time
 
-// One part is under way to each; it goes again when it isn't answered.
+// One message with changes is in flight to each control member; unacknowledged changes are sent again.
 void Directory::send_part(Nanos now, MemberId to, RemotePart& remote) {
   if (remote.in_flight && now - remote.sent_at >= retransmit_timeout_
                                                       << std::min(remote.retries, max_backoff_doublings)) {
@@ -322,7 +327,7 @@
   }
   const bool sends_records = remote.out_of_date && !remote.in_flight && !remote.unresponsive;
   if (!sends_records && now < remote.next_heartbeat_at) return;
-  if (remote.acked < floor_revision_) remote.acked = {}; // anew
+  if (remote.acked < floor_revision_) remote.acked = {}; // from the beginning
   PartRevision from = remote.acked;
   PartRevision upto = from;
   std::vector<const MemberRecord*> records;
@@ -383,7 +388,7 @@
     const bool alive = local.record.presence == Presence::alive;
     const Nanos at = local.last_received_at + (alive ? unresponsive_timeout_ : forget_timeout_);
     if (at > now)
-      schedule(id, local, at); // it was heard since
+      schedule(id, local, at); // messages arrived since
     else
       set_presence(now, local, alive ? Presence::unresponsive : Presence::gone);
   }
@@ -412,7 +417,7 @@
 
 // ---- the view
 
-// Of all that is told of a member: well before the others, then the newest attachment.
+// Of all records of a member, alive ones take precedence, then the newest attachment.
 void Directory::refresh(Nanos now, MemberId member) {
   ++counts_.visited;
   const MemberRecord* best = nullptr;
@@ -440,7 +445,7 @@
   if (alive.size() < 2)
     duplicate_since_.erase(member);
   else if (DuplicateSighting& seen = duplicate_since_[member]; seen.incarnations != alive)
-    seen = {now, alive}; // against a member that starts anew again and again
+    seen = {now, alive}; // a member that restarts again and again is not a duplicate
   const auto at = view_.find(member);
   const Presence before = at == view_.end() ? Presence::gone : at->second.presence;
   if (at != view_.end()) add_to_zone(at->second, -1);
--- a/peers/control_codec.cpp
+++ b/peers/control_codec.cpp
@@ -11,7 +11,7 @@
 
 namespace wire = control_wire;
 
-// Against texts longer than the word that says them.
+// Longer reasons are truncated, so that the message stays within its bound.
 constexpr std::size_t max_reason_bytes = 256; // bytes
 
 std::string to_string(std::string_view text) { return std::string(text); }
@@ -80,7 +80,7 @@
 
 } // namespace
 
-// ---- the one order
+// ---- the replicated log
 
 std::string prepare(Token token, std::uint32_t round) {
   return encode_message({}, [&](wire::Control& out) {
@@ -175,7 +175,7 @@
   });
 }
 
-// ---- who is there
+// ---- the directory of members
 
 std::string part(PartRevision from, PartRevision upto, PartRevision last, std::uint64_t digest,
                  const std::vector<const MemberRecord*>& records) {
@@ -205,7 +205,7 @@
   });
 }
 
-// ---- a server
+// ---- from a server to a control member
 
 std::string follow(AttachmentNumber number, bool primary, const Position& at,
                    const std::vector<FollowedScope>& scopes, std::string_view zone) {
@@ -241,7 +241,7 @@
   return encode_message({}, [&](wire::Control& out) { out.mutable_unfollow()->set_number(number.raw); });
 }
 
-// ---- and back
+// ---- from a control member to a server
 
 std::string delta(Incarnation to, AttachmentNumber number, Version from, Version upto, Version last,
                   Nanos age, const std::vector<const Entry*>& entries) {
@@ -290,7 +290,7 @@
   return encode_message(to, [&](wire::Control& out) { out.mutable_again()->set_number(number.raw); });
 }
 
-// ---- read
+// ---- decoding
 
 bool read(std::string_view bytes, ControlListener& listener) {
   wire::Control in;
--- a/peers/control_codec.hpp
+++ b/peers/control_codec.hpp
@@ -1,11 +1,11 @@
-// What control members say to each other and to the servers that follow them, as bytes and back, no I/O
-// (control.proto). Each is one `control` word of a message (peer_codec.hpp), so which fleet, who, in which
-// incarnation and that no byte was spoilt is known before.
+// Encoding of the messages among control members, and between them and the servers that follow them
+// (control.proto); no I/O. Each message is one `control` item of a message between peers (peer_codec.hpp),
+// which already identifies fleet, sender and incarnation and has a checksum.
 //
-// Bounds: peer_codec::most_control bytes each. What holds entries or records keeps to it by
-// control.most_part, .most_batch and .record_overhead (default_control_settings); tests/control_words.cpp
-// holds the longest against it. Errors: reading returns false for what is no such word; nothing of it was
-// told then.
+// Bounds: peer_codec::max_control_bytes for each message. Messages with entries or records stay below it
+// through control.most_part, .most_batch and .record_overhead (default_control_settings);
+// tests/control_words.cpp checks the longest ones. Errors: `read` returns false for an invalid message, and
+// has then not called the listener.
 #pragma once
 
 #include "directory.hpp"
@@ -16,7 +16,7 @@
 
 namespace cometshift::control_codec {
 
-// `to`: the incarnation that is meant; {}: any.
+// `to`: incarnation of the recipient that is addressed; {}: any.
 std::string prepare(Token token, std::uint32_t round);
 std::string promise(Incarnation to, Token token, std::uint32_t round, const LogStatus& status);
 std::string refuse(Incarnation to, Token token, Token seen);
@@ -48,7 +48,8 @@
 std::string elsewhere(Incarnation to, AttachmentNumber number);
 std::string again(Incarnation to, AttachmentNumber number);
 
-// Of a control member. Who a word is from, and in which incarnation, the message says.
+// Receives the messages to a control member. The sender and its incarnation are those of the enclosing
+// message.
 class ControlListener {
  public:
   virtual ~ControlListener() = default;
@@ -73,7 +74,7 @@
 };
 bool read(std::string_view bytes, ControlListener& listener);
 
-// Of a server.
+// Receives the messages to a server that follows control members.
 class FollowerListener {
  public:
   virtual ~FollowerListener() = default;
--- a/peers/control_follower.cpp
+++ b/peers/control_follower.cpp
@@ -48,7 +48,7 @@
   return link < 0 ? state : state < 0 ? link : std::min(link, state);
 }
 
-// Lines are kept to those that are followed, and hung up behind the last word to others.
+// Keeps connections to the followed control members, and closes those to others after their last message.
 void ControlFollower::update_connections() {
   std::set<MemberId> wanted;
   for (const Follower::Attachment& attachment : follower_.attachments()) wanted.insert(attachment.member);
@@ -60,7 +60,7 @@
   requested_ = std::move(wanted);
 }
 
-// ---- the link
+// ---- peers
 
 void ControlFollower::peer_state_changed(MemberId member, PeerState, PeerState now) {
   if (now == PeerState::unresponsive || now == PeerState::one_way || now == PeerState::left)
@@ -76,13 +76,13 @@
   control_codec::read(bytes, *this);
 }
 void ControlFollower::enqueue(MemberId to, std::string_view key, std::string message) {
-  peers_.request_connection(now_, to,
-                            true); // against a word to one that is followed only from the end of this turn on
+  // The recipient may be followed only from the end of this turn on.
+  peers_.request_connection(now_, to, true);
   requested_.insert(to);
   peers_.enqueue(to, Peers::MessageClass::control, key, peer_codec::control(message));
 }
 
-// ---- to control members
+// ---- messages to control members
 
 void ControlFollower::follow(MemberId to, AttachmentNumber number, bool primary, const Position& at,
                              const std::vector<FollowedScope>& scopes) {
@@ -99,7 +99,7 @@
   if (peers_.is_connected(to)) enqueue(to, "unfollow", control_codec::unfollow(number));
 }
 
-// ---- from control members
+// ---- messages of control members
 
 void ControlFollower::delta(Incarnation to, AttachmentNumber number, Version from, Version upto, Version last,
                             Nanos age, const std::vector<Entry>& entries) {
--- a/peers/control_follower.hpp
+++ b/peers/control_follower.hpp
@@ -1,10 +1,11 @@
-// A server's side of control whole, but for its sockets and clocks: its link to the control members that it
-// follows (peers.hpp), and what it has from them (control/follower.hpp). Joins these and decides nothing of
-// its own. Carried by sockets in a process, and by a simulated network in rigs.
+// A server's side of the control plane without its sockets and clocks: the connections to the control members
+// that it follows (peers.hpp), and the state that it has from them (control/follower.hpp). This class
+// connects the two and decides nothing itself. In a server sockets carry its messages, in rigs a simulated
+// network.
 //
-// Times: ns, of a clock that never goes back; one with each call. Nothing that is ordered may call back
-// within the order; `turn` at the end of each turn does what is due and sends what there is to say.
-// Errors: the constructor throws std::invalid_argument with what is senseless.
+// Times: ns of a clock that does not go back; each call passes one time. A ControlFollowerActions call must
+// not call back into this class. `turn`, at the end of each turn, does what is due and sends pending
+// messages. Errors: the constructor throws std::invalid_argument for an invalid setting.
 #pragma once
 
 #include "control_codec.hpp"
@@ -19,7 +20,7 @@
   virtual void dial(MemberId to) = 0;
   virtual void disconnect(MemberId to) = 0;
   virtual void send(MemberId to, std::string frame) = 0;
-  // As FollowerActions has them.
+  // As in FollowerActions.
   virtual std::string check(const Entry& entry) = 0;
   virtual void refused(const Entry& entry, std::string_view reason) = 0;
   virtual void applied(Version version, const std::vector<const Entry*>& changed) = 0;
@@ -53,7 +54,7 @@
   const Peers& peers() const { return peers_; }
 
  private:
-  // The link
+  // PeerActions and the messages between peers
   void dial(MemberId to) override { actions_.dial(to); }
   void disconnect(MemberId to) override { actions_.disconnect(to); }
   void send(MemberId to, std::string frame) override { actions_.send(to, std::move(frame)); }
@@ -69,21 +70,21 @@
   void refused(MemberId, Incarnation, std::string_view, AskNo, Token, Nanos) override {}
   void done(MemberId, std::string_view, Token, Nanos) override {}
   void control(MemberId from, Incarnation incarnation, std::string_view bytes) override;
-  // To control members
+  // FollowerActions: messages to control members
   void follow(MemberId to, AttachmentNumber number, bool primary, const Position& at,
               const std::vector<FollowedScope>& scopes) override;
   void have(MemberId to, AttachmentNumber number, const Position& at) override;
   void compare(MemberId to, AttachmentNumber number, Version at,
                const std::vector<std::uint64_t>& digests) override;
   void unfollow(MemberId to, AttachmentNumber number) override;
-  // To the server
+  // FollowerActions: for the server
   std::string check(const Entry& entry) override { return actions_.check(entry); }
   void refused(const Entry& entry, std::string_view reason) override { actions_.refused(entry, reason); }
   void applied(Version version, const std::vector<const Entry*>& changed) override {
     actions_.applied(version, changed);
   }
   void left(MemberId member, LeaveReason reason) override { actions_.left(member, reason); }
-  // From control members
+  // Messages of control members
   void delta(Incarnation to, AttachmentNumber number, Version from, Version upto, Version last, Nanos age,
              const std::vector<Entry>& entries) override;
   void renewal(Incarnation to, AttachmentNumber number, Version at, const std::vector<std::uint16_t>& scopes,
@@ -99,10 +100,10 @@
   ControlFollowerActions& actions_;
   std::string zone_;
   Nanos now_;
-  MemberId sender_id_{}; // who speaks, while a word is taken
+  MemberId sender_id_{}; // sender of the message that is being handled
   std::vector<MemberId> disconnected_;
   std::set<MemberId> requested_;
-  Voters voters_; // as Peers wants a list; the lines of this link go by choice
+  Voters voters_; // required by Peers; connections are only made on request
   Follower follower_;
   Peers peers_;
 };
--- a/peers/control_member.cpp
+++ b/peers/control_member.cpp
@@ -9,9 +9,9 @@
 
 constexpr double ms = 1e6; // ns
 constexpr const char* writer_lease = "control";
-constexpr std::size_t max_unattached = 256; // beside those that follow: a zone's return, some ms of it
+constexpr std::size_t max_unattached = 256; // beside those that follow: some ms of the return of a zone
 
-// For how long what was granted may last, by a clock as wrong as is allowed.
+// The longest time that a granted lease can last, with a clock that is off by the allowed drift.
 Nanos longest_grant(const Settings& settings) {
   const double drift = number(settings, "leases.drift", 0);
   return static_cast<Nanos>(number(settings, "leases.longest_term", 0) * (1 + drift) / (1 - drift)) + 1;
@@ -27,8 +27,9 @@
 
 } // namespace
 
-// A change is in force everywhere within 4 s: a beat of half a second tells a server by its second line that
-// its first has fallen behind, a second is then waited for it, and the rest is room for the turn.
+// A change takes effect everywhere within 4 s: a heartbeat every half second tells a server on its secondary
+// connection that its primary has fallen behind, it waits one second for the primary, and the remaining time
+// is margin for the switch.
 Settings default_control_settings(bool control) {
   Settings settings{
       {"control.beat", 500 * ms},
@@ -45,18 +46,18 @@
       {"control.patience", 5'000 * ms},
       {"control.put_timeout", 10'000 * ms},
       {"control.forget", 3'600'000 * ms},
-      {"control.rate", 5'000.0},   // bytes a second to a server, under its 6 KB with beats
-      {"control.burst", 24'000.0}, // what it may get in the 4 s that a change has
+      {"control.rate", 5'000.0},   // bytes a second to a server; under its limit of 6 KB with heartbeats
+      {"control.burst", 24'000.0}, // what it may receive in the 4 s in which a change takes effect
       {"control.total_rate", 20e6},
       {"control.total_burst", 4e6},
       {"control.most_whole", 1'000.0},
-      {"control.most_part", 4'600.0}, // bytes in one word
+      {"control.most_part", 4'600.0}, // bytes in one message
       {"control.most_batch", 4'600.0},
       {"control.record_overhead", 64.0},
-      {"control.most_batches", 48.0}, // under way: to a region 0.3 s away and back some 700 KB a second
+      {"control.most_batches", 48.0}, // in flight: some 700 KB a second at a round trip of 0.3 s to a region
       {"control.most_followers", 8'192.0},
       {"control.most_members", 16'384.0},
-      {"control.most_entries", 400'000.0}, // routes, tenants and some more
+      {"control.most_entries", 400'000.0}, // routes, tenants and a margin
       {"control.most_bytes", 128e6},
       {"control.most_key", 200.0},
       {"control.most_value", 4'096.0},
@@ -66,7 +67,7 @@
       {"control.most_pending", 1'024.0},
       {"leases.term", 2'000 * ms},
       {"leases.longest_term", 2'000 * ms},
-      {"leases.answer", 450 * ms}, // over a round trip between the farthest regions
+      {"leases.answer", 450 * ms}, // more than a round trip between the farthest regions
       {"leases.drift", 0.01},
       {"leases.most_terms", 0.0},
       {"leases.most", 16.0},
@@ -75,16 +76,17 @@
       {"peers.beat", 1'000 * ms},
       {"peers.silent", 3'000 * ms},
       {"peers.rest_least", 100 * ms},
-      {"peers.rest_most", 1'500 * ms}, // a region that was cut is level again within 4 s of its return
+      {"peers.rest_most", 1'500 * ms}, // a region that was partitioned is up to date within 4 s of its return
       {"peers.most_words", 256.0},
       {"peers.most_waiting_bytes", 96.0 * 1024},
       {"peers.by_choice", 1.0},
   };
   if (control) {
-    settings["peers.most_beats"] = 20'000.0; // a machine of its own; control's beats come sooner anyway
+    settings["peers.most_beats"] =
+        20'000.0; // it has its own machine; heartbeats of control are more frequent anyway
     settings["peers.most_members"] = 16'384.0;
     settings["peers.most_words"] = 512.0;
-    settings["peers.most_waiting_bytes"] = 512.0 * 1024; // the batches under way, and some more
+    settings["peers.most_waiting_bytes"] = 512.0 * 1024; // the batches in flight, and a margin
   }
   return settings;
 }
@@ -105,7 +107,7 @@
   if (voters.contains(self.from)) leases_.acquire(at.early, writer_lease);
 }
 
-// ---- the lines
+// ---- connections
 
 void ControlMember::connected(const ClockReadings& at, MemberId to) {
   peers_.connected((at_ = at).early, to);
@@ -117,7 +119,7 @@
   at_ = at;
   if (sender.from == self_.from || sender.listen.empty()) return false;
   if (is_control(sender.from)) return true;
-  // Against any number of those that come, say who they are and follow nothing.
+  // Bounds the servers that connect, send a hello and follow nothing.
   while (unattached_.size() >= max_unattached ||
          (!unattached_.empty() && !peers_.add(at.early, sender.from))) {
     const MemberId first = unattached_.front();
@@ -189,7 +191,7 @@
   peers_.leave(at.early);
 }
 
-// ---- the link
+// ---- peers
 
 void ControlMember::peer_state_changed(MemberId member, PeerState before, PeerState now) {
   if (is_control(member)) return actions_.peer_state_changed(member, before, now);
@@ -275,7 +277,7 @@
   pending_lease_ = {token, from, until};
   activate_lease();
 }
-// Against writing while another may still: a holding may begin later than it is told.
+// A lease may begin later than it is reported; writing before then could overlap with the previous holder.
 void ControlMember::activate_lease() {
   if (pending_lease_.token == Token{} || pending_lease_.from > at_.early) return;
   const PendingLease begun = std::exchange(pending_lease_, {});
@@ -286,7 +288,7 @@
   replica_.lease_lost(at_.early, token);
 }
 
-// ---- the one order
+// ---- the replicated log
 
 void ControlMember::prepare(MemberId to, Token token, std::uint32_t round) {
   enqueue(to, "prepare", control_codec::prepare(token, round));
@@ -325,7 +327,7 @@
   actions_.committed(record);
 }
 void ControlMember::replaced() {
-  if (!feed_.is_inactive()) feed_.deactivate(at_.early); // what it told of it is not so any more
+  if (!feed_.is_inactive()) feed_.deactivate(at_.early); // the state that it distributed is no longer valid
 }
 void ControlMember::ended(PutNumber put, PutOutcome end, Version version, std::string_view reason) {
   actions_.ended(put, end, version, reason);
@@ -370,7 +372,7 @@
     replica_.answered(at_.early, sender_id_, sender_incarnation_, to, token, put, end, version, reason);
 }
 
-// ---- what is given out
+// ---- distribution to servers
 
 void ControlMember::delta(MemberId to, Incarnation incarnation, AttachmentNumber number, Version from,
                           Version upto, Version last, Nanos age, const std::vector<const Entry*>& entries) {
@@ -425,7 +427,7 @@
   peers_.request_connection(at_.early, sender_id_, false);
 }
 
-// ---- who is there
+// ---- the directory of members
 
 void ControlMember::send_part(MemberId to, PartRevision from, PartRevision upto, PartRevision last,
                               std::uint64_t digest, const std::vector<const MemberRecord*>& records) {
--- a/peers/control_member.hpp
+++ b/peers/control_member.hpp
@@ -1,13 +1,15 @@
-// A control member whole, but for its sockets and clocks: its link (peers.hpp), its vote and its lease
-// (leases/), its part in the one order, what it gives to servers and who is there (control/). Joins these and
-// decides nothing of its own. Carried by sockets in a process, and by a simulated network in rigs.
+// A control member without its sockets and clocks: its connections (peers.hpp), its vote and its lease
+// (leases/), its replica of the log, the state that it distributes to servers and the directory of members
+// (control/). This class connects these modules and decides nothing itself. In a process sockets carry its
+// messages, in rigs a simulated network.
 //
-// Servers are not listed: one that dials and says where it can be dialled is welcome while there is room, is
-// dialled back once it follows, and forgotten when the directory forgets it.
+// Servers are not listed in the settings. One that connects and sends an address where it can be dialled is
+// accepted while there is room, is dialled back once it follows, and is forgotten when the directory forgets
+// it.
 //
-// Times: as clocks.hpp tells them, one moment with each call. Nothing that is ordered may call back within
-// the order; `turn` at the end of each turn does what is due and sends what there is to say.
-// Errors: the constructor throws std::invalid_argument with what is senseless.
+// Times: readings of clocks.hpp; each call passes one set of them. A ControlMemberActions call must not call
+// back into this class. `turn`, at the end of each turn, does what is due and sends pending messages. Errors:
+// the constructor throws std::invalid_argument for an invalid setting.
 #pragma once
 
 #include "control_codec.hpp"
@@ -18,26 +20,29 @@
 
 namespace cometshift {
 
+// One reading of each clock (leases/clocks.hpp).
 struct ClockReadings {
-  Nanos early;           // of who holds: never ahead of the truth by more than the drift
-  Nanos late;            // of who granted
-  std::uint64_t unix_ms; // as shown, for people and for tokens to rise over starts
+  Nanos early;           // for a lease holder: never ahead of true time by more than the drift
+  Nanos late;            // for a voter that granted a lease
+  std::uint64_t unix_ms; // wall clock, shown to operators, and used so that tokens increase across restarts
 };
 
-// All figures of control and of its link, as they are unless the operator file says otherwise; `control`: of
-// a control member, else of a server.
+// Default settings of the control plane and its connections, without those of the operator file. `control`:
+// for a control member, otherwise for a server.
 Settings default_control_settings(bool control);
 
+// Effects that ControlMember asks its owner to carry out, and notifications.
 class ControlMemberActions {
  public:
   virtual ~ControlMemberActions() = default;
   virtual void dial(MemberId to) = 0;
   virtual void disconnect(MemberId to) = 0;
   virtual void send(MemberId to, std::string frame) = 0;
-  // A server is known from now on, by that address; is forgotten.
+  // A server became known with this address; it was forgotten.
   virtual void listed(MemberId member, std::string_view address) = 0;
   virtual void unlisted(MemberId member) = 0;
-  virtual std::string rejection_reason(const Entry& entry) = 0; // as the writer; empty: it can be written
+  virtual std::string
+  rejection_reason(const Entry& entry) = 0; // why this entry can't be written; empty: it can
   virtual void ended(PutNumber put, PutOutcome end, Version version, std::string_view reason) = 0;
   virtual void committed(const Record& record) = 0;
   virtual void began(Token token, bool after_loss) = 0;
@@ -61,20 +66,20 @@
   ControlMember(const ControlMember&) = delete;
   ControlMember& operator=(const ControlMember&) = delete;
 
-  // ---- the lines
+  // ---- connections
   void connected(const ClockReadings& at, MemberId to);
   void written(const ClockReadings& at, MemberId to);
   void broken(const ClockReadings& at, MemberId to);
   bool accept_unlisted(const ClockReadings& at,
-                       const peer_codec::Sender& sender); // false: no room, or it says no address
+                       const peer_codec::Sender& sender); // false: no room, or it sent no address
   bool message(const ClockReadings& at, const peer_codec::Sender& sender, std::string_view payload);
 
-  // ---- the operator's; as Replica::put
+  // ---- writes of the operator; as Replica::put
   PutNumber put(const ClockReadings& at, std::string key, std::string value, bool deleted,
                 std::optional<Version> expected);
 
   void turn(const ClockReadings& at);
-  Nanos next_wake() const; // of the early clock; -1: none
+  Nanos next_wake() const; // by the early clock; -1: none
   void leave(const ClockReadings& at);
 
   const Leases& leases() const { return leases_; }
@@ -84,17 +89,18 @@
   const Peers& peers() const { return peers_; }
 
  private:
-  // The link
+  // PeerActions
   void dial(MemberId to) override { actions_.dial(to); }
   void disconnect(MemberId to) override { actions_.disconnect(to); }
   void send(MemberId to, std::string frame) override { actions_.send(to, std::move(frame)); }
   void peer_state_changed(MemberId member, PeerState before, PeerState now) override;
   void duplicate_member(MemberId number) override { actions_.duplicate_member(number); }
-  // Words of the link and of leases
+  // Messages between peers, and those of leases
   bool message(MemberId from, Incarnation incarnation, std::uint64_t number, std::uint64_t acked,
                Incarnation acked_incarnation, bool leaving,
                const peer_codec::HeartbeatTerms& heartbeat) override;
-  void voters(MemberId, Epoch, const VoterList&) override {} // they are those that the files name
+  void voters(MemberId, Epoch, const VoterList&) override {
+  } // the voters are those named in the settings files
   void asked(MemberId from, Incarnation incarnation, Epoch epoch, std::string_view lease, AskNo number,
              Token token, Nanos term) override;
   void released(MemberId from, Incarnation incarnation, std::string_view lease, AskNo number) override;
@@ -103,7 +109,7 @@
                Nanos left) override;
   void done(MemberId, std::string_view, Token, Nanos) override {}
   void control(MemberId from, Incarnation incarnation, std::string_view bytes) override;
-  // Leases
+  // LeaseActions
   void ask(MemberId voter, Epoch epoch, std::string_view lease, AskNo number, Token token,
            Nanos term) override;
   void release(MemberId voter, std::string_view lease, AskNo number) override;
@@ -113,7 +119,7 @@
               Nanos left) override;
   void held(std::string_view lease, Token token, Nanos from, Nanos until) override;
   void lost(std::string_view lease, Token token, LossReason reason) override;
-  // The one order: to others
+  // ReplicaActions: messages to other control members
   void prepare(MemberId to, Token token, std::uint32_t round) override;
   void promise(MemberId to, Incarnation incarnation, Token token, std::uint32_t round,
                const LogStatus& status) override;
@@ -126,7 +132,7 @@
   void pass(MemberId to, Incarnation incarnation, Token token, const ForwardedPut& put) override;
   void answer(MemberId to, Incarnation incarnation, Token token, PutNumber put, PutOutcome end,
               Version version, std::string_view reason) override;
-  // ... and here
+  // ReplicaActions: for this control member
   std::string rejection_reason(const Entry& entry) override { return actions_.rejection_reason(entry); }
   void committed(const Record& record) override;
   void replaced() override;
@@ -134,7 +140,7 @@
   void began(Token token, bool after_loss) override { actions_.began(token, after_loss); }
   void stepped_down(Token token) override { actions_.stepped_down(token); }
   void superseded(Token token, Token seen) override;
-  // What is given out
+  // FeedActions: messages to servers
   void delta(MemberId to, Incarnation incarnation, AttachmentNumber number, Version from, Version upto,
              Version last, Nanos age, const std::vector<const Entry*>& entries) override;
   void renewal(MemberId to, Incarnation incarnation, AttachmentNumber number, Version at,
@@ -145,12 +151,12 @@
   void rest(MemberId to, Incarnation incarnation, AttachmentNumber number, Nanos rest) override;
   void elsewhere(MemberId to, Incarnation incarnation, AttachmentNumber number) override;
   void again(MemberId to, Incarnation incarnation, AttachmentNumber number) override;
-  // Who is there
+  // DirectoryActions
   void send_part(MemberId to, PartRevision from, PartRevision upto, PartRevision last, std::uint64_t digest,
                  const std::vector<const MemberRecord*>& records) override;
   void acknowledge_part(MemberId to, Incarnation owner, PartRevision upto) override;
   void presence_changed(const MemberRecord& member, Presence before) override;
-  // Words of control members and of servers
+  // Messages of control members and of servers
   void prepared(Token token, std::uint32_t round) override;
   void promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& status) override;
   void refused(Incarnation to, Token token, Token seen) override;
@@ -181,20 +187,20 @@
   peer_codec::Sender self_;
   std::set<MemberId> controls_;
   ClockReadings at_;
-  Nanos max_lag_;           // for longer it gives nothing out
-  Nanos behind_since_ = -1; // that the writer has committed more than is here; -1: it is level
-  MemberId sender_id_{};    // who speaks, while a word is taken
+  Nanos max_lag_;           // it distributes nothing after being behind for longer
+  Nanos behind_since_ = -1; // since when the writer has committed more; -1: up to date
+  MemberId sender_id_{};    // sender of the message that is being handled
   Incarnation sender_incarnation_{};
-  std::string sender_address_; // its address, as it says
+  std::string sender_address_; // the address that it sent
   std::deque<std::function<void()>> self_queue_;
-  std::deque<MemberId> unattached_; // were welcome, and follow nothing yet: the first make room
-  std::set<MemberId> attached_;     // servers to whom a line is kept
+  std::deque<MemberId> unattached_; // accepted servers that follow nothing yet; the oldest make room
+  std::set<MemberId> attached_;     // servers to which a connection is kept
   std::map<MemberId, std::string> addresses_;
   struct PendingLease {
     Token token{};
     Nanos from = 0, until = 0;
   };
-  PendingLease pending_lease_; // of the lease, told and not begun yet; token 0: none
+  PendingLease pending_lease_; // the lease, granted for a later start; token 0: none
   Voters voters_;
   Leases leases_;
   Replica replica_;
--- a/peers/links.cpp
+++ b/peers/links.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr std::size_t spare_incoming = 8; // than two for each member: one that is going, one that comes
-constexpr std::chrono::seconds hello_timeout{2};             // in which a connection has to say who it is
-constexpr std::chrono::milliseconds accept_retry_delay{100}; // where no descriptor is free
-constexpr std::size_t max_read_bytes = 16 * 1024;            // bytes: others have their turn between
-constexpr int send_buffer_bytes =
-    32 * 1024; // bytes that the system may hold of messages: what is old there is of no use
+// Beyond two for each member, of which one may be closing while its replacement is accepted.
+constexpr std::size_t spare_incoming = 8;
+constexpr std::chrono::seconds hello_timeout{2};
+constexpr std::chrono::milliseconds accept_retry_delay{100}; // when no file descriptor is free
+constexpr std::size_t max_read_bytes = 16 * 1024; // for each turn of a connection, so that others get theirs
+constexpr int send_buffer_bytes = 32 * 1024;      // of the system; messages that wait longer are outdated
 
 } // namespace
 
@@ -27,7 +27,7 @@
   try {
     acceptor_.open(listen.protocol());
     acceptor_.set_option(
-        asio::socket_base::reuse_address(true)); // against waiting for an earlier life's ends
+        asio::socket_base::reuse_address(true)); // despite connections of a previous run in TIME_WAIT
     acceptor_.bind(listen);
     acceptor_.listen();
     acceptor_.non_blocking(true);
@@ -54,7 +54,7 @@
   outgoing_.clear();
 }
 
-// ---- who is listed
+// ---- listed members
 
 void Links::add(MemberId member, Tcp::endpoint at) {
   if (member != self_.from) others_.insert_or_assign(member, at);
@@ -71,7 +71,7 @@
 
 std::size_t Links::max_incoming() const { return 2 * others_.size() + spare_incoming; }
 
-// ---- those that others dial
+// ---- incoming connections
 
 void Links::accept_all() {
   for (;;) {
@@ -87,7 +87,7 @@
       return;
     }
     if (error) continue;
-    // Against any number of connections: what they hold is bounded by it.
+    // Bounds the memory that any number of connections can hold.
     while (incoming_.size() >= max_incoming()) evict_oldest();
     const auto incoming = std::make_shared<Incoming>(std::move(socket), io_);
     incoming->number = next_number_++;
@@ -127,7 +127,7 @@
   close_incoming(std::shared_ptr(incoming_.at(by_last_read_.begin()->second)), "room for another");
 }
 
-// A member that dials anew speaks there: what still lies in an earlier connection of it is old.
+// A member that connects again sends on the new connection; unread bytes of its earlier ones are outdated.
 void Links::close_superseded(const Incoming& newer) {
   std::vector<std::shared_ptr<Incoming>> before;
   for (const std::uint64_t number : by_sender_[newer.sender.from])
@@ -137,7 +137,7 @@
   by_sender_[newer.sender.from].insert(newer.number);
 }
 
-// Most are idle: what is read of any of them passes through one place, and each keeps what is no message yet.
+// Most connections are idle: all of them share one read buffer, and each keeps only an incomplete message.
 void Links::read(const std::shared_ptr<Incoming>& incoming) {
   incoming->socket.async_wait(Tcp::socket::wait_read, [this, incoming](asio::error_code error) {
     if (closed_ || !incoming_.contains(incoming->number)) return;
@@ -187,7 +187,7 @@
   return true;
 }
 
-// ---- those that this member dials
+// ---- outgoing connections
 
 bool Links::is_current(MemberId to, const OutgoingPtr& outgoing) const {
   const auto at = outgoing_.find(to);
--- a/peers/links.hpp
+++ b/peers/links.hpp
@@ -1,10 +1,11 @@
-// The sockets between the servers of a fleet: a listener for those that others dial, and at most one
-// connection out to each member. Owns them and every byte not yet read or written; decides nothing
-// (peers.hpp does). What names another fleet, another member or nobody, or speaks no messages, is closed.
+// Sockets between the servers of a fleet: a listener for the connections that others dial, and at most one
+// outgoing connection to each member. Owns the sockets and all bytes that are not yet read or written, and
+// decides nothing (peers.hpp does). A connection is closed when its hello names another fleet, another
+// recipient or an unlisted sender, or when it sends invalid frames.
 //
-// Bounds: connections in, two for each member and some, of which the one that was silent longest makes room;
-// of each at most one message is kept; in one turn one read of each. Errors: the constructor throws
-// std::invalid_argument where the address can't be listened on.
+// Bounds: incoming connections, two for each member and some spare ones; beyond that the one that was idle
+// longest is closed. At most one partial message is kept for each, and each is read at most once in a turn.
+// Errors: the constructor throws std::invalid_argument if it can't listen on the address.
 #pragma once
 
 #include "peer_codec.hpp"
@@ -22,20 +23,22 @@
 
 namespace cometshift {
 
+// The listener and the connections of one member.
 class Links {
  public:
+  // Receives the events of the connections.
   class Handler {
    public:
     virtual ~Handler() = default;
     virtual void connected(MemberId to) = 0;
     virtual void written(MemberId to) = 0;
     virtual void broken(MemberId to) = 0;
-    // The payload of a message's frame; the view holds until the call returns. False: it is none, and its
-    // connection ends.
+    // The payload of a message frame; the view is valid until the call returns. False: the payload is
+    // invalid, and the connection is closed.
     virtual bool message(const peer_codec::Sender& sender, std::string_view payload) = 0;
-    // One of this fleet that is not listed wants to speak. True: it was listed meanwhile by `add`.
+    // A member of this fleet that is not listed has connected. True: the handler has listed it by `add`.
     virtual bool accept_unlisted(const peer_codec::Sender&) { return false; }
-    virtual void log_event(std::string_view text) = 0; // for the log
+    virtual void log_event(std::string_view text) = 0; // writes to the log
   };
   using Tcp = asio::ip::tcp;
 
@@ -43,15 +46,14 @@
         std::map<MemberId, Tcp::endpoint> others, Handler& handler);
   ~Links();
 
-  // Who else is listed, while this one lives. Another endpoint of one that is listed serves from the next
-  // dial.
+  // Lists another member, or changes the endpoint of a listed one from the next dial on.
   void add(MemberId member, Tcp::endpoint at);
-  void remove(MemberId member); // hangs up, and hears it no more; nothing of it follows
+  void remove(MemberId member); // closes its connections in both directions; no event of it follows
 
-  void dial(MemberId to); // nothing where it is not listed
+  void dial(MemberId to); // no effect if it is not listed
   void disconnect(MemberId to);
   void send(MemberId to, std::string frame);
-  void close(); // everything, for good
+  void close(); // closes all sockets permanently
 
   std::size_t incoming() const { return incoming_.size(); }
 
@@ -60,17 +62,17 @@
     explicit Outgoing(asio::io_context& io) : socket(io) {}
     Tcp::socket socket;
     std::string frame;
-    char discarded[64]; // nothing comes on it but its end
+    char discarded[64]; // the other side sends nothing on this connection; a read only detects its end
   };
   struct Incoming {
     explicit Incoming(Tcp::socket s, asio::io_context& io) : socket(std::move(s)), timer(io) {}
     Tcp::socket socket;
-    asio::steady_timer timer; // for its first word
+    asio::steady_timer timer; // for its hello
     std::string buffer;
     peer_codec::Sender sender;
     std::uint64_t number = 0;
-    bool identified = false;     // it has said who it is
-    std::uint64_t last_read = 0; // by order: the one that was heard last has the greatest
+    bool identified = false;     // its hello was accepted
+    std::uint64_t last_read = 0; // sequence number of its last read
   };
   using OutgoingPtr = std::shared_ptr<Outgoing>;
 
@@ -94,9 +96,9 @@
   Handler& handler_;
   std::map<MemberId, OutgoingPtr> outgoing_;
   std::map<std::uint64_t, std::shared_ptr<Incoming>> incoming_;    // by number
-  std::set<std::pair<std::uint64_t, std::uint64_t>> by_last_read_; // with their numbers
-  std::map<MemberId, std::set<std::uint64_t>> by_sender_;          // the numbers of those that are known
-  std::string read_buffer_; // what is read, before it is a connection's
+  std::set<std::pair<std::uint64_t, std::uint64_t>> by_last_read_; // last_read and number
+  std::map<MemberId, std::set<std::uint64_t>> by_sender_;          // numbers of the identified ones
+  std::string read_buffer_;                                        // shared by all connections for one read
   std::uint64_t next_number_ = 1, reads_ = 0;
   bool closed_ = false;
 };
--- a/peers/peer_codec.cpp
+++ b/peers/peer_codec.cpp
@@ -33,7 +33,7 @@
   bytes = payload.substr(checksum_size);
   return payload.substr(0, checksum_size) == checksum_of(key, bytes);
 }
-// A word is a message with nothing else in it.
+// An item is encoded as a message that has no other fields.
 template <class Fill>
 std::string encode_item(Fill fill) {
   wire::Letter message;
@@ -41,7 +41,7 @@
   return message.SerializeAsString();
 }
 std::string to_string(std::string_view text) { return std::string(text); }
-// Against spans that are none: the longest there is, which the modules know to be senseless.
+// Clamps values out of range to the longest duration, which the modules reject as invalid.
 Nanos nanos_from_wire(std::uint64_t raw) {
   return static_cast<Nanos>(std::min<std::uint64_t>(raw, std::numeric_limits<Nanos>::max() / 4));
 }
@@ -139,9 +139,9 @@
   return encode_item([&](wire::Letter& message) { message.add_control(bytes.data(), bytes.size()); });
 }
 
-// By the part's first byte, the tag of its field in a message.
+// Decides by the first byte of the item, which is the tag of its field in a message.
 bool expects_response(std::string_view item) {
-  constexpr auto tag = [](int field) { return static_cast<char>(field << 3 | 2); }; // with its length
+  constexpr auto tag = [](int field) { return static_cast<char>(field << 3 | 2); }; // length-delimited
   return !item.empty() && (item.front() == tag(wire::Letter::kAskFieldNumber) ||
                            item.front() == tag(wire::Letter::kControlFieldNumber));
 }
--- a/peers/peer_codec.hpp
+++ b/peers/peer_codec.hpp
@@ -1,8 +1,8 @@
-// The words that servers of a fleet say to each other, as bytes and back, no I/O (peer_messages.proto). A
-// frame is as on the balancers' side (node/frames.hpp), in a range of types of its own; its payload begins
-// with eight bytes, XXH3 of the rest keyed by who says it to whom in which incarnation: a byte that was
-// spoilt on the way, or a frame of another connection, is not taken for a word. That is no protection against
-// forgers: it is for closed networks.
+// Encoding of the messages between the servers of a fleet (peer_messages.proto); no I/O. Frames are those of
+// the balancers' side (node/frames.hpp), with frame types of their own. A payload begins with a checksum of
+// eight bytes: XXH3 of the rest, keyed by fleet, sender, recipient and incarnation of the sender, so that
+// corrupted bytes and frames of another connection are rejected. This does not protect against forgery; it is
+// meant for closed networks.
 #pragma once
 
 #include "leases.hpp"
@@ -12,53 +12,53 @@
 
 namespace cometshift::peer_codec {
 
-constexpr std::uint32_t layout = 1;
-constexpr std::size_t max_message_bytes = 64 * 1024; // bytes of a frame; what is larger is no message
-constexpr std::size_t max_item_bytes = 256;          // bytes, the longest name included
-constexpr std::size_t max_control_bytes = 8 * 1024;  // bytes of one that `control` takes
-constexpr std::size_t control_item_overhead = 3;     // bytes that it adds to the longest
+constexpr std::uint32_t layout = 1;                  // version of the message layout
+constexpr std::size_t max_message_bytes = 64 * 1024; // frame size; larger frames are invalid
+constexpr std::size_t max_item_bytes = 256;          // the longest name included
+constexpr std::size_t max_control_bytes = 8 * 1024;  // of a message passed to `control`
+constexpr std::size_t control_item_overhead = 3;     // bytes that `control` adds to the longest message
 
-// Who speaks on a connection, told first.
+// Identity of the sender on a connection, from its hello.
 struct Sender {
   std::string fleet;
   MemberId from, to;
   Incarnation incarnation;
-  std::string listen = {}; // where it can be dialled, if it says so: an address as the files have it
+  std::string listen = {}; // address where it can be dialled, as in the settings files; optional
 };
 
-// How often the writer of a message writes, and wants to be written to where nothing else is to be said.
-// Whole ms, rounded up.
+// How often the sender of a message sends one, and how often it wants to receive one while there is nothing
+// else to send. Encoded in whole ms, rounded up.
 struct HeartbeatTerms {
-  Nanos next_within = 0;        // another message follows within this; 0: of a build that knows of no rhythm
-  Nanos requested_interval = 0; // one each so often is enough; 0: as the figures have it
-  bool isolated = false;        // it hears no voter, and asks for a line back
+  Nanos next_within = 0;        // time until the next message at the latest; 0: the build has no such field
+  Nanos requested_interval = 0; // longest interval it accepts; 0: as in the settings
+  bool isolated = false;        // it receives from no voter, and asks for a connection back
 };
 
-// Whole frames.
+// Complete frames.
 std::string hello(const Sender& sender);
 std::string message(const Sender& sender, std::uint64_t number, std::uint64_t acked,
                     Incarnation acked_incarnation, bool leaving, std::string_view items,
                     const HeartbeatTerms& heartbeat = {});
-// Parts of a message, to be put behind each other.
+// Items of a message, which can be concatenated.
 std::string ask(Epoch epoch, std::string_view lease, AskNo number, Token token, Nanos term);
 std::string release(std::string_view lease, AskNo number);
 std::string grant(Incarnation to, std::string_view lease, AskNo number, bool wanted);
 std::string refuse(Incarnation to, std::string_view lease, AskNo number, Token seen, Nanos left);
 std::string done(std::string_view task, Token token, Nanos ago);
 std::string voters(Epoch on_file, const VoterList& list);
-std::string control(std::string_view bytes); // as the control part has them; at most `most_control`
+std::string control(std::string_view bytes); // a message of control_codec; at most `max_control_bytes`
 
-// Whether such a part is answered at once: an ask or a word of control; a release is only told.
+// Whether the recipient responds to this item at once: an ask or a control message, but not a release.
 bool expects_response(std::string_view item);
 
-// What a message says, in the order of the kinds. The views hold until the call returns.
+// Receives the content of a message, grouped by the type of item. Views are valid until the call returns.
 class Listener {
  public:
   virtual ~Listener() = default;
-  // First. False: nothing in it is to be taken.
+  // The header, called first. False: the items are skipped.
   virtual bool message(MemberId from, Incarnation incarnation, std::uint64_t number, std::uint64_t acked,
                        Incarnation acked_incarnation, bool leaving, const HeartbeatTerms& heartbeat) = 0;
-  virtual void voters(MemberId from, Epoch on_file, const VoterList& list) = 0; // before all other words
+  virtual void voters(MemberId from, Epoch on_file, const VoterList& list) = 0; // before all other items
   virtual void asked(MemberId from, Incarnation incarnation, Epoch epoch, std::string_view lease,
                      AskNo number, Token token, Nanos term) = 0;
   virtual void released(MemberId from, Incarnation incarnation, std::string_view lease, AskNo number) = 0;
@@ -66,10 +66,10 @@
   virtual void refused(MemberId from, Incarnation to, std::string_view lease, AskNo number, Token seen,
                        Nanos left) = 0;
   virtual void done(MemberId from, std::string_view task, Token token, Nanos ago) = 0;
-  virtual void control(MemberId, Incarnation, std::string_view) {} // who takes no part in it passes it over
+  virtual void control(MemberId, Incarnation, std::string_view) {} // ignored unless overridden
 };
 
-// Payloads of frames. False: they can't be read, or not by this build.
+// Decode the payloads of frames. False: the payload is invalid, or of a layout that this build does not know.
 bool decode_hello(std::string_view payload, Sender& sender);
 bool decode_message(std::string_view payload, const Sender& sender, Listener& listener);
 
--- a/peers/peers.cpp
+++ b/peers/peers.cpp
@@ -10,24 +10,33 @@
 namespace {
 
 constexpr Nanos ms = 1'000'000;
-constexpr std::size_t max_payload =
-    peer_codec::max_message_bytes / 2;      // bytes of words in one: several are read a turn
-constexpr std::size_t max_incarnations = 4; // of a number: more than two mean a storm
-constexpr std::size_t max_unacked = 64;     // messages remembered: the first matters, and that
-                                            // answers to later ones are known
-constexpr Nanos forget_timeouts = 40; // a voter stops dialling a member that was silent so many times as long
-                                      // as `peers.silent`: gone for good, or it will be heard again
-constexpr Nanos isolation_timeouts = 4; // without a voter, until all others are asked
+// Bytes of the items in one message. Half of the largest frame, so that several can be read in one turn.
+constexpr std::size_t max_payload = peer_codec::max_message_bytes / 2;
+// Remembered for each member number. A member that restarts has two; more mean that it restarts again and
+// again.
+constexpr std::size_t max_incarnations = 4;
+// Unacknowledged messages remembered. Only the age of the first one matters, and whether an acknowledgement
+// covers a later one.
+constexpr std::size_t max_unacked = 64;
+// In units of `peers.silent`: a voter stops dialling a member from which it received nothing for this long.
+// The member is gone for good, or its messages will be received again.
+constexpr Nanos forget_timeouts = 40;
+// In units of `peers.silent`: a member that received nothing from any voter for this long contacts other
+// members.
+constexpr Nanos isolation_timeouts = 4;
 constexpr int max_backoff_doublings = 16;
-constexpr double full_rate_members =
-    20; // that get the whole beat, at 500 ms 40 messages a second in all: under
-        // 4 KB with TCP/IP's 40 bytes; with more members each gets fewer
-constexpr Nanos max_interval = 600'000 * ms;  // that a message may promise or ask for: against a figure that
-                                              // was never meant, after which nobody would be missed
-constexpr std::size_t contacts_per_round = 3; // others that a member without voters asks at a time: four
-                                              // times as many know a list after each round
-constexpr Nanos contact_round_timeouts = 2;   // a round's time: some round trips, and a dial back
-constexpr std::size_t max_connect_back = 8;   // lonely ones that are dialled for it, at a time
+// Peers that get heartbeats at the full rate. At an interval of 500 ms these are 40 messages a second in all,
+// under 4 KB with the 40 bytes of TCP/IP headers. With more peers each gets fewer.
+constexpr double full_rate_members = 20;
+// The longest interval that a message may promise or request. With an unintended larger value, the end of the
+// member would go unnoticed.
+constexpr Nanos max_interval = 600'000 * ms;
+// Members that an isolated member contacts in one round: after each round, four times as many know the list.
+constexpr std::size_t contacts_per_round = 3;
+// Duration of a round in units of `peers.silent`: some round trips and a connection back.
+constexpr Nanos contact_round_timeouts = 2;
+// Isolated peers that are connected to at their request, at a time.
+constexpr std::size_t max_connect_back = 8;
 const std::pair first_control_key{Peers::MessageClass::control, std::string()};
 
 Nanos round_up_to_ms(Nanos duration) { return (duration + ms - 1) / ms * ms; }
@@ -76,7 +85,7 @@
   for (const MemberId other : others) add(now, other);
 }
 
-// ---- who there is, and to whom a line is wanted
+// ---- membership and wanted connections
 
 bool Peers::add(Nanos now, MemberId member) {
   now_ = now;
@@ -120,7 +129,7 @@
   return at != peers_.end() && at->second.is_connected;
 }
 
-// Against a list of voters that are all gone: others may know of a newer one.
+// All voters of this member's list may be gone; other members may know a newer list.
 bool Peers::is_isolated(Nanos now) const {
   return !only_requested_ && !voters_.may_grant(self_.from) && now >= isolated_at_;
 }
@@ -134,7 +143,7 @@
              std::max(forget_timeouts * min_unresponsive_timeout_, unresponsive_timeout(peer));
 }
 
-// A few by chance, others each time; all where they are no more than that.
+// Draws a few members at random, different ones in each round; all of them if there are no more than that.
 void Peers::contact_others(Nanos now) {
   std::set<MemberId> before;
   before.swap(contacted_);
@@ -151,7 +160,7 @@
       const MemberId drawn = members_[random_.next() % members_.size()];
       if (!voters_.is_voter(drawn) && !(avoid_previous && before.contains(drawn))) contacted_.insert(drawn);
     }
-    // Spread, against a whole fleet that asks at one moment.
+    // Jitter, so that the members of a fleet do not all ask at the same time.
     contact_at_ =
         now + static_cast<Nanos>(static_cast<double>(contact_round_timeouts * min_unresponsive_timeout_) *
                                  (0.75 + random_.unit() / 2));
@@ -159,7 +168,7 @@
   dirty_.insert(contacted_.begin(), contacted_.end());
 }
 
-// The list is the caller's, and changes under this module.
+// The list of voters belongs to the caller and can change between calls.
 void Peers::update_voters() {
   const bool may_grant = voters_.may_grant(self_.from);
   if (may_grant != last_may_grant_)
@@ -173,7 +182,7 @@
   last_may_grant_ = may_grant;
 }
 
-// ---- what is to be said
+// ---- pending items
 
 bool Peers::enqueue(MemberId to, MessageClass message_class, std::string_view key, std::string item) {
   const auto at = peers_.find(to);
@@ -188,7 +197,7 @@
       peer.pending_bytes - found->second.size() + item.size() + (inserted ? key.size() : std::size_t{0});
   if ((inserted && peer.pending.size() > max_pending_) ||
       (bytes > max_pending_bytes_ && bytes > peer.pending_bytes)) {
-    if (inserted) peer.pending.erase(found); // what waits of an earlier word about it goes on waiting
+    if (inserted) peer.pending.erase(found); // an older item with the same key stays pending
     return ++peer.dropped, false;
   }
   peer.pending_bytes = bytes;
@@ -230,7 +239,7 @@
 
 // ---- connections
 
-// Word of a connection that was hung up meanwhile counts for nothing.
+// Reports about a connection that was closed in the meantime are ignored.
 void Peers::connected(Nanos now, MemberId to) {
   now_ = now;
   const auto at = peers_.find(to);
@@ -259,12 +268,13 @@
   reindex(to, at->second);
 }
 
-// Rests grow until the other side has answered something that went by a new connection: against one that
-// accepts and takes nothing. Where many are down at once they grow further: tries are bounded as beats are.
+// The backoff grows until the other side acknowledged something that was sent on a new connection, because it
+// may accept connections and read nothing. While many connections are down the backoff grows further, so that
+// the rate of attempts has the same bound as the rate of heartbeats.
 void Peers::on_disconnected(Nanos now, Peer& peer) {
   peer.connection = ConnectionState::none;
   peer.connection_since = now;
-  peer.unacked.clear(); // may be lost with it
+  peer.unacked.clear(); // these may be lost with the connection
   peer.request_sent_at = -1;
   peer.ack_overdue = false;
   const double missing = static_cast<double>(wanted_.size() - std::min(wanted_.size(), connections_));
@@ -272,7 +282,7 @@
   const double backoff = std::min(static_cast<double>(min_backoff_) * std::exp2(peer.failed_attempts), limit);
   peer.retry_at = now + static_cast<Nanos>(backoff * (0.5 + random_.unit()));
   peer.failed_attempts = std::min(peer.failed_attempts + 1, max_backoff_doublings);
-  drop_pending(peer, true); // against telling as fresh what was so some time ago
+  drop_pending(peer, true); // items that would be sent late, as if they were current
 }
 
 void Peers::close(Nanos now, MemberId member, Peer& peer) {
@@ -281,7 +291,7 @@
   on_disconnected(now, peer);
 }
 
-// ---- what is heard
+// ---- received messages
 
 bool Peers::received(Nanos now, MemberId from, Incarnation incarnation, std::uint64_t number,
                      std::uint64_t acked, Incarnation acked_incarnation, bool leaving,
@@ -302,14 +312,14 @@
         }
   } else if (incarnation != peer.newest_incarnation &&
              now - peer.newest_incarnation_at > min_unresponsive_timeout_ && !peer.duplicate_reported) {
-    peer.duplicate_reported = true; // messages of a life before don't come that late by a connection
+    peer.duplicate_reported = true; // messages of an earlier incarnation do not arrive that late
     actions_.duplicate_member(from);
   }
   std::uint64_t& known = peer.last_received.find(incarnation)->second;
-  if (number <= known) return false; // against a message that comes twice, or after a later one
+  if (number <= known) return false; // duplicate or out of order
   known = number;
   if (incarnation != peer.newest_incarnation)
-    return true; // its words count, what it says of the link is another's
+    return true; // its items are valid, but its header is about the connections of another incarnation
   peer.last_received_at = now;
   peer.request_sent_at = -1;
   peer.heartbeat = {std::min(heartbeat.next_within, max_interval),
@@ -330,7 +340,8 @@
       peer.unacked.pop_front();
     if (any_acked) peer.failed_attempts = 0, peer.awaiting_ack = false, peer.unacked_since = -1;
   }
-  // It writes, and has not heard what went to it long ago: that stands on the way, and so would an answer.
+  // It sends, but does not acknowledge what was sent to it long ago: that is stalled on the way, and a
+  // response would be stalled behind it.
   if (!peer.unacked.empty() && now - peer.unacked.front().second >= min_unresponsive_timeout_) {
     peer.ack_overdue = true;
     if (peer.unacked_since < 0) peer.unacked_since = peer.unacked.front().second;
@@ -345,9 +356,9 @@
       actions_.peer_state_changed(from, peer.peer_state, PeerState::reachable);
       peer.peer_state = PeerState::reachable;
       peer.unacked_since = -1;
-      peer.awaiting_ack = false; // of the time before it left
+      peer.awaiting_ack = false; // it dates from before the peer left
       if (peer.connection == ConnectionState::none)
-        peer.retry_at = now; // it is there again: no rest is needed
+        peer.retry_at = now; // the peer is back: no backoff is needed
     }
     update_state(now, from, peer);
   }
@@ -355,7 +366,7 @@
   return true;
 }
 
-// Silence is judged by what was promised: so many times as long as is waited for a beat by the figures.
+// Scales with the interval that the peer promised, by the ratio of `peers.silent` to `peers.beat`.
 Nanos Peers::unresponsive_timeout(const Peer& peer) const {
   if (peer.heartbeat.next_within <= heartbeat_interval_) return min_unresponsive_timeout_;
   const double beats =
@@ -363,8 +374,8 @@
   return static_cast<Nanos>(static_cast<double>(peer.heartbeat.next_within) * beats);
 }
 
-// Deaf: it is heard, and the first message that it has not answered is too old. Silent comes before: who is
-// not heard can't answer.
+// One-way unreachable: messages of the peer arrive, and the first one that it has not acknowledged is too
+// old. Unresponsive takes precedence: acknowledgements of a peer that is not received from can't arrive.
 void Peers::update_state(Nanos now, MemberId member, Peer& peer) {
   if (peer.peer_state == PeerState::unknown || peer.peer_state == PeerState::left) return;
   PeerState next = PeerState::reachable;
@@ -377,7 +388,7 @@
     next = PeerState::unresponsive;
   else if (wants_connection(now, member, peer) && (unacked || unreached || peer.awaiting_ack))
     next = PeerState::one_way;
-  peer.awaiting_ack = next == PeerState::one_way; // until it answers something
+  peer.awaiting_ack = next == PeerState::one_way; // until it acknowledges something
   if (next == peer.peer_state) return;
   actions_.peer_state_changed(member, peer.peer_state, next);
   peer.peer_state = next;
@@ -425,7 +436,7 @@
   return next;
 }
 
-// Whatever was changed of a member: it is found again where it is waited for, and nobody else is looked at.
+// Updates the indexes after any change of a peer, without examining the others.
 void Peers::reindex(MemberId member, Peer& peer) {
   ++costs_.peers_examined;
   const auto count = [](std::size_t& all, bool& counted, bool now) {
@@ -486,7 +497,7 @@
 
 void Peers::process(Nanos now, MemberId member, Peer& peer) {
   if (!peer.is_wanted && peer.connection == ConnectionState::none)
-    peer.connection_since = now; // nobody tried to reach it before
+    peer.connection_since = now; // there was no attempt to connect before
   update_state(now, member, peer);
   if (now >= peer.connect_back_until) connect_back_.erase(member);
   const bool stuck =
@@ -494,8 +505,8 @@
       now - peer.connection_since >= min_unresponsive_timeout_;
   const bool unacked = peer.connection == ConnectionState::idle && !peer.unacked.empty() &&
                        now - peer.unacked.front().second >= unresponsive_timeout(peer);
-  // Against a line that TCP still sends again on, with rests of minutes: neither silence nor deafness says it
-  // soon of one that promised little.
+  // TCP may still retransmit on this connection, with delays of minutes. If the peer promised only rare
+  // messages, neither the unresponsive nor the one-way state would show it soon.
   const bool stalled =
       (peer.connection == ConnectionState::idle || peer.connection == ConnectionState::writing) &&
       (peer.ack_overdue ||
@@ -531,8 +542,8 @@
   for (const MemberId member : concerned) send(now, member, peers_.at(member));
 }
 
-// On behind what went out last, and round: no matter waits for ever behind those before it. The other slots
-// go before those of control, and leave them half of a message.
+// Round robin behind the key that was sent last, so that no key starves behind those before it. The other
+// classes go before `control`, and leave it half of a message.
 std::string Peers::take_items(Peer& peer, bool& has_request) {
   std::string items;
   const auto append = [&](bool control, Peer::ItemKey& last_key, std::size_t limit) {
@@ -572,7 +583,8 @@
   ++peer.messages;
   if (peer.unacked.size() >= max_unacked) peer.unacked.pop_back();
   peer.unacked.emplace_back(peer.last_sent, now);
-  // Who promises nothing knows of no promise, and would take a rarer beat for silence.
+  // A peer that promises no interval is of a build that knows none, and would take a longer interval for
+  // unresponsiveness.
   const Nanos own = heartbeat_interval(), next = peer.heartbeat.next_within > 0
                                                      ? std::max(own, peer.heartbeat.requested_interval)
                                                      : heartbeat_interval_;
--- a/peers/peers.hpp
+++ b/peers/peers.hpp
@@ -1,19 +1,20 @@
-// What one member of a fleet keeps of each other: what is still to be said to it, when a connection to it is
-// worth another try, and what its silence means. Decides only: no I/O, no clock, one time with each call.
-// Sockets (peers/links.hpp) carry out, peer_codec.hpp has the bytes.
+// State that one member of a fleet keeps about each of the others: the items that wait to be sent, when to
+// retry a connection, and what missing heartbeats mean. The module only decides: it does no I/O and reads no
+// clock, and each call passes one time. Sockets are in peers/links.hpp, the encoding is in peer_codec.hpp.
 //
-// A connection goes one way: each member dials those to whom it speaks, and listens on those that others
-// dial. So each way between two members fails by itself, and is known to: what a member says has the number
-// of the last message that it heard, by which the other knows whether it is heard.
+// A connection carries messages one way: each member dials those that it sends to, and accepts connections
+// from those that send to it. The two directions between two members therefore fail independently, and a
+// member can tell: each message acknowledges the last one received from its recipient.
 //
-// Bounds: one message at a time is under way to a member; what waits stands in slots, where the newest word
-// about a matter replaces the one before, at most `peers.most_words` of them and `peers.most_waiting_bytes`;
-// a mute, slow or half-closed member costs that and no more. Members known: `peers.most_members`. Beats sent
-// in a second, to all together: `peers.most_beats`; with more lines each gets fewer, and is told so. A wake
-// looks at those members that it concerns, never at all.
+// Bounds: one message at a time is in flight to a peer. Pending items are keyed by class and key, and a newer
+// item replaces a pending one with the same key; there are at most `peers.most_words` of them, with at most
+// `peers.most_waiting_bytes`. An unresponsive, slow or half-closed peer costs no more than that. Members
+// known: at most `peers.most_members`. Heartbeats sent in a second, to all peers together: at most
+// `peers.most_beats`; with more connections each peer gets fewer, and is told the longer interval. A wake-up
+// examines only the peers that it concerns, never all of them.
 //
-// Times: of the caller's own clock, ns, never going back. Nothing that is ordered may call back within the
-// order. Errors: the constructor throws std::invalid_argument with the name of a setting that is senseless.
+// Times: ns of the caller's clock, which must not go back. A PeerActions call must not call back into this
+// module. Errors: the constructor throws std::invalid_argument with the name of an invalid setting.
 #pragma once
 
 #include "pcg.hpp"
@@ -27,139 +28,150 @@
 
 namespace cometshift {
 
-// What this member thinks of another.
+// What this member knows of another one.
 enum class PeerState {
-  unknown,      // nothing was heard yet
-  reachable,    // both hear each other, as far as is known
-  one_way,      // it is heard, and does not hear this member
-  unresponsive, // not heard for too long: stopped, slow, dead or cut off, which can't be told from here
-  left          // it said that it goes
+  unknown,      // nothing was received yet
+  reachable,    // messages arrive in both directions, as far as is known
+  one_way,      // its messages arrive here, but this member's do not reach it
+  unresponsive, // nothing was received for too long: stopped, slow, dead or partitioned, which can't be told
+                // apart
+  left          // it announced that it leaves
 };
 std::string_view to_text(PeerState peer_state);
 
+// Effects that Peers asks its owner to carry out.
 class PeerActions {
  public:
   virtual ~PeerActions() = default;
-  virtual void dial(MemberId to) = 0;       // ends by `connected` or `broken`
-  virtual void disconnect(MemberId to) = 0; // nothing of that connection follows
-  // One frame; ends by `written` or `broken`.
+  virtual void dial(MemberId to) = 0;       // the outcome is reported by `connected` or `broken`
+  virtual void disconnect(MemberId to) = 0; // nothing about that connection may be reported afterwards
+  // Writes one frame; the outcome is reported by `written` or `broken`.
   virtual void send(MemberId to, std::string frame) = 0;
   virtual void peer_state_changed(MemberId member, PeerState before, PeerState now) = 0;
-  virtual void duplicate_member(MemberId number) = 0; // two members live under one number
+  virtual void duplicate_member(MemberId number) = 0; // two running members use the same number
 };
 
 class Peers {
  public:
-  // What a word is about; one of a slot and a matter waits, the newest. Words of `control` may be larger, and
-  // never keep those of the other slots waiting for more than a message. Of `update` and `control`, none
-  // outlives its line.
+  // Class of an item. Of one class and key only the newest item is pending. Items of `control` may be larger,
+  // and delay those of the other classes by at most one message. Items of `update` and `control` are dropped
+  // when their connection ends.
   enum class MessageClass : std::uint8_t { request, response, update, control };
 
-  // `figures`, spans in ns:
-  // - peers.beat: a message goes out at least so often
-  // - peers.silent: after so long without a word a member counts as silent, or as deaf without an answer;
-  //   over two beats
-  // - peers.rest_least, peers.rest_most: between tries to connect, doubled with each that comes to nothing
-  // - peers.most_words: that wait for a member
-  // and these, which may be left out:
-  // - peers.most_waiting_bytes: of the words that wait for a member, matters included; else as many as
-  //   `most_words` of the leases' have at the most
-  // - peers.most_beats: a second, to all together; else what 20 members get at `peers.beat`
-  // - peers.most_members: others that are known; else as many as are handed in here
-  // - peers.by_choice: 1: connections are kept to those alone that `keep` names; else also to the voters,
-  //   by a voter to all it hears, and, where no voter is heard, to a few others at a time, by turns
+  // `settings`, durations in ns:
+  // - peers.beat: heartbeat interval, the longest time between two messages to a peer
+  // - peers.silent: a peer that sent nothing for this long is unresponsive, and one that acknowledged nothing
+  // for
+  //   this long is one-way unreachable; at least two heartbeat intervals
+  // - peers.rest_least, peers.rest_most: backoff between connection attempts, doubled after each failed one
+  // - peers.most_words: pending items for each peer
+  // and these, which are optional:
+  // - peers.most_waiting_bytes: bytes of the pending items for each peer, keys included; the default holds
+  //   `peers.most_words` items of the largest size that leases use
+  // - peers.most_beats: heartbeats in a second to all peers together; default: what 20 peers get at
+  // `peers.beat`
+  // - peers.most_members: other members that can be known; default: as many as are passed here
+  // - peers.by_choice: 1: connections are kept only to the peers named by `request_connection`. Otherwise
+  // also to
+  //   the voters, by a voter to all from which it receives, and, while no voter is received from, to a few
+  //   others at a time, in rounds
   Peers(Nanos now, peer_codec::Sender self, std::vector<MemberId> others, const Voters& voters,
         const Settings& settings, std::uint64_t seed, PeerActions& actions);
 
-  // Who else there is, while this member lives. False: it is this member itself, or there is no room.
-  bool add(Nanos now, MemberId member);    // true and nothing else where it is known already
-  void remove(Nanos now, MemberId member); // hangs up; what waits is dropped, what was heard is forgotten
+  // Adds a known member. False: it is this member itself, or there is no room. True without an effect where
+  // it is known already.
+  bool add(Nanos now, MemberId member);
+  void remove(Nanos now, MemberId member); // disconnects, drops its pending items and forgets its state
   bool knows(MemberId member) const { return peers_.contains(member); }
   std::size_t known() const { return peers_.size(); }
 
-  // Whether a line to it is wanted by the caller, beside what the voters' rule wants; dialled again until it
-  // isn't. Without either the line is hung up, and what waits is dropped. False: nobody of that number.
+  // Whether the caller wants a connection, in addition to those that the rule for voters wants. A wanted
+  // connection is dialled again until it is no longer wanted. An unwanted one is closed and its pending items
+  // are dropped. False: the member is not known.
   bool request_connection(Nanos now, MemberId member, bool wanted);
-  const std::set<MemberId>& wanted() const { return wanted_; } // as the last turn found
-  bool is_connected(MemberId to) const;                        // a line to it stands
+  const std::set<MemberId>& wanted() const { return wanted_; } // as of the last turn
+  bool is_connected(MemberId to) const;
 
-  // To be said with the next message. False: no room, too long, or nobody of that number.
+  // Queues an item for the next message. False: no room, too long, or the member is not known.
   bool enqueue(MemberId to, MessageClass message_class, std::string_view key, std::string item);
-  void enqueue_all(MessageClass message_class, std::string_view key,
-                   const std::string& item); // to all to whom a line is wanted
-  std::size_t free_bytes(MemberId to) const; // bytes that `say` still takes, a word's matter included
-  void leave(Nanos now);                     // says so; what waits is still said
-  bool all_sent() const;                     // to all that can be reached
+  // To all peers to which a connection is wanted.
+  void enqueue_all(MessageClass message_class, std::string_view key, const std::string& item);
+  std::size_t
+  free_bytes(MemberId to) const; // bytes that `enqueue` still accepts, the key of the item included
+  void leave(Nanos now);         // announces that this member leaves; pending items are still sent
+  bool all_sent() const;         // to all peers that are connected
 
   void connected(Nanos now, MemberId to);
   void written(Nanos now, MemberId to);
   void broken(Nanos now, MemberId to);
-  // A message came: true if what it says is to be taken, false if it came before.
+  // Handles the header of a message. True: its items are to be handled. False: it is a duplicate or out of
+  // order.
   bool received(Nanos now, MemberId from, Incarnation incarnation, std::uint64_t number, std::uint64_t acked,
                 Incarnation acked_incarnation, bool leaving,
                 const peer_codec::HeartbeatTerms& heartbeat = {});
 
   Nanos next_wake() const; // -1: none
   void due(Nanos now);
-  void flush(Nanos now); // sends what there is to say; at the end of a turn
+  void flush(Nanos now); // sends pending items and heartbeats; at the end of a turn
 
   struct Status {
     MemberId member;
     PeerState peer_state = PeerState::unknown;
     Incarnation incarnation;
     Nanos last_received_at = -1;
-    std::size_t waiting = 0; // words
+    std::size_t waiting = 0; // pending items
     std::uint64_t messages = 0, dropped = 0, dials = 0;
-    Nanos unresponsive_timeout = 0; // unheard for so long it counts as silent
+    Nanos unresponsive_timeout = 0; // it is unresponsive once nothing was received for this long
     bool wanted = false;
   };
-  std::vector<Status> status() const; // of all: for people
+  std::vector<Status> status() const; // of all peers, for operators
   PeerState peer_state(MemberId member) const;
 
-  // What this member has cost since it began: members looked at (by a call or a wake), messages and their
-  // bytes as frames, tries to connect.
+  // Totals since this member started: peers examined (by a call or a wake-up), messages and the bytes of
+  // their frames, and connection attempts.
   struct Costs {
     std::uint64_t peers_examined = 0, messages = 0, bytes = 0, dials = 0;
   };
   const Costs& costs() const { return costs_; }
-  std::size_t connections() const { return connections_; } // that stand
-  Nanos min_unresponsive_timeout() const {
-    return min_unresponsive_timeout_;
-  }                                 // by the figures: the least patience
-  Nanos heartbeat_interval() const; // as it is now, to those who ask for no rarer one
+  std::size_t connections() const { return connections_; }                     // established ones
+  Nanos min_unresponsive_timeout() const { return min_unresponsive_timeout_; } // from the settings
+  Nanos heartbeat_interval() const; // the current one, to peers that did not ask for a longer one
 
  private:
   enum class ConnectionState { none, connecting, idle, writing };
   struct Peer {
     ConnectionState connection = ConnectionState::none;
-    Nanos connection_since = 0; // the line is as it is
-    Nanos retry_at = 0;         // no dial before then
-    bool awaiting_ack = false;  // it was found deaf, and has answered nothing since
-    bool requested = false;     // the caller wants a line
-    int failed_attempts = 0;    // that came to nothing, in a row
+    Nanos connection_since = 0; // when `connection` was entered
+    Nanos retry_at = 0;         // no attempt to connect before then
+    bool awaiting_ack = false;  // it was found one-way unreachable, and has acknowledged nothing since
+    bool requested = false;     // the caller wants a connection
+    int failed_attempts = 0;    // in a row
     using ItemKey = std::pair<MessageClass, std::string>;
     std::map<ItemKey, std::string> pending;
-    std::size_t pending_bytes = 0; // of the words, matters included
-    ItemKey last_sent_key{},
-        last_control_key{MessageClass::control, {}}; // went out last: the next message goes on behind them
+    std::size_t pending_bytes = 0; // keys included
+    // The keys sent last: the next message continues behind them.
+    ItemKey last_sent_key{}, last_control_key{MessageClass::control, {}};
     Nanos next_heartbeat_at = 0;
-    std::uint64_t last_sent = 0; // of the last message
-    // Letters that were sent and not answered, by number; of many only the first and the last count.
+    std::uint64_t last_sent = 0; // number of the last message
+    // Messages that were sent and are not acknowledged, by number; when there are many, only the first ones
+    // and the last one are kept.
     std::deque<std::pair<std::uint64_t, Nanos>> unacked;
-    Nanos request_sent_at =
-        -1; // a word that wants an answer went out on this line, and nothing was heard since
-    bool ack_overdue = false; // it wrote without having heard what went out on this line long before
-    Nanos unacked_since = -1; // that went out, and it has answered nothing since, on no line
+    // When an item that expects a response was sent on this connection, if nothing was received since.
+    Nanos request_sent_at = -1;
+    bool ack_overdue =
+        false; // it sent a message without acknowledging what was sent on this connection long before
+    // Since when it has acknowledged nothing, across connections.
+    Nanos unacked_since = -1;
     PeerState peer_state = PeerState::unknown;
     Nanos last_received_at = -1;
-    peer_codec::HeartbeatTerms heartbeat{}; // as it said last
-    Nanos connect_back_until = -1;          // it hears no voter, and asked for a line back
+    peer_codec::HeartbeatTerms heartbeat{}; // from its last message
+    Nanos connect_back_until = -1;          // it receives from no voter, and asked for a connection back
     Incarnation newest_incarnation{};
     Nanos newest_incarnation_at = 0;
-    std::map<Incarnation, std::uint64_t> last_received; // messages, by who wrote them
+    std::map<Incarnation, std::uint64_t> last_received; // message numbers
     bool duplicate_reported = false;
     std::uint64_t messages = 0, dropped = 0, dials = 0;
-    // As it is filed below.
+    // How the peer is entered in the indexes below.
     Nanos wake = -1;
     bool is_connected = false, is_writing = false, is_ready = false, is_receiving = false, is_wanted = false;
   };
@@ -185,23 +197,23 @@
   Pcg random_;
   Nanos heartbeat_interval_, min_unresponsive_timeout_, min_backoff_, max_backoff_;
   std::size_t max_pending_, max_pending_bytes_, max_members_;
-  double max_heartbeats_;
+  double max_heartbeats_; // in a second
   bool only_requested_;
   const Voters& voters_;
-  std::set<MemberId> last_voters_; // as the lines are kept to them
+  std::set<MemberId> last_voters_; // the voters that connections were last adapted to
   bool last_may_grant_;
   bool leaving_ = false;
   Nanos now_;
-  Nanos isolated_at_; // unless a voter is heard before
+  Nanos isolated_at_; // unless a message of a voter arrives before
   bool isolated_ = false;
-  std::set<MemberId> contacted_; // while lonely
-  Nanos contact_at_ = -1;        // others
+  std::set<MemberId> contacted_; // the members of the current round while isolated
+  Nanos contact_at_ = -1;        // the next round
   std::map<MemberId, Peer> peers_;
-  std::vector<MemberId> members_; // of the fellows, in order: to draw from
-  // The fellows by what they wait for; each is filed anew with each change of it.
+  std::vector<MemberId> members_; // the keys of `peers_`, in order, to draw from
+  // Indexes of the peers by what they wait for; each change of a peer updates its entries.
   Wakes wakes_;
-  std::set<MemberId> dirty_; // to be looked at in this turn
-  std::set<MemberId> ready_; // a line stands and is free, and words wait
+  std::set<MemberId> dirty_; // to be processed in this turn
+  std::set<MemberId> ready_; // connected, not writing, and with pending items
   std::set<MemberId> wanted_, connect_back_;
   std::size_t connections_ = 0, writing_ = 0, receiving_from_ = 0;
   Costs costs_;
