--- a/peers/control_codec.hpp
+++ b/peers/control_codec.hpp
@@ -1,10 +1,11 @@
-// What control members say to each other and to the servers that follow them, as bytes and back, no I/O
-// (control.proto). Each is one `control` word of a message (peer_codec.hpp), so which fleet, who, in which
-// incarnation and that no byte was spoilt is known before.
+// Encoding of the messages among control members, and between them and the servers that follow them
+// (control.proto); no I/O. Each message is one `control` item of a message between peers (peer_codec.hpp),
+// which already identifies fleet, sender and incarnation and has a checksum.
 //
-// Bounds: peer_codec::most_control bytes each. What holds entries or records keeps to it by control.most_part,
-// .most_batch and .record_overhead (default_control_settings); tests/control_words.cpp holds the longest
-// against it. Errors: reading returns false for what is no such word; nothing of it was told then.
+// Bounds: peer_codec::max_control_bytes for each message. Messages with entries or records stay below it
+// through control.most_part, .most_batch and .record_overhead (default_control_settings);
+// tests/control_words.cpp checks the longest ones. Errors: `read` returns false for an invalid message, and
+// has then not called the listener.
 #pragma once
 
 #include "directory.hpp"
@@ -15,21 +16,21 @@
 
 namespace cometshift::control_codec {
 
-// `to`: the incarnation that is meant; {}: any.
+// `to`: incarnation of the recipient that is addressed; {}: any.
 std::string prepare(Token token, std::uint32_t round);
-std::string promise(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing);
+std::string promise(Incarnation to, Token token, std::uint32_t round, const LogStatus& status);
 std::string refuse(Incarnation to, Token token, Token seen);
 std::string append(const Append& append);
-std::string appended(Incarnation to, Token token, std::uint64_t mark, Version matched, bool gap);
+std::string appended(Incarnation to, Token token, std::uint64_t sequence, Version matched, bool gap);
 std::string fetch(Token token, Version base, Version cursor, Token since);
 std::string chunk(Incarnation to, const Chunk& chunk);
 std::string pass(Incarnation to, Token token, const ForwardedPut& put);
 std::string answer(Incarnation to, Token token, PutNumber put, PutOutcome end, Version version,
-                   std::string_view why);
+                   std::string_view reason);
 
-std::string part(PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
+std::string part(PartRevision from, PartRevision upto, PartRevision last, std::uint64_t digest,
                  const std::vector<const MemberRecord*>& records);
-std::string part_held(Incarnation owner, PartNo upto);
+std::string part_held(Incarnation owner, PartRevision upto);
 
 std::string follow(AttachmentNumber number, bool primary, const Position& at,
                    const std::vector<FollowedScope>& scopes, std::string_view zone);
@@ -47,23 +48,24 @@
 std::string elsewhere(Incarnation to, AttachmentNumber number);
 std::string again(Incarnation to, AttachmentNumber number);
 
-// Of a control member. Who a word is from, and in which incarnation, the message says.
+// Receives the messages to a control member. The sender and its incarnation are those of the enclosing
+// message.
 class ControlListener {
  public:
   virtual ~ControlListener() = default;
   virtual void prepared(Token token, std::uint32_t round) = 0;
-  virtual void promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing) = 0;
+  virtual void promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& status) = 0;
   virtual void refused(Incarnation to, Token token, Token seen) = 0;
   virtual void appending(const Append& append) = 0;
-  virtual void appended(Incarnation to, Token token, std::uint64_t mark, Version matched, bool gap) = 0;
+  virtual void appended(Incarnation to, Token token, std::uint64_t sequence, Version matched, bool gap) = 0;
   virtual void fetched(Token token, Version base, Version cursor, Token since) = 0;
   virtual void chunked(Incarnation to, const Chunk& chunk) = 0;
   virtual void passed(Incarnation to, Token token, const ForwardedPut& put) = 0;
   virtual void answered(Incarnation to, Token token, PutNumber put, PutOutcome end, Version version,
-                        std::string_view why) = 0;
-  virtual void part(PartNo from, PartNo upto, PartNo last, std::uint64_t digest,
+                        std::string_view reason) = 0;
+  virtual void part(PartRevision from, PartRevision upto, PartRevision last, std::uint64_t digest,
                     const std::vector<MemberRecord>& records) = 0;
-  virtual void part_held(Incarnation owner, PartNo upto) = 0;
+  virtual void part_held(Incarnation owner, PartRevision upto) = 0;
   virtual void follow(AttachmentNumber number, bool primary, const Position& at,
                       const std::vector<FollowedScope>& scopes, std::string_view zone) = 0;
   virtual void have(AttachmentNumber number, const Position& at) = 0;
@@ -72,7 +74,7 @@
 };
 bool read(std::string_view bytes, ControlListener& listener);
 
-// Of a server.
+// Receives the messages to a server that follows control members.
 class FollowerListener {
  public:
   virtual ~FollowerListener() = default;
--- a/peers/links.hpp
+++ b/peers/links.hpp
@@ -1,10 +1,11 @@
-// The sockets between the servers of a fleet: a listener for those that others dial, and at most one
-// connection out to each member. Owns them and every byte not yet read or written; decides nothing
-// (peers.hpp does). What names another fleet, another member or nobody, or speaks no messages, is closed.
+// Sockets between the servers of a fleet: a listener for the connections that others dial, and at most one
+// outgoing connection to each member. Owns the sockets and all bytes that are not yet read or written, and
+// decides nothing (peers.hpp does). A connection is closed when its hello names another fleet, another
+// recipient or an unlisted sender, or when it sends invalid frames.
 //
-// Bounds: connections in, two for each member and some, of which the one that was silent longest makes room;
-// of each at most one message is kept; in one turn one read of each. Errors: the constructor throws
-// std::invalid_argument where the address can't be listened on.
+// Bounds: incoming connections, two for each member and some spare ones; beyond that the one that was idle
+// longest is closed. At most one partial message is kept for each, and each is read at most once in a turn.
+// Errors: the constructor throws std::invalid_argument if it can't listen on the address.
 #pragma once
 
 #include "peer_codec.hpp"
@@ -22,36 +23,37 @@
 
 namespace cometshift {
 
+// The listener and the connections of one member.
 class Links {
  public:
+  // Receives the events of the connections.
   class Handler {
    public:
     virtual ~Handler() = default;
     virtual void connected(MemberId to) = 0;
     virtual void written(MemberId to) = 0;
     virtual void broken(MemberId to) = 0;
-    // The payload of a message's frame; the view holds until the call returns. False: it is none, and its
-    // connection ends.
+    // The payload of a message frame; the view is valid until the call returns. False: the payload is
+    // invalid, and the connection is closed.
     virtual bool message(const peer_codec::Sender& sender, std::string_view payload) = 0;
-    // One of this fleet that is not listed wants to speak. True: it was listed meanwhile by `add`.
+    // A member of this fleet that is not listed has connected. True: the handler has listed it by `add`.
     virtual bool accept_unlisted(const peer_codec::Sender&) { return false; }
-    virtual void log_event(std::string_view words) = 0; // for the log
+    virtual void log_event(std::string_view text) = 0; // writes to the log
   };
   using Tcp = asio::ip::tcp;
 
   Links(asio::io_context& io, Tcp::endpoint listen, peer_codec::Sender self,
-        std::map<MemberId, Tcp::endpoint> others, Handler& taker);
+        std::map<MemberId, Tcp::endpoint> others, Handler& handler);
   ~Links();
 
-  // Who else is listed, while this one lives. Another endpoint of one that is listed serves from the next
-  // dial.
+  // Lists another member, or changes the endpoint of a listed one from the next dial on.
   void add(MemberId member, Tcp::endpoint at);
-  void remove(MemberId member); // hangs up, and hears it no more; nothing of it follows
+  void remove(MemberId member); // closes its connections in both directions; no event of it follows
 
-  void dial(MemberId to); // nothing where it is not listed
+  void dial(MemberId to); // no effect if it is not listed
   void disconnect(MemberId to);
   void send(MemberId to, std::string frame);
-  void close(); // everything, for good
+  void close(); // closes all sockets permanently
 
   std::size_t incoming() const { return incoming_.size(); }
 
@@ -60,44 +62,44 @@
     explicit Outgoing(asio::io_context& io) : socket(io) {}
     Tcp::socket socket;
     std::string frame;
-    char ignored[64]; // nothing comes on it but its end
+    char discarded[64]; // the other side sends nothing on this connection; a read only detects its end
   };
   struct Incoming {
     explicit Incoming(Tcp::socket s, asio::io_context& io) : socket(std::move(s)), timer(io) {}
     Tcp::socket socket;
-    asio::steady_timer timer; // for its first word
-    std::string in;
+    asio::steady_timer timer; // for its hello
+    std::string buffer;
     peer_codec::Sender sender;
     std::uint64_t number = 0;
-    bool known = false;      // it has said who it is
-    std::uint64_t heard = 0; // by order: the one that was heard last has the greatest
+    bool identified = false;     // its hello was accepted
+    std::uint64_t last_read = 0; // sequence number of its last read
   };
-  using Held = std::shared_ptr<Outgoing>;
+  using OutgoingPtr = std::shared_ptr<Outgoing>;
 
   void accept();
   void accept_all();
-  void read(const std::shared_ptr<Incoming>& one);
-  void end(const std::shared_ptr<Incoming>& one, const char* why);
-  void make_room();
-  void replace(const Incoming& by);
-  bool parse(Incoming& one, const char*& why);
-  void await_end(MemberId to, const Held& held);
-  void lost(MemberId to, const Held& held);
-  bool current(MemberId to, const Held& held) const;
-  std::size_t most_incoming() const;
+  void read(const std::shared_ptr<Incoming>& incoming);
+  void close_incoming(const std::shared_ptr<Incoming>& incoming, const char* reason);
+  void evict_oldest();
+  void close_superseded(const Incoming& newer);
+  bool parse(Incoming& incoming, const char*& reason);
+  void watch_for_close(MemberId to, const OutgoingPtr& outgoing);
+  void outgoing_closed(MemberId to, const OutgoingPtr& outgoing);
+  bool is_current(MemberId to, const OutgoingPtr& outgoing) const;
+  std::size_t max_incoming() const;
 
   asio::io_context& io_;
   Tcp::acceptor acceptor_;
   asio::steady_timer retry_;
   peer_codec::Sender self_;
   std::map<MemberId, Tcp::endpoint> others_;
-  Handler& taker_;
-  std::map<MemberId, Held> outgoing_;
-  std::map<std::uint64_t, std::shared_ptr<Incoming>> incoming_; // by number
-  std::set<std::pair<std::uint64_t, std::uint64_t>> by_heard_;  // with their numbers
-  std::map<MemberId, std::set<std::uint64_t>> by_speaker_;      // the numbers of those that are known
-  std::string some_;                                            // what is read, before it is a connection's
-  std::uint64_t next_ = 1, heards_ = 0;
+  Handler& handler_;
+  std::map<MemberId, OutgoingPtr> outgoing_;
+  std::map<std::uint64_t, std::shared_ptr<Incoming>> incoming_;    // by number
+  std::set<std::pair<std::uint64_t, std::uint64_t>> by_last_read_; // last_read and number
+  std::map<MemberId, std::set<std::uint64_t>> by_sender_;          // numbers of the identified ones
+  std::string read_buffer_;                                        // shared by all connections for one read
+  std::uint64_t next_number_ = 1, reads_ = 0;
   bool closed_ = false;
 };
 
