--- a/core/core.hpp
+++ b/core/core.hpp
@@ -24,14 +24,14 @@
 
 class Core final : public Events, Server {
  public:
-  Core(Nanos now, const Settings& given, Actions& orders);
+  Core(Nanos now, const Settings& settings, Actions& actions);
 
-  void op_received(Nanos now, StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
+  void op_received(Nanos now, StreamRef stream_ref, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
                    Nanos received_at, Nanos limit, double held_kb, double rank, std::string_view mark,
                    std::string_view subject, Content body, Digest body_digest) override;
-  void stream_lost(Nanos now, StreamRef line) override;
+  void stream_lost(Nanos now, StreamRef stream_ref) override;
   void machine_up(Nanos now, Nanos since) override;
-  void link_up(Nanos now, StartNo known) override;
+  void link_up(Nanos now, StartNo last_read) override;
   void link_down(Nanos now) override;
   void run_finished(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) override;
   void call_wanted(Nanos now, OpId id, Content body) override;
@@ -44,14 +44,14 @@
   void set_pools(Nanos now, const Settings& pools) override;
 
   bool anything_due(Nanos now) const; // else `due` changes nothing
-  bool has_repeats_to_answer() const { return !reused_.empty(); }
+  bool has_repeats_to_answer() const { return !repeats_to_answer_.empty(); }
   Nanos next_wake() const { return wakes_.empty() ? -1 : wakes_.top().first; } // -1: none
-  bool draining() const { return leaving_; }
+  bool draining() const { return draining_; }
   bool all_answered() const;
 
   bool explain(Nanos now, OpId id, DecisionInputs& into) const { return module_->explain(now, id, into); }
-  const Pools* pools() const { return pools_.get(); } // null: none are set
-  const Settings& settings() const { return given_; } // the settings, with the pools as they are now
+  const Pools* pools() const { return pools_.get(); }    // null: none are set
+  const Settings& settings() const { return settings_; } // the settings, with the pools as they are now
   // As DecisionModule::serialize, with all that the core remembers beside it.
   template <class Serializer>
   void serialize(Serializer& serializer);
@@ -61,44 +61,44 @@
   // others may bring the same mark with another body. Those of one mark stand together.
   struct Key {
     OpTypeId type;
-    std::string word;
+    std::string value;
     Digest body;
     auto operator<=>(const Key&) const = default;
     template <class Serializer>
     void serialize(Serializer& serializer) {
       serializer(type);
-      serializer.word(word);
+      serializer.word(value);
       serializer(body.high, body.low);
     }
   };
   // What is remembered under a key: which try holds it, which ran, and what came of that.
-  struct Kept {
+  struct KeyEntry {
     OpId holder;
-    OpId ran = no_op_id;
-    Nanos until = 0;    // of arrival of repeats
-    Nanos ended_at = 0; // of the run
+    OpId executed = no_op_id;
+    Nanos repeats_until = 0; // of arrival of repeats
+    Nanos ended_at = 0;      // of the run
     enum class State { held, running, done, failed } state = State::held;
-    bool proven = false; // the interpreter knows it: its run was heard of
+    bool confirmed = false; // the interpreter knows it: its run was heard of
     Content result;
     std::vector<OpId> waiting;                    // ops to be answered with the result
     std::multimap<Nanos, Key>::iterator end = {}; // when to look whether this is over
   };
   struct Op {
-    StreamRef line;
+    StreamRef stream_ref;
     OpTypeId type;
     Content body;
     std::optional<Key> key;
     Nanos received_at = 0;
     bool answered = false;
     bool reusing = false;
-    enum class Run { none, wanted, sent, over } run = Run::none;
-    StartNo last_start{};     // the last that was sent for it
-    bool never_begun = false; // of an op that waits: what it repeats was not
-    int starts = 0;           // sent
-    bool heard = false;       // the run has been heard of
+    enum class Run { none, pending, sent, finished } run = Run::none;
+    StartNo last_start{};              // the last that was sent for it
+    bool original_not_started = false; // of an op that waits: what it repeats was not
+    int starts = 0;                    // sent
+    bool run_observed = false;         // the run has been heard of
     bool at_call = false;
-    bool calling = false;         // its call is in hand
-    Content call;                 // what the run wants to ask below
+    bool call_in_flight = false;  // its call is in hand
+    Content call_body;            // what the run wants to ask below
     std::optional<Content> reply; // to its call, kept while the link is down
     Nanos called_at = 0;
     Nanos answered_at = 0;
@@ -106,9 +106,9 @@
 
   // The module's orders.
   void run(OpId op) override;
-  void nack(OpId op, Reason why, bool no_retry, Nanos retry_after) override;
-  void fail(OpId op, Reason why) override;
-  void call(OpId op, Nanos time_out) override;
+  void nack(OpId op, Reason reason, bool no_retry, Nanos retry_after) override;
+  void fail(OpId op, Reason reason) override;
+  void call(OpId op, Nanos timeout) override;
   void answer_without_call(OpId op) override;
   void keep_key(OpId op, Nanos lifetime) override;
   void forget_key(OpId op) override;
@@ -124,52 +124,52 @@
   void stop_accepting() override;
 
   void send_run(OpId id, Op& op);
-  Op* open(OpId id); // null if it is answered already
-  void answered(OpId id, Op& op);
-  void release(OpId id);   // forgets an op of which nothing is left to do
-  Kept* entry_of(OpId id); // under its key, whoever holds it; null if there is none
-  bool contested(const Key& key) const;
-  OpId earlier_of(const Key& key, bool keyed, Nanos received_at) const;
-  void end_entry(Kept& entry, Kept::State state, Content result);
-  void unbegun(Kept& entry);
+  Op* find_unanswered(OpId id); // null if it is answered already
+  void mark_answered(OpId id, Op& op);
+  void erase_if_finished(OpId id); // forgets an op of which nothing is left to do
+  KeyEntry* find_entry(OpId id);   // under its key, whoever holds it; null if there is none
+  bool conflicts_with_confirmed(const Key& key) const;
+  OpId find_earlier_try(const Key& key, bool keyed, Nanos received_at) const;
+  void finish_entry(KeyEntry& entry, KeyEntry::State state, Content result);
+  void drop_unstarted(KeyEntry& entry);
   void erase(const Key& key);
-  void forget_old();
-  void settle_strays();
-  bool strays_due() const;
+  void expire_entries();
+  void query_orphans();
+  bool orphan_query_due() const;
   template <class Serializer>
   void serialize_op(Serializer& serializer, Op& op);
   template <class Serializer>
-  void serialize_kept(Serializer& serializer, Kept& entry);
+  void serialize_entry(Serializer& serializer, KeyEntry& entry);
 
   Actions& actions_;
-  Settings given_;
-  std::vector<RetryClass> repeats_;
+  Settings settings_;
+  std::vector<RetryClass> retry_classes_;
   std::vector<Nanos> op_timeouts_;
-  Nanos fresh_for_;
-  Nanos longest_ = 0; // op timeout
-  Nanos until_kill_;
-  std::size_t most_results_; // bytes
-  std::size_t most_ops_;
-  std::size_t most_keys_;
+  Nanos result_freshness_;
+  Nanos max_op_timeout_ = 0; // op timeout
+  Nanos shutdown_timeout_;
+  std::size_t max_result_bytes_; // bytes
+  std::size_t max_ops_;
+  std::size_t max_keys_;
 
   Nanos now_;
   std::map<OpId, Op> ops_;
-  std::map<ConnectionId, std::map<StreamId, OpId>> lines_; // of the ops not answered, by connection
-  std::map<Key, Kept> keys_;
-  std::multimap<Nanos, Key> key_ends_; // one for each of them
-  std::set<OpId> holders_;             // of them
+  std::map<ConnectionId, std::map<StreamId, OpId>> open_streams_; // of the ops not answered, by connection
+  std::map<Key, KeyEntry> keys_;
+  std::multimap<Nanos, Key> key_expiries_; // one for each of them
+  std::set<OpId> holders_;                 // of them
   std::size_t result_bytes_ = 0;
-  std::vector<OpId> reused_; // to be answered after the module has returned
+  std::vector<OpId> repeats_to_answer_; // to be answered after the module has returned
   using Wake = std::pair<Nanos, WakeId>;
   std::priority_queue<Wake, std::vector<Wake>, std::greater<>> wakes_;
   std::vector<double> gauges_;
   std::size_t busy_gauge_ = ~std::size_t{0}; // of the cores, if it is told
-  std::uint64_t starts_ = 0;                 // sent, in all
-  Nanos stray_rest_ = 0;
-  Nanos looked_at_ = 0; // for starts that came to nothing
+  std::uint64_t starts_sent_ = 0;            // sent, in all
+  Nanos orphan_query_delay_ = 0;
+  Nanos orphans_checked_at_ = 0; // for starts that came to nothing
   bool link_up_ = false;
-  bool up_before_ = false;
-  bool leaving_ = false;
+  bool machine_seen_up_ = false;
+  bool draining_ = false;
   std::unique_ptr<Pools> pools_; // null: none, and nothing is asked of them
   std::unique_ptr<DecisionModule> module_;
 };
--- a/core/interface.hpp
+++ b/core/interface.hpp
@@ -52,14 +52,14 @@
   virtual ~Events() = default;
   // An op was read. `received_at`: when it came to the machine; limit 0, empty texts: not told. `body_digest`
   // counts for ops with a mark only.
-  virtual void op_received(Nanos now, StreamRef line, OpId id, OpTypeId type, TenantId tenant,
+  virtual void op_received(Nanos now, StreamRef stream_ref, OpId id, OpTypeId type, TenantId tenant,
                            CallerId caller, Nanos received_at, Nanos limit, double held_kb, double rank,
                            std::string_view mark, std::string_view subject, Content body,
                            Digest body_digest) = 0;
-  virtual void stream_lost(Nanos now, StreamRef line) = 0; // its answer can't be delivered any more
+  virtual void stream_lost(Nanos now, StreamRef stream_ref) = 0; // its answer can't be delivered any more
   virtual void machine_up(Nanos now, Nanos since) = 0;
   // The link works, all notices so far are told, and all starts up to `known` were read there.
-  virtual void link_up(Nanos now, StartNo known) = 0;
+  virtual void link_up(Nanos now, StartNo last_read) = 0;
   virtual void link_down(Nanos now) = 0;
   virtual void run_finished(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) = 0;
   virtual void call_wanted(Nanos now, OpId id, Content body) = 0;
@@ -78,15 +78,15 @@
  public:
   virtual ~Actions() = default;
   // The final answers; one for each op.
-  virtual void served(StreamRef line, OpId op, Content result) = 0;
-  virtual void refused(StreamRef line, OpId op, Reason why, Nanos retry_after, bool no_retry) = 0;
-  virtual void failed(StreamRef line, OpId op, Reason why) = 0;
-  virtual void penalize(StreamRef line) = 0; // its op is none that a caller would send
+  virtual void served(StreamRef stream_ref, OpId op, Content result) = 0;
+  virtual void refused(StreamRef stream_ref, OpId op, Reason reason, Nanos retry_after, bool no_retry) = 0;
+  virtual void failed(StreamRef stream_ref, OpId op, Reason reason) = 0;
+  virtual void penalize(StreamRef stream_ref) = 0; // its op is none that a caller would send
   // Only while the link is up.
   virtual void start(OpId op, OpTypeId type, const Content& body, StartNo number) = 0;
   virtual void resume(OpId op, const Content& reply) = 0;
   // Calls end by `Events::call_finished` unless they are given up.
-  virtual void call(OpId op, Nanos time_out, const Content& body) = 0;
+  virtual void call(OpId op, Nanos timeout, const Content& body) = 0;
   virtual void cancel_call(OpId op) = 0;
   virtual void health(bool good) = 0;
   virtual void notify_callers(double value) = 0;
--- a/leases/clocks.hpp
+++ b/leases/clocks.hpp
@@ -13,29 +13,33 @@
   static constexpr Nanos window =
       1'000'000'000; // over which the two are compared: long beside the noise of readings
 
-  Nanos one_at_, other_at_;  // readings at the beginning of the window
-  Nanos early_at_, late_at_; // what was told then
+  Nanos first_start_, second_start_; // readings at the beginning of the window
+  Nanos early_start_, late_start_;   // what was told then
   Nanos early_, late_;
-  Nanos apart_ = 0; // of the two, in the last whole window
+  Nanos divergence_ = 0; // of the two, in the last whole window
 
  public:
-  LeaseClock(Nanos one, Nanos other)
-      : one_at_(one), other_at_(other), early_at_(one), late_at_(one), early_(one), late_(one) {}
-
-  void take(Nanos one, Nanos other) {
-    const Nanos a = one - one_at_, b = other - other_at_;
-    early_ = std::max(early_, early_at_ + std::max(a, b)); // neither goes back, whatever the readings do
-    late_ = std::max(late_, late_at_ + std::min(a, b));
-    if (std::max(a, b) < window && std::min(a, b) > -window) return;
-    apart_ = std::max(a, b) - std::min(a, b);
-    one_at_ = one;
-    other_at_ = other;
-    early_at_ = early_;
-    late_at_ = late_;
+  LeaseClock(Nanos first, Nanos second)
+      : first_start_(first), second_start_(second), early_start_(first), late_start_(first), early_(first),
+        late_(first) {}
+
+  void take(Nanos first, Nanos second) {
+    const Nanos first_elapsed = first - first_start_, second_elapsed = second - second_start_;
+    early_ = std::max(early_,
+                      early_start_ + std::max(first_elapsed,
+                                              second_elapsed)); // neither goes back, whatever the readings do
+    late_ = std::max(late_, late_start_ + std::min(first_elapsed, second_elapsed));
+    if (std::max(first_elapsed, second_elapsed) < window && std::min(first_elapsed, second_elapsed) > -window)
+      return;
+    divergence_ = std::max(first_elapsed, second_elapsed) - std::min(first_elapsed, second_elapsed);
+    first_start_ = first;
+    second_start_ = second;
+    early_start_ = early_;
+    late_start_ = late_;
   }
   Nanos early() const { return early_; } // of who holds, and of all that is no promise to others
   Nanos late() const { return late_; }   // of who granted
-  Nanos divergence() const { return apart_; }
+  Nanos divergence() const { return divergence_; }
 };
 
 } // namespace cometshift
--- a/leases/leases.cpp
+++ b/leases/leases.cpp
@@ -9,27 +9,28 @@
 namespace {
 
 constexpr Nanos ms = 1'000'000;
-constexpr std::size_t longest_name = 128; // bytes: names are written by operators
-constexpr double most_drift = 0.1;        // a clock that is worse can't be believed at all
-constexpr double renew_part = 0.4;        // of the time held: two renewals may get lost before it ends
-constexpr double renew_jitter = 0.1;      // of that: leases taken together don't stay in step
-constexpr Nanos answer_part = 8;     // of the term, in which a round's answers are waited for, if not told
-constexpr Nanos rest_part = 16;      // of the term, the mean rest after the first round that was lost
-constexpr int rest_doublings = 2;    // of that rest: a quarter of a term in the mean
-constexpr Nanos seen_terms = 8;      // that a voter keeps a name with no grant, for the token seen on it
-constexpr unsigned member_bits = 16; // of a token: its lowest, so that two members' are never the same
-
-bool sensible_name(std::string_view lease) { return !lease.empty() && lease.size() <= longest_name; }
+constexpr std::size_t max_name_length = 128; // bytes: names are written by operators
+constexpr double max_drift = 0.1;            // a clock that is worse can't be believed at all
+constexpr double renewal_fraction = 0.4;     // of the time held: two renewals may get lost before it ends
+constexpr double renewal_jitter = 0.1;       // of that: leases taken together don't stay in step
+constexpr Nanos answer_timeout_divisor =
+    8;                                // of the term, in which a round's answers are waited for, if not told
+constexpr Nanos backoff_divisor = 16; // of the term, the mean rest after the first round that was lost
+constexpr int max_backoff_doublings = 2; // of that rest: a quarter of a term in the mean
+constexpr Nanos idle_grant_terms = 8;    // that a voter keeps a name with no grant, for the token seen on it
+constexpr unsigned member_bits = 16;     // of a token: its lowest, so that two members' are never the same
+
+bool is_valid_name(std::string_view lease) { return !lease.empty() && lease.size() <= max_name_length; }
 
 } // namespace
 
-std::string_view to_text(LossReason why) {
-  switch (why) {
+std::string_view to_text(LossReason reason) {
+  switch (reason) {
   case LossReason::ended:
     return "ended";
   case LossReason::given_up:
     return "given up";
-  case LossReason::turn_over:
+  case LossReason::yielded:
     return "its turn is over";
   case LossReason::refused_by_target:
     return "its token was refused";
@@ -38,22 +39,23 @@
 }
 
 Leases::Leases(Nanos now, MemberId self, Incarnation incarnation, const Voters& voters,
-               const Settings& figures, std::uint64_t seed, LeaseActions& orders)
-    : actions_(orders), self_(self), incarnation_(incarnation), voters_(voters), chance_(seed) {
-  term_ = static_cast<Nanos>(required_number(figures, "leases.term", static_cast<double>(ms)));
-  longest_term_ =
-      static_cast<Nanos>(required_number(figures, "leases.longest_term", static_cast<double>(term_)));
-  answer_ = span(figures, "leases.answer", static_cast<double>(term_ / answer_part));
-  if (answer_ < 1 || answer_ > term_) throw std::invalid_argument("setting leases.answer is senseless");
-  longest_act_ = span(figures, "leases.longest_act", 0);
-  drift_ = required_number(figures, "leases.drift", 0);
-  if (drift_ > most_drift) throw std::invalid_argument("setting leases.drift is senseless");
-  most_terms_ = static_cast<int>(number(figures, "leases.most_terms", 0));
-  most_ = static_cast<std::size_t>(required_number(figures, "leases.most", 1));
-  first_ = Token{static_cast<std::uint64_t>(number(figures, "leases.first_token", 0)) << member_bits};
+               const Settings& settings, std::uint64_t seed, LeaseActions& actions)
+    : actions_(actions), self_(self), incarnation_(incarnation), voters_(voters), random_(seed) {
+  term_ = static_cast<Nanos>(required_number(settings, "leases.term", static_cast<double>(ms)));
+  max_term_ =
+      static_cast<Nanos>(required_number(settings, "leases.longest_term", static_cast<double>(term_)));
+  answer_timeout_ = span(settings, "leases.answer", static_cast<double>(term_ / answer_timeout_divisor));
+  if (answer_timeout_ < 1 || answer_timeout_ > term_)
+    throw std::invalid_argument("setting leases.answer is senseless");
+  max_act_duration_ = span(settings, "leases.longest_act", 0);
+  drift_ = required_number(settings, "leases.drift", 0);
+  if (drift_ > max_drift) throw std::invalid_argument("setting leases.drift is senseless");
+  max_terms_ = static_cast<int>(number(settings, "leases.most_terms", 0));
+  max_names_ = static_cast<std::size_t>(required_number(settings, "leases.most", 1));
+  token_floor_ = Token{static_cast<std::uint64_t>(number(settings, "leases.first_token", 0)) << member_bits};
   // Against two holders where a voter forgot what it granted: by then the longest of it is over, whatever the
   // drift, as a holder's time is shorter than its voters' by twice the bound.
-  silent_until_ = now + longest_term_;
+  silent_until_ = now + max_term_;
 }
 
 // A holder's clock may run slow and a voter's fast, each by the bound.
@@ -61,233 +63,241 @@
   return static_cast<Nanos>(std::floor(static_cast<double>(term_) * (1 - drift_) / (1 + drift_)));
 }
 
-Nanos Leases::renew_after() {
-  const double part = renew_part * (1 + renew_jitter * (2 * chance_.unit() - 1));
-  return static_cast<Nanos>(part * static_cast<double>(holding_time()));
+Nanos Leases::renewal_delay() {
+  const double fraction = renewal_fraction * (1 + renewal_jitter * (2 * random_.unit() - 1));
+  return static_cast<Nanos>(fraction * static_cast<double>(holding_time()));
 }
 
-Nanos Leases::rest(int rounds) {
-  const double mean = static_cast<double>(term_ / rest_part) * std::exp2(std::min(rounds, rest_doublings));
-  return static_cast<Nanos>(mean * (0.5 + chance_.unit()));
+Nanos Leases::backoff(int rounds) {
+  const double mean =
+      static_cast<double>(term_ / backoff_divisor) * std::exp2(std::min(rounds, max_backoff_doublings));
+  return static_cast<Nanos>(mean * (0.5 + random_.unit()));
 }
 
-Token Leases::next_token(const Wish& wish) const {
-  const std::uint64_t over = std::max(wish.floor.raw >> member_bits, counted_);
-  return Token{(over + 1) << member_bits | (self_.raw & ((1u << member_bits) - 1))};
+Token Leases::next_token(const LeaseRequest& request) const {
+  const std::uint64_t highest_used = std::max(request.token_floor.raw >> member_bits, token_counter_);
+  return Token{(highest_used + 1) << member_bits | (self_.raw & ((1u << member_bits) - 1))};
 }
 
 // ---- a voter
 
 // The record of a lease, made if there is room; what nobody asked for in a long while makes room.
-Leases::Grant* Leases::grant_for(Nanos now, std::string_view lease) {
+Leases::Grant* Leases::find_or_add_grant(Nanos now, std::string_view lease) {
   if (const auto at = grants_.find(lease); at != grants_.end()) return &at->second;
-  if (grants_.size() >= most_)
-    std::erase_if(grants_, [&](const auto& entry) { return entry.second.until + seen_terms * term_ <= now; });
-  if (grants_.size() >= most_) return nullptr;
-  Grant& made = grants_[std::string(lease)];
-  made.seen = first_;
-  return &made;
+  if (grants_.size() >= max_names_)
+    std::erase_if(grants_,
+                  [&](const auto& entry) { return entry.second.until + idle_grant_terms * term_ <= now; });
+  if (grants_.size() >= max_names_) return nullptr;
+  Grant& added = grants_[std::string(lease)];
+  added.highest_token = token_floor_;
+  return &added;
 }
 
-void Leases::asked(Nanos now, MemberId from, Incarnation of, Epoch epoch, std::string_view lease,
+void Leases::asked(Nanos now, MemberId from, Incarnation incarnation, Epoch epoch, std::string_view lease,
                    AskNo number, Token token, Nanos term) {
   if (!voters_.may_grant(self_)) return;
   // A longer term than is waited out by voters that start, or one that is no time, is none.
-  if (!sensible_name(lease) || term < 0 || term > longest_term_ || token.raw == 0 || number.raw == 0)
-    return void(++senseless_);
-  Grant* const grant = grant_for(now, lease);
+  if (!is_valid_name(lease) || term < 0 || term > max_term_ || token.raw == 0 || number.raw == 0)
+    return void(++invalid_messages_);
+  Grant* const grant = find_or_add_grant(now, lease);
   // Silent, it only learns which tokens are in use, so that they go on rising when most voters forgot.
   if (silent(now)) {
-    if (grant) grant->seen = std::max(grant->seen, token);
+    if (grant) grant->highest_token = std::max(grant->highest_token, token);
     return;
   }
-  if (!grant) return actions_.refuse(from, of, lease, number, Token{0}, term_); // no room
+  if (!grant) return actions_.refuse(from, incarnation, lease, number, Token{0}, term_); // no room
   // Against a majority of voters that others need no more (voters.hpp): it is to learn of their list first.
-  if (epoch < voters_.epoch()) return actions_.refuse(from, of, lease, number, Token{0}, answer_);
-  const bool same = grant->holder == from && grant->of == of;
+  if (epoch < voters_.epoch())
+    return actions_.refuse(from, incarnation, lease, number, Token{0}, answer_timeout_);
+  const bool same_holder = grant->holder == from && grant->incarnation == incarnation;
   // Against an old ask, or one that comes twice, which would begin again what was released or is over.
-  if (same && number <= grant->last) return;
-  if (!same && !grant->open(now)) {
-    grant->wanted_until = now + term_;
-    return actions_.refuse(from, of, lease, number, grant->seen, grant->until - now);
+  if (same_holder && number <= grant->last_ask) return;
+  if (!same_holder && !grant->open(now)) {
+    grant->contended_until = now + term_;
+    return actions_.refuse(from, incarnation, lease, number, grant->highest_token, grant->until - now);
   }
   // Who looks holds nothing: what it was granted and could not use is free again, if the word of it was lost.
-  if (same && term == 0) grant->until = std::min(grant->until, now);
+  if (same_holder && term == 0) grant->until = std::min(grant->until, now);
   // A token rises with each holder; one who holds goes on under its own, also where this voter missed some
   // renewals: nobody else was granted meanwhile.
-  const bool goes_on = same && token == grant->seen;
-  if (!goes_on && token <= grant->seen) return actions_.refuse(from, of, lease, number, grant->seen, 0);
-  if (term == 0) return actions_.grant(from, of, lease, number, false);
+  const bool is_renewal = same_holder && token == grant->highest_token;
+  if (!is_renewal && token <= grant->highest_token)
+    return actions_.refuse(from, incarnation, lease, number, grant->highest_token, 0);
+  if (term == 0) return actions_.grant(from, incarnation, lease, number, false);
   grant->holder = from;
-  grant->of = of;
-  grant->last = number;
-  grant->seen = token;
+  grant->incarnation = incarnation;
+  grant->last_ask = number;
+  grant->highest_token = token;
   grant->until = now + term;
-  actions_.grant(from, of, lease, number, now < grant->wanted_until);
+  actions_.grant(from, incarnation, lease, number, now < grant->contended_until);
 }
 
-void Leases::released(Nanos now, MemberId from, Incarnation of, std::string_view lease, AskNo number) {
+void Leases::released(Nanos now, MemberId from, Incarnation incarnation, std::string_view lease,
+                      AskNo number) {
   const auto at = grants_.find(lease);
   if (at == grants_.end()) return;
   Grant& grant = at->second;
-  if (grant.holder != from || grant.of != of || number < grant.last) return;
-  grant.last = number;
+  if (grant.holder != from || grant.incarnation != incarnation || number < grant.last_ask) return;
+  grant.last_ask = number;
   grant.until = std::min(grant.until, now);
 }
 
 // ---- who asks
 
 bool Leases::acquire(Nanos now, std::string_view lease) {
-  if (!sensible_name(lease)) return false;
-  if (const auto at = wishes_.find(lease); at != wishes_.end()) {
-    at->second.dropped = false;
+  if (!is_valid_name(lease)) return false;
+  if (const auto at = requests_.find(lease); at != requests_.end()) {
+    at->second.release_pending = false;
     return true;
   }
-  if (wishes_.size() >= most_) return false;
-  Wish& wish = wishes_[std::string(lease)];
-  wish.floor = first_;
-  wish.next = now;
+  if (requests_.size() >= max_names_) return false;
+  LeaseRequest& request = requests_[std::string(lease)];
+  request.token_floor = token_floor_;
+  request.next = now;
   return true;
 }
 
 // Who does not hold looks first: against grants that are no use to it and stand in a holder's way.
-void Leases::ask(Nanos now, const std::string& lease, Wish& wish, bool look) {
-  wish.looking = look;
-  if (look) {
-    wish.token = next_token(wish);
-    ++wish.rounds;
+void Leases::ask(Nanos now, const std::string& lease, LeaseRequest& request, bool probe_only) {
+  request.probing = probe_only;
+  if (probe_only) {
+    request.token = next_token(request);
+    ++request.rounds;
   }
-  wish.number = AskNo{++asks_};
-  wish.asked_at = now;
-  wish.granted.clear();
-  wish.refused_by.clear();
-  wish.wanted = false;
-  wish.block = 0;
-  wish.next = now + answer_;
+  request.number = AskNo{++last_ask_};
+  request.asked_at = now;
+  request.granted.clear();
+  request.refused_by.clear();
+  request.contended = false;
+  request.blocked_until = 0;
+  request.next = now + answer_timeout_;
   for (const MemberId voter : voters_.all())
-    actions_.ask(voter, voters_.epoch(), lease, wish.number, wish.token, look ? 0 : term_);
+    actions_.ask(voter, voters_.epoch(), lease, request.number, request.token, probe_only ? 0 : term_);
 }
 
-void Leases::give_back(const std::string& lease, const Wish& wish) {
-  for (const MemberId voter : voters_.all()) actions_.release(voter, lease, wish.number);
+void Leases::release_grants(const std::string& lease, const LeaseRequest& request) {
+  for (const MemberId voter : voters_.all()) actions_.release(voter, lease, request.number);
 }
 
-void Leases::lose(Nanos now, const std::string& lease, Wish& wish, LossReason why, Nanos rest) {
-  const Token token = wish.token;
-  const bool held = wish.held;
-  give_back(lease, wish);
-  wish.held = false;
-  wish.floor = std::max(wish.floor, token);
-  wish.number = AskNo{++asks_}; // grants that are still on their way count for nothing
-  wish.granted.clear();
-  wish.rounds = wish.terms = wish.acts = 0;
-  wish.next = now + rest;
-  if (held) actions_.lost(lease, token, why);
+void Leases::end_holding(Nanos now, const std::string& lease, LeaseRequest& request, LossReason reason,
+                         Nanos backoff) {
+  const Token token = request.token;
+  const bool held = request.held;
+  release_grants(lease, request);
+  request.held = false;
+  request.token_floor = std::max(request.token_floor, token);
+  request.number = AskNo{++last_ask_}; // grants that are still on their way count for nothing
+  request.granted.clear();
+  request.rounds = request.renewals = request.acts = 0;
+  request.next = now + backoff;
+  if (held) actions_.lost(lease, token, reason);
 }
 
 void Leases::granted(Nanos now, MemberId from, Incarnation to, std::string_view lease, AskNo number,
-                     bool wanted) {
-  const auto at = wishes_.find(lease);
-  if (to != incarnation_ || at == wishes_.end()) return;
-  Wish& wish = at->second;
-  if (number != wish.number) return; // of an ask that is over
-  if (!voters_.is_voter(from)) return void(++senseless_);
+                     bool contended) {
+  const auto at = requests_.find(lease);
+  if (to != incarnation_ || at == requests_.end()) return;
+  LeaseRequest& request = at->second;
+  if (number != request.number) return; // of an ask that is over
+  if (!voters_.is_voter(from)) return void(++invalid_messages_);
   // Against a grant that comes when it has ended, and one that carries a holder over its own end.
-  if (now >= wish.asked_at + holding_time() || (wish.held && now >= wish.until)) return;
-  wish.granted.insert(from);
-  wish.wanted = wish.wanted || wanted;
-  if (!voters_.enough(wish.granted)) return settle_round(now, at->first, wish);
-  if (wish.looking) return ask(now, at->first, wish, false);
-  const Nanos until = wish.asked_at + holding_time();
-  if (wish.held && until <= wish.until) return; // another grant of an ask that has carried it on
-  if (!wish.held) {
-    wish.held = true;
-    wish.since = now;
+  if (now >= request.asked_at + holding_time() || (request.held && now >= request.until)) return;
+  request.granted.insert(from);
+  request.contended = request.contended || contended;
+  if (!voters_.has_quorum(request.granted)) return settle_round(now, at->first, request);
+  if (request.probing) return ask(now, at->first, request, false);
+  const Nanos until = request.asked_at + holding_time();
+  if (request.held && until <= request.until) return; // another grant of an ask that has carried it on
+  if (!request.held) {
+    request.held = true;
+    request.since = now;
     // Against what a holder before began in time and was stopped in.
-    wish.from =
-        now + static_cast<Nanos>(std::ceil(static_cast<double>(longest_act_) * (1 + drift_) / (1 - drift_)));
-    wish.rounds = wish.terms = 0;
+    request.from = now + static_cast<Nanos>(
+                             std::ceil(static_cast<double>(max_act_duration_) * (1 + drift_) / (1 - drift_)));
+    request.rounds = request.renewals = 0;
   } else {
-    ++wish.terms;
+    ++request.renewals;
   }
-  wish.until = until;
-  wish.next = wish.asked_at + renew_after();
-  actions_.held(at->first, wish.token, wish.from, wish.until);
+  request.until = until;
+  request.next = request.asked_at + renewal_delay();
+  actions_.held(at->first, request.token, request.from, request.until);
 }
 
 void Leases::refused(Nanos now, MemberId from, Incarnation to, std::string_view lease, AskNo number,
-                     Token seen, Nanos left) {
-  const auto at = wishes_.find(lease);
-  if (to != incarnation_ || at == wishes_.end()) return;
-  Wish& wish = at->second;
-  wish.floor = std::max(wish.floor, seen);
-  if (number != wish.number || !voters_.is_voter(from)) return;
-  wish.refused_by.insert(from);
-  wish.block = std::max(wish.block, now + std::clamp<Nanos>(left, 0, longest_term_));
-  settle_round(now, at->first, wish);
+                     Token highest_token, Nanos remaining) {
+  const auto at = requests_.find(lease);
+  if (to != incarnation_ || at == requests_.end()) return;
+  LeaseRequest& request = at->second;
+  request.token_floor = std::max(request.token_floor, highest_token);
+  if (number != request.number || !voters_.is_voter(from)) return;
+  request.refused_by.insert(from);
+  request.blocked_until = std::max(request.blocked_until, now + std::clamp<Nanos>(remaining, 0, max_term_));
+  settle_round(now, at->first, request);
 }
 
 // A round that can't be won any more is given up at once, so that another's can be: of those who share the
 // voters the one with the greatest token asks again soon, the others rest.
-void Leases::settle_round(Nanos now, const std::string& lease, Wish& wish) {
-  if (wish.held || !voters_.lost(wish.refused_by)) return;
-  const bool blocked = wish.block > now; // else only the token was too small: the next is greater
-  const bool first = wish.token > wish.floor;
-  give_back(lease, wish);
-  wish.number = AskNo{++asks_};
+void Leases::settle_round(Nanos now, const std::string& lease, LeaseRequest& request) {
+  if (request.held || !voters_.quorum_impossible(request.refused_by)) return;
+  const bool blocked = request.blocked_until > now; // else only the token was too small: the next is greater
+  const bool has_highest_token = request.token > request.token_floor;
+  release_grants(lease, request);
+  request.number = AskNo{++last_ask_};
   if (!blocked)
-    wish.next = now;
-  else if (voters_.enough(wish.refused_by) && wish.block - now > term_ / 2) {
-    wish.next = wish.block + rest(1); // held by another: asked for again when that may be over
-    wish.rounds = 0;
+    request.next = now;
+  else if (voters_.has_quorum(request.refused_by) && request.blocked_until - now > term_ / 2) {
+    request.next =
+        request.blocked_until + backoff(1); // held by another: asked for again when that may be over
+    request.rounds = 0;
   } else
-    wish.next = now + rest(first ? 0 : wish.rounds);
+    request.next = now + backoff(has_highest_token ? 0 : request.rounds);
 }
 
 Token Leases::may_act(Nanos now, std::string_view lease, Nanos act) const {
-  const auto at = wishes_.find(lease);
-  if (at == wishes_.end() || !at->second.held) return Token{0};
-  const Wish& wish = at->second;
-  return now >= wish.from && now + act < wish.until ? wish.token : Token{0};
+  const auto at = requests_.find(lease);
+  if (at == requests_.end() || !at->second.held) return Token{0};
+  const LeaseRequest& request = at->second;
+  return now >= request.from && now + act < request.until ? request.token : Token{0};
 }
 
 Token Leases::begin_act(Nanos now, std::string_view lease, Nanos act) {
   const Token token = may_act(now, lease, act);
-  const auto at = wishes_.find(lease);
-  if (token.raw == 0 || at->second.dropped) return Token{0};
+  const auto at = requests_.find(lease);
+  if (token.raw == 0 || at->second.release_pending) return Token{0};
   ++at->second.acts;
   return token;
 }
 
 void Leases::end_act(Nanos now, std::string_view lease, Token token) {
-  const auto at = wishes_.find(lease);
-  if (at == wishes_.end() || !at->second.held || at->second.token != token || at->second.acts == 0) return;
-  if (--at->second.acts == 0 && at->second.dropped) drop(now, lease);
+  const auto at = requests_.find(lease);
+  if (at == requests_.end() || !at->second.held || at->second.token != token || at->second.acts == 0) return;
+  if (--at->second.acts == 0 && at->second.release_pending) drop(now, lease);
 }
 
-void Leases::refused_by_target(Nanos now, std::string_view lease, Token seen) {
-  const auto at = wishes_.find(lease);
-  if (at == wishes_.end()) return;
-  Wish& wish = at->second;
-  wish.floor = std::max(wish.floor, seen);
-  if (wish.held && wish.token < seen) lose(now, at->first, wish, LossReason::refused_by_target, 0);
+void Leases::refused_by_target(Nanos now, std::string_view lease, Token highest_token) {
+  const auto at = requests_.find(lease);
+  if (at == requests_.end()) return;
+  LeaseRequest& request = at->second;
+  request.token_floor = std::max(request.token_floor, highest_token);
+  if (request.held && request.token < highest_token)
+    end_holding(now, at->first, request, LossReason::refused_by_target, 0);
 }
 
 void Leases::drop(Nanos now, std::string_view lease) {
-  const auto at = wishes_.find(lease);
-  if (at == wishes_.end()) return;
-  Wish& wish = at->second;
+  const auto at = requests_.find(lease);
+  if (at == requests_.end()) return;
+  LeaseRequest& request = at->second;
   // Against another's act beside one that is not over.
-  wish.dropped = wish.held && wish.acts > 0;
-  if (wish.dropped) return;
-  first_ = std::max(first_, wish.token); // asked for again, it is another holding
-  lose(now, at->first, wish, LossReason::given_up, 0);
-  wishes_.erase(at);
+  request.release_pending = request.held && request.acts > 0;
+  if (request.release_pending) return;
+  token_floor_ = std::max(token_floor_, request.token); // asked for again, it is another holding
+  end_holding(now, at->first, request, LossReason::given_up, 0);
+  requests_.erase(at);
 }
 
 void Leases::leave(Nanos now) {
   std::vector<std::string> names;
-  for (const auto& [lease, wish] : wishes_) names.push_back(lease);
+  for (const auto& [lease, request] : requests_) names.push_back(lease);
   for (const std::string& lease : names) drop(now, lease);
 }
 
@@ -295,29 +305,29 @@
 
 Nanos Leases::next_wake() const {
   Nanos next = -1;
-  for (const auto& [lease, wish] : wishes_) {
-    const Nanos at = wish.held ? std::min(wish.next, wish.until) : wish.next;
+  for (const auto& [lease, request] : requests_) {
+    const Nanos at = request.held ? std::min(request.next, request.until) : request.next;
     if (next < 0 || at < next) next = at;
   }
   return next;
 }
 
 void Leases::due(Nanos now) {
-  for (auto at = wishes_.begin(); at != wishes_.end();) {
-    const bool over = at->second.dropped && now >= at->second.until;
-    if (over) lose(now, at->first, at->second, LossReason::ended, 0);
-    at = over ? wishes_.erase(at) : std::next(at);
+  for (auto at = requests_.begin(); at != requests_.end();) {
+    const bool expired = at->second.release_pending && now >= at->second.until;
+    if (expired) end_holding(now, at->first, at->second, LossReason::ended, 0);
+    at = expired ? requests_.erase(at) : std::next(at);
   }
-  for (auto& [lease, wish] : wishes_) {
-    if (wish.dropped) {
-      wish.next = wish.until; // not renewed
-    } else if (wish.held && now >= wish.until)
-      lose(now, lease, wish, LossReason::ended, rest(0));
-    else if (wish.held && now >= wish.next && most_terms_ > 0 && wish.wanted && wish.terms >= most_terms_ &&
-             wish.acts == 0)
-      lose(now, lease, wish, LossReason::turn_over, term_);
-    else if (now >= wish.next)
-      ask(now, lease, wish, !wish.held);
+  for (auto& [lease, request] : requests_) {
+    if (request.release_pending) {
+      request.next = request.until; // not renewed
+    } else if (request.held && now >= request.until)
+      end_holding(now, lease, request, LossReason::ended, backoff(0));
+    else if (request.held && now >= request.next && max_terms_ > 0 && request.contended &&
+             request.renewals >= max_terms_ && request.acts == 0)
+      end_holding(now, lease, request, LossReason::yielded, term_);
+    else if (now >= request.next)
+      ask(now, lease, request, !request.held);
   }
 }
 
@@ -329,8 +339,9 @@
 
 std::vector<Leases::Status> Leases::status() const {
   std::vector<Status> all;
-  for (const auto& [lease, wish] : wishes_)
-    all.push_back({lease, wish.held ? wish.token : Token{0}, wish.since, wish.until, wish.rounds});
+  for (const auto& [lease, request] : requests_)
+    all.push_back(
+        {lease, request.held ? request.token : Token{0}, request.since, request.until, request.rounds});
   return all;
 }
 
--- a/leases/leases.hpp
+++ b/leases/leases.hpp
@@ -37,8 +37,8 @@
 using Token = Id<struct TokenTag, std::uint64_t>; // of a holding: greater than all before it; 0: none
 using AskNo = Id<struct AskNoTag, std::uint64_t>; // of an ask, rising in one incarnation
 
-enum class LossReason { ended, given_up, turn_over, refused_by_target };
-std::string_view to_text(LossReason why);
+enum class LossReason { ended, given_up, yielded, refused_by_target };
+std::string_view to_text(LossReason reason);
 
 class LeaseActions {
  public:
@@ -51,12 +51,13 @@
   virtual void release(MemberId voter, std::string_view lease, AskNo number) = 0;
   // What a voter answers. `wanted`: others ask for it too. `seen`: no token up to it will be granted; `left`:
   // of the grant that stands in the way, 0: none does.
-  virtual void grant(MemberId to, Incarnation of, std::string_view lease, AskNo number, bool wanted) = 0;
-  virtual void refuse(MemberId to, Incarnation of, std::string_view lease, AskNo number, Token seen,
-                      Nanos left) = 0;
+  virtual void grant(MemberId to, Incarnation incarnation, std::string_view lease, AskNo number,
+                     bool contended) = 0;
+  virtual void refuse(MemberId to, Incarnation incarnation, std::string_view lease, AskNo number,
+                      Token highest_token, Nanos remaining) = 0;
   // This member may act from `from` until `until`, under this token. Told again with each renewal.
   virtual void held(std::string_view lease, Token token, Nanos from, Nanos until) = 0;
-  virtual void lost(std::string_view lease, Token token, LossReason why) = 0;
+  virtual void lost(std::string_view lease, Token token, LossReason reason) = 0;
 };
 
 class Leases {
@@ -75,14 +76,14 @@
   //   after most voters forgot, and a target's refusal puts it right
   // - leases.most: names that are known at once, as a voter and as one who asks, each
   // Who votes is asked of `voters` at each step.
-  Leases(Nanos now, MemberId self, Incarnation incarnation, const Voters& voters, const Settings& figures,
-         std::uint64_t seed, LeaseActions& orders);
+  Leases(Nanos now, MemberId self, Incarnation incarnation, const Voters& voters, const Settings& settings,
+         std::uint64_t seed, LeaseActions& actions);
   Leases(const Leases&) = delete;
   Leases& operator=(const Leases&) = delete;
 
   // Tokens that this member asks for are over this one's, which goes on as `leases.first_token` does: against
   // voters that have seen none of those before, as where the list of voters was changed.
-  void raise_token_counter(std::uint64_t at_least) { counted_ = std::max(counted_, at_least); }
+  void raise_token_counter(std::uint64_t at_least) { token_counter_ = std::max(token_counter_, at_least); }
 
   // ---- what this member wants
   // Asks for a lease until it is dropped. False: no room for another name.
@@ -95,15 +96,16 @@
   Token begin_act(Nanos now, std::string_view lease, Nanos act);
   void end_act(Nanos now, std::string_view lease, Token token);
   // What is acted on has refused this member's token for a greater one.
-  void refused_by_target(Nanos now, std::string_view lease, Token seen);
+  void refused_by_target(Nanos now, std::string_view lease, Token highest_token);
 
   // ---- what others say
-  void asked(Nanos now, MemberId from, Incarnation of, Epoch epoch, std::string_view lease, AskNo number,
-             Token token, Nanos term);
-  void released(Nanos now, MemberId from, Incarnation of, std::string_view lease, AskNo number);
-  void granted(Nanos now, MemberId from, Incarnation to, std::string_view lease, AskNo number, bool wanted);
-  void refused(Nanos now, MemberId from, Incarnation to, std::string_view lease, AskNo number, Token seen,
-               Nanos left);
+  void asked(Nanos now, MemberId from, Incarnation incarnation, Epoch epoch, std::string_view lease,
+             AskNo number, Token token, Nanos term);
+  void released(Nanos now, MemberId from, Incarnation incarnation, std::string_view lease, AskNo number);
+  void granted(Nanos now, MemberId from, Incarnation to, std::string_view lease, AskNo number,
+               bool contended);
+  void refused(Nanos now, MemberId from, Incarnation to, std::string_view lease, AskNo number,
+               Token highest_token, Nanos remaining);
 
   // ---- time
   Nanos next_wake() const; // -1: none
@@ -117,7 +119,7 @@
   };
   std::vector<Status> status() const;
   bool silent(Nanos now) const { return voters_.may_grant(self_) && now < silent_until_; }
-  std::uint64_t senseless() const { return senseless_; }
+  std::uint64_t invalid_messages() const { return invalid_messages_; }
 
   // All that it remembers, to bytes and back (serializer.hpp), into one that was made with the same settings.
   template <class Serializer>
@@ -129,71 +131,73 @@
   // A voter's: who has a lease of it.
   struct Grant {
     MemberId holder{};
-    Incarnation of{};
-    AskNo last{}; // the greatest of the holder's that was taken, or released
+    Incarnation incarnation{};
+    AskNo last_ask{}; // the greatest of the holder's that was taken, or released
     Nanos until = 0;
-    Token seen{0}; // the greatest that was granted
-    Nanos wanted_until = 0;
+    Token highest_token{0}; // the greatest that was granted
+    Nanos contended_until = 0;
     bool open(Nanos now) const { return now >= until; }
     template <class Serializer>
     void serialize(Serializer& serializer) {
-      serializer(holder, of, last, until, seen, wanted_until);
+      serializer(holder, incarnation, last_ask, until, highest_token, contended_until);
     }
   };
   // What this member wants.
-  struct Wish {
+  struct LeaseRequest {
     AskNo number{}; // of the last ask
     Nanos asked_at = 0;
-    Token token{0}; // asked for, or held
-    Token floor{0}; // tokens up to it are known to be used
+    Token token{0};       // asked for, or held
+    Token token_floor{0}; // tokens up to it are known to be used
     std::set<MemberId> granted, refused_by;
-    bool held = false, wanted = false;
-    bool looking = false; // the ask only looks whether it would be granted
-    bool dropped = false; // given up once its acts have ended
-    int acts = 0;         // begun and not ended, under this token
+    bool held = false, contended = false;
+    bool probing = false;         // the ask only looks whether it would be granted
+    bool release_pending = false; // given up once its acts have ended
+    int acts = 0;                 // begun and not ended, under this token
     Nanos since = 0, from = 0, until = 0;
-    Nanos next = 0;  // ask, renew or look again
-    Nanos block = 0; // until then a grant is known to stand in the way
-    int rounds = 0, terms = 0;
+    Nanos next = 0;          // ask, renew or look again
+    Nanos blocked_until = 0; // until then a grant is known to stand in the way
+    int rounds = 0, renewals = 0;
     template <class Serializer>
     void serialize(Serializer& serializer) {
-      serializer(number, asked_at, token, floor, granted, refused_by, held, wanted, looking, dropped, acts,
-                 since, from, until, next, block, rounds, terms);
+      serializer(number, asked_at, token, token_floor, granted, refused_by, held, contended, probing,
+                 release_pending, acts, since, from, until, next, blocked_until, rounds, renewals);
     }
   };
-  using Wishes = std::map<std::string, Wish, std::less<>>;
-
-  void ask(Nanos now, const std::string& lease, Wish& wish, bool look);
-  void give_back(const std::string& lease, const Wish& wish);
-  void lose(Nanos now, const std::string& lease, Wish& wish, LossReason why, Nanos rest);
-  void settle_round(Nanos now, const std::string& lease, Wish& wish);
-  Token next_token(const Wish& wish) const;
-  Nanos rest(int rounds); // drawn by chance, longer with each round lost
+  using Requests = std::map<std::string, LeaseRequest, std::less<>>;
+
+  void ask(Nanos now, const std::string& lease, LeaseRequest& request, bool probe_only);
+  void release_grants(const std::string& lease, const LeaseRequest& request);
+  void end_holding(Nanos now, const std::string& lease, LeaseRequest& request, LossReason reason,
+                   Nanos backoff);
+  void settle_round(Nanos now, const std::string& lease, LeaseRequest& request);
+  Token next_token(const LeaseRequest& request) const;
+  Nanos backoff(int rounds); // drawn by chance, longer with each round lost
   Nanos holding_time() const;
-  Nanos renew_after();
-  Grant* grant_for(Nanos now, std::string_view lease);
+  Nanos renewal_delay();
+  Grant* find_or_add_grant(Nanos now, std::string_view lease);
 
   LeaseActions& actions_;
   MemberId self_;
   Incarnation incarnation_;
   const Voters& voters_;
-  Pcg chance_;
-  Nanos term_, longest_term_, answer_, longest_act_;
+  Pcg random_;
+  Nanos term_, max_term_, answer_timeout_, max_act_duration_;
   double drift_;
-  int most_terms_;
-  std::size_t most_;
-  Token first_; // tokens up to it are not used
-  std::uint64_t counted_ = 0;
+  int max_terms_;
+  std::size_t max_names_;
+  Token token_floor_; // tokens up to it are not used
+  std::uint64_t token_counter_ = 0;
   Nanos silent_until_;
-  std::uint64_t asks_ = 0;
-  std::uint64_t senseless_ = 0;
+  std::uint64_t last_ask_ = 0;
+  std::uint64_t invalid_messages_ = 0;
   std::map<std::string, Grant, std::less<>> grants_;
-  Wishes wishes_;
+  Requests requests_;
 };
 
 template <class Serializer>
 void Leases::serialize(Serializer& serializer) {
-  serializer(chance_, first_, counted_, silent_until_, asks_, senseless_, grants_, wishes_);
+  serializer(random_, token_floor_, token_counter_, silent_until_, last_ask_, invalid_messages_, grants_,
+             requests_);
 }
 
 } // namespace cometshift
--- a/leases/tasks.hpp
+++ b/leases/tasks.hpp
@@ -21,7 +21,7 @@
 using TaskId = Id<struct TaskIdTag, std::uint32_t>; // index into the tasks
 
 enum class TaskOutcome { done, failed, unknown, refused }; // unknown: it may have had its effect
-std::string_view to_text(TaskOutcome end);
+std::string_view to_text(TaskOutcome outcome);
 
 class TaskActions {
  public:
@@ -32,7 +32,7 @@
   virtual void notify_done(TaskId task, Token token) = 0;
   virtual void
   released_after_failures(TaskId task,
-                          Nanos rest) = 0; // let go after failures, asked for again after the rest
+                          Nanos backoff) = 0; // let go after failures, asked for again after the rest
 };
 
 class Tasks {
@@ -44,13 +44,13 @@
   // - task.N.most_an_hour: how often this member may begin it; 0: no bound
   // - task.N.catch_up: 1: periods that were missed are done later, one after the other, some at the most
   // - tasks.at_once: that this member does at once
-  Tasks(Nanos now, const Settings& figures, Leases& leases, TaskActions& orders);
+  Tasks(Nanos now, const Settings& settings, Leases& leases, TaskActions& actions);
 
   // What the leases have ordered: from when a lease may be acted under, or that it is gone.
   void held(std::string_view lease, Nanos from);
   void lost(std::string_view lease);
-  void ended(Nanos now, TaskId task, Token token, TaskOutcome end,
-             Token seen); // seen: of a target that refused
+  void ended(Nanos now, TaskId task, Token token, TaskOutcome outcome,
+             Token target_token); // seen: of a target that refused
   void completed_elsewhere(Nanos now, std::string_view name, Token token, Nanos ago);
   void leave(Nanos now); // begins none any more
 
@@ -69,30 +69,31 @@
  private:
   struct Task {
     std::string name;
-    Nanos every, limit;
+    Nanos period, limit;
     int priority;
-    double most_an_hour;
+    double max_per_hour;
     bool catch_up;
     double tokens = 0; // of the bound an hour
-    Nanos filled_at = 0;
-    Token running{0}; // 0: not
-    Nanos last = -1;  // when it was done last, as far as this member has heard
-    Nanos next = 0;   // when it is due
-    Token told{0};    // the greatest under which it was done
-    int failures = 0; // in a row
-    Nanos from = -1;  // it may be begun from then on; -1: not held, or not before the next word of its lease
-    Nanos rests_until = -1; // has let its lease go until then; -1: wants it
-    Nanos rest = 0;
+    Nanos refilled_at = 0;
+    Token running{0};         // 0: not
+    Nanos last = -1;          // when it was done last, as far as this member has heard
+    Nanos next = 0;           // when it is due
+    Token last_done_token{0}; // the greatest under which it was done
+    int failures = 0;         // in a row
+    Nanos startable_from =
+        -1; // it may be begun from then on; -1: not held, or not before the next word of its lease
+    Nanos backoff_until = -1; // has let its lease go until then; -1: wants it
+    Nanos backoff = 0;
     std::uint64_t begun = 0, done = 0, failed = 0, refused = 0, missed = 0;
   };
-  void done_at(Nanos now, Task& task, Nanos at);
-  void fill(Nanos now, Task& task);
+  void record_done(Nanos now, Task& task, Nanos at);
+  void refill(Nanos now, Task& task);
 
   Leases& leases_;
   TaskActions& actions_;
   std::vector<Task> tasks_;
-  int at_once_, running_ = 0;
-  bool leaving_ = false;
+  int max_concurrent_, running_ = 0;
+  bool draining_ = false;
 };
 
 } // namespace cometshift
--- a/leases/trials.hpp
+++ b/leases/trials.hpp
@@ -18,10 +18,9 @@
  public:
   virtual ~TrialActions() = default;
   virtual void
-  others_try(Nanos until) = 0; // this server makes no trial before then; a time that is past: it may
-  virtual void
-  below_is_back() = 0; // calls may go there again, few at first, as after a good trial of its own
-  virtual void tell(bool good, Token token) = 0; // all others; 0: a trial for itself
+  defer_trial(Nanos until) = 0;    // this server makes no trial before then; a time that is past: it may
+  virtual void resume_calls() = 0; // calls may go there again, few at first, as after a good trial of its own
+  virtual void report_result(bool success, Token token) = 0; // all others; 0: a trial for itself
 };
 
 class Trials {
@@ -30,34 +29,35 @@
   // - trials.unheard: after so long without a word of whoever tries, this server tries for itself; at least
   // two terms
   // - trials.spread: over which servers come back after a good word, by chance: against all at once
-  Trials(const Settings& figures, std::string lease, Leases& leases, std::uint64_t seed,
-         TrialActions& orders);
+  Trials(const Settings& settings, std::string lease, Leases& leases, std::uint64_t seed,
+         TrialActions& actions);
 
-  void stopped(Nanos now);         // calls have stopped here
-  void went(Nanos now, bool good); // a trial of this server's has ended, or calls go again by themselves
+  void calls_stopped(Nanos now); // calls have stopped here
+  void trial_finished(Nanos now,
+                      bool success); // a trial of this server's has ended, or calls go again by themselves
   void held(Nanos now, Token token, Nanos from);
   void lost(Nanos now);
-  void heard(Nanos now, Token token, bool good, Nanos ago);
+  void result_received(Nanos now, Token token, bool success, Nanos ago);
 
-  Nanos next_wake() const { return back_at_; } // -1: none
+  Nanos next_wake() const { return resume_at_; } // -1: none
   void due(Nanos now);
 
-  bool waits() const { return stopped_at_ >= 0; }
+  bool waiting() const { return stopped_at_ >= 0; }
 
  private:
-  void wait(Nanos until);
-  void end(Nanos now);
+  void defer(Nanos until);
+  void finish(Nanos now);
 
   Leases& leases_;
   TrialActions& actions_;
   std::string lease_;
-  Pcg chance_;
-  Nanos unheard_, spread_;
-  Nanos stopped_at_ = -1; // -1: calls go
-  Nanos until_ = 0;       // others try, as last ordered
-  Nanos back_at_ = -1;    // calls may go again from then
-  Token mine_{0};         // held
-  Token latest_{0};       // the greatest under which a trial was told of
+  Pcg random_;
+  Nanos report_timeout_, spread_;
+  Nanos stopped_at_ = -1;    // -1: calls go
+  Nanos deferred_until_ = 0; // others try, as last ordered
+  Nanos resume_at_ = -1;     // calls may go again from then
+  Token held_token_{0};      // held
+  Token latest_token_{0};    // the greatest under which a trial was told of
 };
 
 } // namespace cometshift
--- a/leases/voters.hpp
+++ b/leases/voters.hpp
@@ -36,7 +36,7 @@
 class Voters {
  public:
   // `on_file`: as this member will have it again after a start. `settle`: how long grants of before may last.
-  Voters(Nanos now, MemberId self, VoterList on_file, Nanos settle);
+  Voters(Nanos now, MemberId self, VoterList on_file, Nanos settle_time);
 
   // The file was read again. Empty: it is taken; else why not, and nothing has changed.
   std::string_view apply_file(Nanos now, VoterList on_file);
@@ -58,21 +58,21 @@
   bool may_grant(MemberId member) const {                // asked by those who are not as far as this one, too
     return list_.voters.contains(member) || list_.previous.contains(member);
   }
-  bool enough(const std::set<MemberId>& granted) const;
-  bool lost(const std::set<MemberId>& refused) const; // enough can't be had any more
+  bool has_quorum(const std::set<MemberId>& granted) const;
+  bool quorum_impossible(const std::set<MemberId>& refused) const; // enough can't be had any more
 
  private:
-  void go_by(Nanos now, VoterList list);
-  void look(Nanos now);
+  void adopt(Nanos now, VoterList list);
+  void update_joint(Nanos now);
 
   MemberId self_;
-  Nanos settle_;
+  Nanos settle_time_;
   VoterList list_;
   Epoch on_file_;
   bool joint_ = false;
-  Nanos alone_at_ = -1; // -1: not known yet
+  Nanos new_list_alone_at_ = -1; // -1: not known yet
   std::set<MemberId> all_;
-  std::map<MemberId, Epoch> files_; // the greatest epoch that each was heard to have on file
+  std::map<MemberId, Epoch> file_epochs_; // the greatest epoch that each was heard to have on file
 };
 
 } // namespace cometshift
--- a/pools/capacity.hpp
+++ b/pools/capacity.hpp
@@ -19,50 +19,50 @@
 
 class Capacity {
  public:
-  enum class By { throughput, gradient, additive };
-  Capacity(Nanos now, By by, std::size_t op_types);
+  enum class Estimator { throughput, gradient, additive };
+  Capacity(Nanos now, Estimator estimator, std::size_t op_types);
 
   // A run ended with so much time on the cores; `wanted`: of the ops that want a core now, that one among
   // them.
-  void run_ended(Nanos now, OpTypeId type, Nanos on_cores, int wanted);
-  void on_cores(Nanos now, int wanted); // whenever it changes
+  void run_ended(Nanos now, OpTypeId type, Nanos core_time, int demand);
+  void demand_changed(Nanos now, int demand); // whenever it changes
   // The gauge of the cores, 0 to 1.
-  void busy(double part) { busy_ = part; }
+  void set_busy_fraction(double fraction) { busy_fraction_ = fraction; }
 
   double cores() const { return estimate_; } // base work a second, in cores; at least a small figure
-  Nanos base(OpTypeId type) const;           // work of one op; 0: none seen
-  bool known() const { return known_; }
+  Nanos base_work(OpTypeId type) const;      // work of one op; 0: none seen
+  bool has_estimate() const { return has_estimate_; }
 
   template <class Serializer>
   void serialize(Serializer& serializer) {
-    serializer(busy_, estimate_, known_, window_from_, wanted_, wanted_since_, wanted_area_, full_time_,
-               done_, ratio_, last_cut_, last_done_);
-    for (Type& type : types_) serializer(type.base, type.recent, type.seen);
+    serializer(busy_fraction_, estimate_, has_estimate_, window_started_at_, demand_, demand_since_,
+               demand_area_, saturated_time_, completed_work_, slowdown_, last_decrease_, last_completion_);
+    for (Type& type : types_) serializer(type.base_work, type.recent, type.runs_seen);
   }
 
  private:
   struct Type {
-    Nanos base = 0;
+    Nanos base_work = 0;
     Histogram recent{24};
-    float seen = 0;
+    float runs_seen = 0;
   };
-  void pass_to(Nanos now);
-  void count(Nanos now);
+  void advance_to(Nanos now);
+  void close_window(Nanos now);
 
-  By by_;
+  Estimator estimator_;
   std::vector<Type> types_;
-  double busy_ = 0;
+  double busy_fraction_ = 0;
   double estimate_;
-  bool known_ = false;
-  Nanos window_from_;
-  int wanted_ = 0;
-  Nanos wanted_since_;
-  double wanted_area_ = 0; // cores wanted x time in this window
-  Nanos full_time_ = 0;    // of it, in which more were wanted than are there
-  double done_ = 0;        // base work in it
-  double ratio_ = 1;       // of late, work that runs take over their base
-  Nanos last_cut_ = 0;
-  Nanos last_done_ = 0;
+  bool has_estimate_ = false;
+  Nanos window_started_at_;
+  int demand_ = 0;
+  Nanos demand_since_;
+  double demand_area_ = 0;    // cores wanted x time in this window
+  Nanos saturated_time_ = 0;  // of it, in which more were wanted than are there
+  double completed_work_ = 0; // base work in it
+  double slowdown_ = 1;       // of late, work that runs take over their base
+  Nanos last_decrease_ = 0;
+  Nanos last_completion_ = 0;
 };
 
 } // namespace cometshift
--- a/pools/pools.hpp
+++ b/pools/pools.hpp
@@ -36,39 +36,40 @@
 class Pools {
  public:
   // `given`: the settings, with the pools' among them.
-  Pools(Nanos now, const Settings& given);
-  static bool wanted(const Settings& given) { return number(given, "pools.on", 0) != 0; }
+  Pools(Nanos now, const Settings& settings);
+  static bool enabled(const Settings& settings) { return number(settings, "pools.on", 0) != 0; }
   static bool is_setting(std::string_view name) {
     return name.starts_with("pools.") || name.starts_with("pool.");
   }
   // What another object, of other pools at the same server, found of its capacity.
-  void learn_from(Nanos now, const Pools& other) {
+  void adopt_estimate(Nanos now, const Pools& other) {
     capacity_ = other.capacity_;
-    capacity_.on_cores(now, 0);
+    capacity_.demand_changed(now, 0);
   }
 
-  struct Verdict {
-    bool pass = true;
+  struct Admission {
+    bool admitted = true;
     double worth = 1; // how much the op counts with the module, as a factor
-    Reason why = Reason::none;
-    Nanos come_back = 0;
+    Reason reason = Reason::none;
+    Nanos retry_after = 0;
   };
   // An op came; `trace` is the same for tries of one op as far as can be told, `answerable`: its first try
   // runs or has run here, so that it costs nothing.
-  Verdict came(Nanos now, OpId id, OpTypeId type, TenantId tenant, Digest trace, bool answerable);
+  Admission op_received(Nanos now, OpId id, OpTypeId type, TenantId tenant, Digest fingerprint,
+                        bool answered_from_earlier);
   void started(Nanos now, OpId id);
-  void at_call(Nanos now, OpId id); // off the cores, and back
+  void call_started(Nanos now, OpId id); // off the cores, and back
   void resumed(Nanos now, OpId id);
-  void run_over(Nanos now, OpId id);
+  void run_finished(Nanos now, OpId id);
   void answered(Nanos now, OpId id, bool nacked);
-  void gauges(double busy) { capacity_.busy(busy); }
+  void gauges(double busy_fraction) { capacity_.set_busy_fraction(busy_fraction); }
 
   double capacity() const { return capacity_.cores(); }
   struct Stats { // of a pool, of late
     std::string name;
     double work = 0; // a second, let in, in cores
     double protected_work = 0;
-    std::uint64_t came = 0, refused = 0, repeats = 0;
+    std::uint64_t received = 0, refused = 0, repeats = 0;
   };
   std::vector<Stats> stats() const;
 
@@ -77,13 +78,13 @@
 
  private:
   // Work that may be given, refilled by time.
-  struct Bucket {
+  struct TokenBucket {
     double level = 0, capacity = 0; // ns of base work
     Nanos at = 0;
-    void fill(Nanos now, double a_second, Nanos window);
+    void refill(Nanos now, double rate, Nanos window);
     bool take(double work);
-    void give_back(double work);
-    Nanos until(double a_second) const; // something can be taken
+    void refund(double work);
+    Nanos time_until_available(double rate) const; // something can be taken
     template <class Serializer>
     void serialize(Serializer& serializer) {
       serializer(level, capacity, at);
@@ -93,47 +94,47 @@
     std::string name;
     std::vector<bool> op_types, tenants; // empty: all
     double weight = 1, floor = 0, ceiling = 1;
-    Bucket floor_room, ceiling_room;
-    double repeats_left = 0; // tries that may be let in
-    double first_a_second = 0;
-    Nanos repeat_at = 0; // the last repeat
+    TokenBucket floor_bucket, ceiling_bucket;
+    double retry_budget = 0; // tries that may be let in
+    double first_tries_per_second = 0;
+    Nanos last_repeat_at = 0; // the last repeat
     std::vector<double>
-        tenant_over; // work of late beyond the quota's part of the pool's, in seconds of the pool's work
-    double work_a_second = 0, protected_a_second = 0;
+        tenant_excess; // work of late beyond the quota's part of the pool's, in seconds of the pool's work
+    double work_rate = 0, protected_work_rate = 0;
     Nanos at = 0;
-    std::uint64_t came = 0, refused = 0, repeats = 0;
+    std::uint64_t received = 0, refused = 0, repeats = 0;
   };
-  struct Open {
+  struct OpenOp {
     PoolId pool;
     OpTypeId type;
     TenantId tenant;
     double work = 0;    // taken from the ceiling
     double floor = 0;   // of it, from the floor
     double reserve = 0; // of it, from the reserve
-    Nanos on_cores = 0;
-    Nanos since = -1; // on the cores; -1: not
+    Nanos core_time = 0;
+    Nanos on_core_since = -1; // on the cores; -1: not
     bool running = false, answered = false;
   };
-  Pool& pool_of(OpTypeId type, TenantId tenant, PoolId& id);
-  bool repeats(Nanos now, Digest trace);
+  Pool& find_pool(OpTypeId type, TenantId tenant, PoolId& id);
+  bool is_repeat(Nanos now, Digest fingerprint);
   void decay(Nanos now, Pool& pool);
   double worth_of(const Pool& pool, TenantId tenant) const;
-  bool cheapest(OpTypeId type) const;
-  void release(OpId id);
-  void off_cores(Nanos now, Open& op);
+  bool is_cheapest(OpTypeId type) const;
+  void erase_if_finished(OpId id);
+  void pause_core_time(Nanos now, OpenOp& op);
 
   std::vector<Pool> pools_;
-  std::vector<double> quotas_; // parts of all, by tenant
+  std::vector<double> quota_shares_; // parts of all, by tenant
   Capacity capacity_;
-  double reserve_part_;
-  double repeats_part_;
+  double reserve_fraction_;
+  double retry_budget_ratio_;
   Nanos window_;
   std::size_t op_types_;
-  Bucket reserve_;
-  std::map<OpId, Open> open_;
-  int on_cores_ = 0;
-  std::map<Digest, Nanos> seen_; // traces of late, with their ends
-  std::deque<std::pair<Nanos, Digest>> seen_order_;
+  TokenBucket reserve_bucket_;
+  std::map<OpId, OpenOp> open_ops_;
+  int running_on_cores_ = 0;
+  std::map<Digest, Nanos> fingerprints_; // traces of late, with their ends
+  std::deque<std::pair<Nanos, Digest>> fingerprint_expiries_;
 };
 
 } // namespace cometshift
--- a/tests/capacity.cpp
+++ b/tests/capacity.cpp
@@ -8,7 +8,8 @@
 int main() {
   constexpr Nanos second = 1000 * ms;
   static const char* names[] = {"throughput", "gradient", "additive"};
-  for (const auto by : {Capacity::By::throughput, Capacity::By::gradient, Capacity::By::additive}) {
+  for (const auto by :
+       {Capacity::Estimator::throughput, Capacity::Estimator::gradient, Capacity::Estimator::additive}) {
     std::printf("# %s: four cores, runs of 50 ms of work; estimate in cores of base work\n",
                 names[static_cast<int>(by)]);
     Capacity c(0, by, 1);
@@ -20,8 +21,8 @@
       std::vector<Nanos> begun(left.size(), now);
       const auto draw = [&] { return (0.6 + 0.8 * chance.unit()) * 50 * ms; };
       for (double& one : left) one = draw();
-      c.on_cores(now, inside);
-      c.busy(std::min(1.0, inside / 4.0));
+      c.demand_changed(now, inside);
+      c.set_busy_fraction(std::min(1.0, inside / 4.0));
       double low = 1e9, high = 0;
       const Nanos begin = now, end = now + time;
       while (now < end) {
@@ -32,7 +33,7 @@
             c.run_ended(now, OpTypeId{0}, now - begun[i], inside);
             left[i] = draw();
             begun[i] = now;
-            c.on_cores(now, inside);
+            c.demand_changed(now, inside);
           }
         if (now - begin > time / 2) low = std::min(low, c.cores()), high = std::max(high, c.cores());
       }
--- a/tests/leases.cpp
+++ b/tests/leases.cpp
@@ -187,7 +187,7 @@
   v.asked(5 * second, MemberId{4}, a, epoch, "t", AskNo{20}, Token{0x50004}, second + 1);
   v.asked(5 * second, MemberId{4}, a, epoch, "", AskNo{20}, Token{0x50004}, second);
   v.asked(5 * second, MemberId{4}, a, epoch, "t", AskNo{20}, Token{0}, second);
-  std::printf("  senseless %llu\n", static_cast<unsigned long long>(v.senseless()));
+  std::printf("  senseless %llu\n", static_cast<unsigned long long>(v.invalid_messages()));
   say("no room for a third name until one has had no grant for long");
   v.asked(6 * second, MemberId{4}, a, epoch, "u", AskNo{21}, Token{0x50004}, second);
   v.asked(6 * second, MemberId{4}, a, epoch, "w", AskNo{22}, Token{0x50004}, second);
--- a/tests/pools.cpp
+++ b/tests/pools.cpp
@@ -42,16 +42,17 @@
       now = first->first;
       const OpId id = first->second;
       running.erase(first);
-      pools.run_over(now, id);
+      pools.run_finished(now, id);
       pools.answered(now, id, false);
       begin();
     }
     now = end;
   }
-  Pools::Verdict came(unsigned type, unsigned tenant = 0, Digest trace = {}, bool answerable = false) {
+  Pools::Admission came(unsigned type, unsigned tenant = 0, Digest trace = {}, bool answerable = false) {
     const OpId id{next++};
-    const Pools::Verdict v = pools.came(now, id, OpTypeId{type}, TenantId{tenant}, trace, answerable);
-    if (v.pass && !answerable) {
+    const Pools::Admission v =
+        pools.op_received(now, id, OpTypeId{type}, TenantId{tenant}, trace, answerable);
+    if (v.admitted && !answerable) {
       waiting[id] = {OpTypeId{type}, type == 0 ? 50 * ms : 100 * ms};
       worth[id] = v.worth;
       line.push_back(id);
@@ -79,8 +80,8 @@
       to(now + 10 * ms);
       for (unsigned type = 0; type < 2; ++type)
         for (owed[type] += (type == 0 ? looks : books) / 100; owed[type] >= 1; owed[type] -= 1) {
-          const Pools::Verdict v = came(type, tenant);
-          ++(v.pass ? count[type].passed : count[type].refused);
+          const Pools::Admission v = came(type, tenant);
+          ++(v.admitted ? count[type].passed : count[type].refused);
           count[type].safe += v.worth >= 1000;
           if (v.worth >= 1000) safe_work += type == 0 ? 0.05 : 0.1;
         }
@@ -115,13 +116,13 @@
     s.load("learning", 10, 15, 4 * second);
     s.load("a flood of looks", 100, 10, 4 * second);
     for (;;)
-      if (const Pools::Verdict v = s.came(0); !v.pass) {
-        std::printf("  refused: %s, come back in %lld ms\n", std::string(to_text(v.why)).c_str(),
-                    static_cast<long long>(v.come_back / ms));
-        s.to(s.now + v.come_back);
+      if (const Pools::Admission v = s.came(0); !v.admitted) {
+        std::printf("  refused: %s, come back in %lld ms\n", std::string(to_text(v.reason)).c_str(),
+                    static_cast<long long>(v.retry_after / ms));
+        s.to(s.now + v.retry_after);
         break;
       }
-    std::printf("  and then: passes %d\n", s.came(0).pass);
+    std::printf("  and then: passes %d\n", s.came(0).admitted);
   }
   {
     say("a reserve for the cheapest: its part of the capacity, and not more");
@@ -139,7 +140,7 @@
       for (int i = 0; i < 400; ++i) {
         s.to(s.now + 10 * ms);
         const Digest trace{s.next, 99};
-        first += s.came(0, 0, trace).pass;
+        first += s.came(0, 0, trace).admitted;
         for (int k = 0; k < each; ++k) {
           const bool full = s.came(0, 0, trace).worth >= 0.5;
           ++(full ? again : refused);
@@ -152,7 +153,7 @@
     storm("three repeats of each", 3);
     const Digest trace{7, 7};
     s.came(1, 0, trace);
-    std::printf("  one whose first runs here: passes %d\n", s.came(1, 0, trace, true).pass);
+    std::printf("  one whose first runs here: passes %d\n", s.came(1, 0, trace, true).admitted);
   }
   {
     say("tenants: one with ten times the other's ops counts for less, the longer the less; then it is "
--- a/tests/trials.cpp
+++ b/tests/trials.cpp
@@ -81,16 +81,16 @@
       if (fleet.holder == this) fleet.holder = nullptr;
       trials->lost(fleet.now);
     }
-    void others_try(Nanos until) override { others_until = until; }
-    void below_is_back() override {
+    void defer_trial(Nanos until) override { others_until = until; }
+    void resume_calls() override {
       failures = 0, rest = 0;
       fleet.back(*this);
     }
-    void tell(bool good, Token token) override {
+    void report_result(bool good, Token token) override {
       for (auto& other : fleet.servers_)
         if (other.get() != this)
           fleet.send(self, other->self, [good, token, said = fleet.now](Server& at, Nanos now) {
-            at.trials->heard(now, token, good, now - said);
+            at.trials->result_received(now, token, good, now - said);
           });
     }
   };
@@ -199,9 +199,9 @@
       }
       if (!day_.one_hand) return;
       if (was_stopped)
-        one.trials->went(now, good);
+        one.trials->trial_finished(now, good);
       else if (one.stopped())
-        one.trials->stopped(now);
+        one.trials->calls_stopped(now);
       wake(one);
     });
   }
@@ -216,11 +216,11 @@
   void refuse(MemberId, Incarnation, std::string_view, AskNo, Token, Nanos) override {}
   void held(std::string_view, Token, Nanos, Nanos) override {}
   void lost(std::string_view, Token, LossReason) override {}
-  void others_try(Nanos until) override {
+  void defer_trial(Nanos until) override {
     std::printf("  others try until %lld ms\n", static_cast<long long>(until / ms));
   }
-  void below_is_back() override { std::printf("  below is back\n"); }
-  void tell(bool good, Token token) override {
+  void resume_calls() override { std::printf("  below is back\n"); }
+  void report_result(bool good, Token token) override {
     std::printf("  tell: %s, token %llu\n", good ? "good" : "bad",
                 static_cast<unsigned long long>(token.raw));
   }
@@ -234,28 +234,28 @@
   Leases leases(0, MemberId{9}, Incarnation{1}, voters, figures, 1, out);
   Trials t(figures, lease, leases, 1, out);
   say("stopped: it waits for another's word, and each bad one puts its own trial off");
-  t.stopped(1000 * ms);
-  t.heard(1500 * ms, Token{5}, false, 10 * ms);
+  t.calls_stopped(1000 * ms);
+  t.result_received(1500 * ms, Token{5}, false, 10 * ms);
   say("word of an earlier holder, of a trial before calls stopped here, of one that was for itself: nothing");
-  t.heard(1600 * ms, Token{4}, false, 0);
-  t.heard(1600 * ms, Token{6}, true, 700 * ms);
-  t.heard(1600 * ms, Token{0}, false, 0);
+  t.result_received(1600 * ms, Token{4}, false, 0);
+  t.result_received(1600 * ms, Token{6}, true, 700 * ms);
+  t.result_received(1600 * ms, Token{0}, false, 0);
   say("it holds the lease: it tries, and tells");
   t.held(2000 * ms, Token{7}, 2000 * ms);
-  t.went(2100 * ms, false);
-  t.heard(2200 * ms, Token{0}, false, 0);
+  t.trial_finished(2100 * ms, false);
+  t.result_received(2200 * ms, Token{0}, false, 0);
   say("it has lost it: it waits again; a good word: back after a while by chance, once");
   t.lost(2300 * ms);
-  t.heard(2400 * ms, Token{8}, true, 0);
-  t.heard(2500 * ms, Token{8}, true, 0);
+  t.result_received(2400 * ms, Token{8}, true, 0);
+  t.result_received(2500 * ms, Token{8}, true, 0);
   t.due(t.next_wake() - 1);
   t.due(t.next_wake());
-  std::printf("  %s\n", t.waits() || t.next_wake() >= 0 ? "still waits" : "waits for nothing");
+  std::printf("  %s\n", t.waiting() || t.next_wake() >= 0 ? "still waits" : "waits for nothing");
   say("its own trial was good: told, and over");
-  t.stopped(9000 * ms);
+  t.calls_stopped(9000 * ms);
   t.held(9100 * ms, Token{9}, 9150 * ms);
-  t.went(9200 * ms, true);
-  t.went(9300 * ms, true);
+  t.trial_finished(9200 * ms, true);
+  t.trial_finished(9300 * ms, true);
   say("too short a time without a word");
   try {
     Settings bad = figures;
