--- a/tests/leases.cpp
+++ b/tests/leases.cpp
@@ -9,13 +9,13 @@
 
 struct Sum {
   std::uint64_t seeds = 0, holdings = 0, renewals = 0, acts = 0, stale = 0, changes = 0;
-  int overlaps = 0, tokens_back = 0, at_once = 0;
+  int overlaps = 0, non_rising_tokens = 0, concurrent_acts = 0;
   Nanos longest_gap = 0;
   std::vector<Nanos> gaps;
   std::string first;
 };
 
-Sum many(Plan plan, std::uint64_t from, std::uint64_t seeds, bool stop = false) {
+Sum run_seeds(Plan plan, std::uint64_t from, std::uint64_t seeds, bool stop = false) {
   Sum sum;
   for (std::uint64_t seed = from; seed < from + seeds; ++seed) {
     plan.seed = seed;
@@ -26,10 +26,10 @@
     sum.acts += static_cast<std::uint64_t>(v.acts);
     sum.stale += static_cast<std::uint64_t>(v.stale_refused);
     sum.changes += v.changes;
-    sum.at_once += v.acts_at_once;
+    sum.concurrent_acts += v.concurrent_acts_unfenced;
     sum.overlaps += v.overlaps;
     sum.gaps.insert(sum.gaps.end(), v.gaps.begin(), v.gaps.end());
-    sum.tokens_back += v.tokens_back;
+    sum.non_rising_tokens += v.non_rising_tokens;
     sum.longest_gap = std::max(sum.longest_gap, v.longest_gap);
     if (sum.first.empty() && !v.first.empty()) sum.first = "seed " + std::to_string(seed) + ", " + v.first;
     if (stop && !sum.first.empty()) break;
@@ -37,8 +37,8 @@
   return sum;
 }
 
-void print(const char* what, const Sum& s) {
-  std::printf("%s: %llu seeds, %llu holdings, %llu renewals, %llu acts, overlaps %d\n", what,
+void print(const char* title, const Sum& s) {
+  std::printf("%s: %llu seeds, %llu holdings, %llu renewals, %llu acts, overlaps %d\n", title,
               static_cast<unsigned long long>(s.seeds), static_cast<unsigned long long>(s.holdings),
               static_cast<unsigned long long>(s.renewals), static_cast<unsigned long long>(s.acts),
               s.overlaps);
@@ -46,7 +46,7 @@
 }
 
 // All kinds of fleets in turn.
-Plan kind_of(std::uint64_t seed) {
+Plan plan_of_kind(std::uint64_t seed) {
   Plan plan;
   plan.voters = seed % 5 == 0 ? 1 : seed % 5 < 3 ? 3 : 5;
   plan.members = plan.voters + static_cast<unsigned>(seed / 5 % 3);
@@ -60,30 +60,30 @@
 }
 // Seven members, of which one to three vote, ever others; files that come late or not at all, starts with old
 // ones.
-Plan changing_kind(std::uint64_t seed) {
-  Plan plan = kind_of(seed);
+Plan voter_change_plan(std::uint64_t seed) {
+  Plan plan = plan_of_kind(seed);
   plan.members = 7;
   plan.voters = 3;
   plan.changes = 1.5;
-  plan.counts = true;
+  plan.raises_counter = true;
   plan.crashes = seed % 2 == 0 ? 1.5 : 0.4;
   plan.lost = 0.05;
   plan.length = 30 * second;
   // An operator who does not wait: members that go on have to see to it that no step is left out.
-  plan.hasty = seed % 4 == 3;
-  if (plan.hasty) {
+  plan.unsettled_changes = seed % 4 == 3;
+  if (plan.unsettled_changes) {
     plan.crashes = 0;
     plan.changes = 0.7;
-    plan.tells = 0.02;
+    plan.list_updates = 0.02;
   }
   return plan;
 }
 
 // For a target that can't fence: acts of 300 ms at the most with the pauses in them, which the next holder
 // waits out; or acts without a pause, which nobody waits out.
-Plan plain_kind(bool waited_out) {
-  Plan plan = kind_of(2);
-  plan.judge_plain = true;
+Plan unfenced_plan(bool waited_out) {
+  Plan plan = plan_of_kind(2);
+  plan.check_unfenced = true;
   plan.pauses = 0;
   plan.cuts = 1;
   plan.drops = 2;
@@ -95,32 +95,32 @@
   return plan;
 }
 // Most voters forget again and again.
-Plan forgetful_kind() {
-  Plan plan = kind_of(2);
+Plan forgetful_plan() {
+  Plan plan = plan_of_kind(2);
   plan.crashes = 4;
   plan.pauses = 0;
   plan.cuts = 0.1;
   return plan;
 }
 
-int troubled(std::uint64_t seeds, bool stop, bool changing = false) {
+int run_faulty(std::uint64_t seeds, bool stop, bool changing = false) {
   Sum all;
   for (std::uint64_t kind = changing ? 33 : 0; kind < 37 && !(stop && !all.first.empty()); ++kind) {
-    const Plan plan = kind < 30    ? kind_of(kind)
-                      : kind == 32 ? forgetful_kind()
-                      : kind > 32  ? changing_kind(kind)
-                                   : plain_kind(kind == 30);
-    const Sum s = many(plan, 1 + kind * seeds, std::max<std::uint64_t>(1, seeds / 30), stop);
-    if (plan.judge_plain) all.at_once += s.at_once;
+    const Plan plan = kind < 30    ? plan_of_kind(kind)
+                      : kind == 32 ? forgetful_plan()
+                      : kind > 32  ? voter_change_plan(kind)
+                                   : unfenced_plan(kind == 30);
+    const Sum s = run_seeds(plan, 1 + kind * seeds, std::max<std::uint64_t>(1, seeds / 30), stop);
+    if (plan.check_unfenced) all.concurrent_acts += s.concurrent_acts;
     if (s.holdings == 0) all.first = "nobody ever holds", ++all.overlaps;
     all.seeds += s.seeds, all.holdings += s.holdings, all.renewals += s.renewals, all.acts += s.acts;
-    all.stale += s.stale, all.overlaps += s.overlaps, all.tokens_back += s.tokens_back;
+    all.stale += s.stale, all.overlaps += s.overlaps, all.non_rising_tokens += s.non_rising_tokens;
     if (all.first.empty() && !s.first.empty()) all.first = "kind " + std::to_string(kind) + ", " + s.first;
   }
   print("troubled", all);
   std::printf("  acts refused by the target that fences: %llu; holdings whose token was not greater: %d\n",
-              static_cast<unsigned long long>(all.stale), all.tokens_back);
-  return all.overlaps + all.tokens_back + all.at_once;
+              static_cast<unsigned long long>(all.stale), all.non_rising_tokens);
+  return all.overlaps + all.non_rising_tokens + all.concurrent_acts;
 }
 
 // One member's orders, printed.
@@ -146,13 +146,13 @@
     std::printf("  held under %llx from %lld to %lld ms\n", static_cast<unsigned long long>(t.raw),
                 static_cast<long long>(from / ms), static_cast<long long>(until / ms));
   }
-  void lost(std::string_view, Token t, LossReason why) override {
+  void lost(std::string_view, Token t, LossReason reason) override {
     std::printf("  lost %llx: %s\n", static_cast<unsigned long long>(t.raw),
-                std::string(to_text(why)).c_str());
+                std::string(to_text(reason)).c_str());
   }
 };
 
-Settings figures(Nanos longest_act = 0) {
+Settings settings(Nanos longest_act = 0) {
   return {{"leases.term", 1e9},
           {"leases.longest_term", 1e9},
           {"leases.drift", 0.01},
@@ -166,9 +166,9 @@
   Printed out;
   const Voters voters(0, MemberId{1}, three, second);
   const Epoch epoch{1};
-  Leases v(0, MemberId{1}, Incarnation{7}, voters, figures(), 1, out);
+  Leases v(0, MemberId{1}, Incarnation{7}, voters, settings(), 1, out);
   const Incarnation a{5}, b{6};
-  const auto say = [](const char* what) { std::printf("# %s\n", what); };
+  const auto say = [](const char* text) { std::printf("# %s\n", text); };
   say("a voter that starts is silent for the longest term, to its last instant");
   v.asked(999'999'999, MemberId{4}, a, epoch, "t", AskNo{1}, Token{0x10004}, second);
   v.asked(second, MemberId{4}, a, epoch, "t", AskNo{2}, Token{0x10004}, second);
@@ -197,9 +197,9 @@
 void holder() {
   Printed out;
   const Voters voters(0, MemberId{9}, three, second);
-  const auto say = [](const char* what) { std::printf("# %s\n", what); };
+  const auto say = [](const char* text) { std::printf("# %s\n", text); };
   const Incarnation me{5};
-  Leases m(0, MemberId{9}, me, voters, figures(100 * ms), 1, out);
+  Leases m(0, MemberId{9}, me, voters, settings(100 * ms), 1, out);
   say("who asks: a majority of one ask makes it a holder, counted from when the ask left, less the drift");
   m.acquire(0, "t");
   m.due(0);
@@ -225,7 +225,7 @@
               static_cast<unsigned long long>(m.begin_act(renew + 5 * ms, "t", ms).raw));
   m.end_act(renew + 6 * ms, "t", token);
   say("a grant that comes when it has ended is none");
-  Leases late(0, MemberId{9}, me, voters, figures(), 1, out);
+  Leases late(0, MemberId{9}, me, voters, settings(), 1, out);
   late.acquire(0, "t");
   late.due(0);
   late.granted(970 * ms, MemberId{1}, me, "t", AskNo{1}, false);
@@ -233,7 +233,7 @@
   say("voters an eighth of a term away and more: asked again before they have answered; told how far, waited "
       "for");
   for (const bool told : {false, true}) {
-    Settings far = figures();
+    Settings far = settings();
     if (told) far["leases.answer"] = 200e6;
     Leases away(0, MemberId{9}, me, voters, far, 1, out);
     away.acquire(0, "t");
@@ -243,7 +243,7 @@
     away.granted(150 * ms, MemberId{2}, me, "t", AskNo{1}, false);
   }
   say("a token that is too small: at once a greater one");
-  Leases small(0, MemberId{9}, me, voters, figures(), 1, out);
+  Leases small(0, MemberId{9}, me, voters, settings(), 1, out);
   small.acquire(0, "t");
   small.due(0);
   small.refused(5 * ms, MemberId{1}, me, "t", AskNo{1}, Token{0x70003}, 0);
@@ -258,30 +258,33 @@
 
 } // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   if (count > 1) {
-    const auto said = [&](const char* word) {
-      return std::any_of(words + 2, words + count,
-                         [&](const char* one) { return std::string_view(one) == word; });
+    const auto has_argument = [&](const char* word) {
+      return std::any_of(arguments + 2, arguments + count,
+                         [&](const char* argument) { return std::string_view(argument) == word; });
     };
-    return troubled(std::strtoull(words[1], nullptr, 10), said("stop"), said("changing")) == 0 ? 0 : 1;
+    return run_faulty(std::strtoull(arguments[1], nullptr, 10), has_argument("stop"),
+                      has_argument("changing")) == 0
+               ? 0
+               : 1;
   }
   voter();
   holder();
   std::printf("# fleets\n");
-  int wrong = troubled(600, false);
+  int violations = run_faulty(600, false);
   Plan calm;
-  calm.crashes = calm.pauses = calm.cuts = calm.drops = calm.late = calm.doubled = 0;
+  calm.crashes = calm.pauses = calm.cuts = calm.drops = calm.late = calm.duplicated = 0;
   calm.longest_in_act = 0;
   calm.lost = 0.05;
   calm.length = 600 * second;
-  const Sum steady = many(calm, 1, 10);
+  const Sum steady = run_seeds(calm, 1, 10);
   print("calm, one message in twenty lost", steady);
   Plan killed = calm;
   killed.members = 7;
   killed.voters = 5;
   killed.kill_every = 6 * second; // by then the one before is back and no longer silent
-  Sum kills = many(killed, 1, 10);
+  Sum kills = run_seeds(killed, 1, 10);
   print("the holder killed every six to nine seconds", kills);
   std::sort(kills.gaps.begin(), kills.gaps.end());
   const Nanos usual = kills.gaps[kills.gaps.size() / 2], rare = kills.gaps[kills.gaps.size() * 99 / 100];
@@ -290,46 +293,46 @@
       kills.gaps.size(), static_cast<double>(usual) / static_cast<double>(killed.term),
       static_cast<double>(rare) / static_cast<double>(killed.term),
       static_cast<double>(kills.gaps.back()) / static_cast<double>(killed.term));
-  wrong += kills.overlaps + (rare > killed.term * 3 / 2);
-  Plan forgetful = kind_of(3);
-  forgetful.hints = false;
-  const Sum forgot = many(forgetful, 1, 60);
+  violations += kills.overlaps + (rare > killed.term * 3 / 2);
+  Plan forgetful = plan_of_kind(3);
+  forgetful.first_token_hint = false;
+  const Sum forgot = run_seeds(forgetful, 1, 60);
   print("no count that rises over starts", forgot);
   std::printf("  holdings whose token was not greater: %d; acts refused by the target that fences: %llu\n",
-              forgot.tokens_back, static_cast<unsigned long long>(forgot.stale));
+              forgot.non_rising_tokens, static_cast<unsigned long long>(forgot.stale));
   Plan back;
-  back.quiet_after = 15 * second;
+  back.faults_until = 15 * second;
   back.length = 30 * second;
-  const Sum again = many(back, 1, 100);
+  const Sum again = run_seeds(back, 1, 100);
   print("troubles that end", again);
   std::printf("  longest without a holder, once all faults are over for six terms: %lld ms\n",
               static_cast<long long>(again.longest_gap / ms));
-  Plan changed = changing_kind(33);
-  changed.quiet_after = 15 * second;
-  const Sum changes = many(changed, 1, 100);
+  Plan changed = voter_change_plan(33);
+  changed.faults_until = 15 * second;
+  const Sum changes = run_seeds(changed, 1, 100);
   print("voters that change, and troubles that end", changes);
   std::printf("  lists that came into use alone: %llu\n", static_cast<unsigned long long>(changes.changes));
   std::printf("  longest without a holder, once all faults are over for six terms: %lld ms\n",
               static_cast<long long>(changes.longest_gap / ms));
-  Plan plain = plain_kind(true);
-  const Sum waited = many(plain, 1, 60);
+  Plan unfenced = unfenced_plan(true);
+  const Sum waited = run_seeds(unfenced, 1, 60);
   print("a target that can't fence, acts of 300 ms with their pauses, waited out", waited);
-  plain.lock_delay = 0;
-  plain.longest_in_act = 2 * second;
-  const Sum unwaited = many(plain, 1, 60);
+  unfenced.lock_delay = 0;
+  unfenced.longest_in_act = 2 * second;
+  const Sum unwaited = run_seeds(unfenced, 1, 60);
   print("the same not waited out, and longer pauses", unwaited);
-  std::printf("  acts at once: %d waited out, %s not\n", waited.at_once,
-              unwaited.at_once > 0 ? "some" : "NONE");
-  wrong += waited.at_once + (unwaited.at_once == 0);
+  std::printf("  acts at once: %d waited out, %s not\n", waited.concurrent_acts,
+              unwaited.concurrent_acts > 0 ? "some" : "NONE");
+  violations += waited.concurrent_acts + (unwaited.concurrent_acts == 0);
   Plan fair = calm;
   fair.most_terms = 3;
   fair.length = 60 * second;
-  print("turns of three terms", many(fair, 1, 10));
-  Plan broken = kind_of(2);
+  print("turns of three terms", run_seeds(fair, 1, 10));
+  Plan broken = plan_of_kind(2);
   broken.clocks_off = 8; // eight times the bound: the argument does not hold, and the referee has to see it
-  const Sum seen = many(broken, 1, 60);
+  const Sum seen = run_seeds(broken, 1, 60);
   print("clocks eight times beyond the bound", seen);
-  wrong += steady.overlaps + again.overlaps + changes.overlaps + (seen.overlaps == 0);
-  std::puts(wrong == 0 ? "no two at once within the bound, and seen beyond it" : "WRONG");
-  return wrong == 0 ? 0 : 1;
+  violations += steady.overlaps + again.overlaps + changes.overlaps + (seen.overlaps == 0);
+  std::puts(violations == 0 ? "no two at once within the bound, and seen beyond it" : "WRONG");
+  return violations == 0 ? 0 : 1;
 }
--- a/tests/tasks.cpp
+++ b/tests/tasks.cpp
@@ -14,51 +14,53 @@
 
 constexpr Nanos ms = 1'000'000;
 constexpr Nanos second = 1000 * ms;
-void say(const char* what) { std::printf("# %s\n", what); }
+void say(const char* text) { std::printf("# %s\n", text); }
 
 // A member that is the one voter: what it asks itself is heard at the end of each step.
 struct Driver final : LeaseActions, TaskActions {
   Nanos now = 0;
-  std::deque<std::function<void()>> own;
-  bool deaf = false; // its asks get lost
+  std::deque<std::function<void()>> pending_messages;
+  bool asks_lost = false; // its asks get lost
   Voters voters{0, MemberId{1}, {Epoch{1}, {MemberId{1}}, {}}, second};
   Leases leases;
   std::unique_ptr<Tasks> tasks;
-  std::map<std::uint32_t, Token> under_way;
+  std::map<std::uint32_t, Token> running;
 
-  explicit Driver(const Settings& of_tasks)
+  explicit Driver(const Settings& task_settings)
       : leases(0, MemberId{1}, Incarnation{7}, voters,
                {{"leases.term", 1e9},
                 {"leases.longest_term", 1e9},
                 {"leases.drift", 0.01},
                 {"leases.most", 16.0}},
                1, *this) {
-    tasks = std::make_unique<Tasks>(0, of_tasks, leases, *this);
+    tasks = std::make_unique<Tasks>(0, task_settings, leases, *this);
   }
   void ask(MemberId, Epoch epoch, std::string_view l, AskNo n, Token t, Nanos term) override {
-    if (deaf) return;
-    own.push_back([this, epoch, l = std::string(l), n, t, term] {
+    if (asks_lost) return;
+    pending_messages.push_back([this, epoch, l = std::string(l), n, t, term] {
       leases.asked(now, MemberId{1}, Incarnation{7}, epoch, l, n, t, term);
     });
   }
   void release(MemberId, std::string_view l, AskNo n) override {
-    own.push_back([this, l = std::string(l), n] { leases.released(now, MemberId{1}, Incarnation{7}, l, n); });
+    pending_messages.push_back(
+        [this, l = std::string(l), n] { leases.released(now, MemberId{1}, Incarnation{7}, l, n); });
   }
   void grant(MemberId, Incarnation of, std::string_view l, AskNo n, bool w) override {
-    own.push_back([this, of, l = std::string(l), n, w] { leases.granted(now, MemberId{1}, of, l, n, w); });
+    pending_messages.push_back(
+        [this, of, l = std::string(l), n, w] { leases.granted(now, MemberId{1}, of, l, n, w); });
   }
   void refuse(MemberId, Incarnation of, std::string_view l, AskNo n, Token seen, Nanos left) override {
-    own.push_back([this, of, l = std::string(l), n, seen, left] {
+    pending_messages.push_back([this, of, l = std::string(l), n, seen, left] {
       leases.refused(now, MemberId{1}, of, l, n, seen, left);
     });
   }
   void held(std::string_view l, Token, Nanos from, Nanos) override { tasks->held(l, from); }
-  void lost(std::string_view l, Token, LossReason why) override {
-    std::printf("  %6lld %s lost: %s\n", at(), std::string(l).c_str(), std::string(to_text(why)).c_str());
+  void lost(std::string_view l, Token, LossReason reason) override {
+    std::printf("  %6lld %s lost: %s\n", at(), std::string(l).c_str(), std::string(to_text(reason)).c_str());
     tasks->lost(l);
   }
   void begin(TaskId t, Token token, Nanos limit) override {
-    under_way[t.raw] = token;
+    running[t.raw] = token;
     std::printf("  %6lld begin %s, within %lld ms\n", at(), tasks->name(t).c_str(),
                 static_cast<long long>(limit / ms));
   }
@@ -73,15 +75,15 @@
   void step() {
     leases.due(now);
     tasks->due(now);
-    while (!own.empty()) {
-      const auto what = std::move(own.front());
-      own.pop_front();
-      what();
+    while (!pending_messages.empty()) {
+      const auto action = std::move(pending_messages.front());
+      pending_messages.pop_front();
+      action();
       leases.due(now);
       tasks->due(now);
     }
   }
-  void to(Nanos time) {
+  void run_until(Nanos time) {
     for (;;) {
       Nanos next = leases.next_wake();
       if (const Nanos other = tasks->next_wake(); other >= 0) next = std::min(next, other);
@@ -92,23 +94,23 @@
     now = time * ms;
     step();
   }
-  void end(std::uint32_t t, TaskOutcome end, Token seen = {}) {
-    const Token token = under_way[t];
-    under_way.erase(t);
-    tasks->ended(now, TaskId{t}, token, end, seen);
+  void finish(std::uint32_t t, TaskOutcome outcome, Token seen = {}) {
+    const Token token = running[t];
+    running.erase(t);
+    tasks->ended(now, TaskId{t}, token, outcome, seen);
     step();
   }
 };
 
 Settings task(int n, const char* name, Nanos every, Nanos limit, Settings more = {}) {
   const std::string at = "task." + std::to_string(n) + ".";
-  Settings given{{at + "name", std::string(name)},
-                 {at + "every", static_cast<double>(every * ms)},
-                 {at + "limit", static_cast<double>(limit * ms)}};
-  for (const auto& [key, value] : more) given[at + key] = value;
-  return given;
+  Settings settings{{at + "name", std::string(name)},
+                    {at + "every", static_cast<double>(every * ms)},
+                    {at + "limit", static_cast<double>(limit * ms)}};
+  for (const auto& [key, value] : more) settings[at + key] = value;
+  return settings;
 }
-Settings with(Settings a, const Settings& b) {
+Settings merged(Settings a, const Settings& b) {
   a.insert(b.begin(), b.end());
   return a;
 }
@@ -118,50 +120,50 @@
     say("done once a period by who holds it; not begun while it is under way, or where it would not end in "
         "time");
     Driver s(task(0, "sweep", 400, 300));
-    s.to(1100); // a voter that starts is silent for a term
-    s.to(1250);
-    s.end(0, TaskOutcome::done);
-    s.to(1600);
-    s.end(0, TaskOutcome::done);
-    s.deaf = true; // no renewal from here on
-    s.to(3000);
+    s.run_until(1100); // a voter that starts is silent for a term
+    s.run_until(1250);
+    s.finish(0, TaskOutcome::done);
+    s.run_until(1600);
+    s.finish(0, TaskOutcome::done);
+    s.asks_lost = true; // no renewal from here on
+    s.run_until(3000);
   }
   {
     say("most important first, so many at once");
-    Settings all = with(
-        task(0, "low", 200, 50, {{"priority", 1.0}}),
-        with(task(1, "high", 200, 50, {{"priority", 9.0}}), task(2, "middle", 200, 50, {{"priority", 5.0}})));
+    Settings all = merged(task(0, "low", 200, 50, {{"priority", 1.0}}),
+                          merged(task(1, "high", 200, 50, {{"priority", 9.0}}),
+                                 task(2, "middle", 200, 50, {{"priority", 5.0}})));
     all["tasks.at_once"] = 2.0;
     Driver s(all);
-    s.to(1150);
-    s.end(1, TaskOutcome::done);
-    s.to(1160);
-    s.end(2, TaskOutcome::failed);
-    s.end(0, TaskOutcome::done);
+    s.run_until(1150);
+    s.finish(1, TaskOutcome::done);
+    s.run_until(1160);
+    s.finish(2, TaskOutcome::failed);
+    s.finish(0, TaskOutcome::done);
   }
   {
     say("equals, one at once: each in its turn");
-    Settings all = with(task(0, "a", 100, 50), with(task(1, "b", 100, 50), task(2, "c", 100, 50)));
+    Settings all = merged(task(0, "a", 100, 50), merged(task(1, "b", 100, 50), task(2, "c", 100, 50)));
     all["tasks.at_once"] = 1.0;
     Driver s(all);
-    s.to(1150);
+    s.run_until(1150);
     for (int n = 0; n < 5; ++n) {
-      s.to(s.now / ms + 120);
-      s.end(s.under_way.begin()->first, TaskOutcome::done);
+      s.run_until(s.now / ms + 120);
+      s.finish(s.running.begin()->first, TaskOutcome::done);
     }
   }
   {
     say("three failures in a row: it is let go, each time for longer, so that another may try");
     Driver s(task(0, "sweep", 100, 50));
-    s.to(1150);
+    s.run_until(1150);
     for (int n = 0; n < 7; ++n) {
-      s.end(0, n % 2 ? TaskOutcome::failed : TaskOutcome::unknown);
-      while (!s.under_way.contains(0)) s.to(s.now / ms + 10);
+      s.finish(0, n % 2 ? TaskOutcome::failed : TaskOutcome::unknown);
+      while (!s.running.contains(0)) s.run_until(s.now / ms + 10);
     }
     say("the target knows a greater token: let go, and held again under one above it");
-    s.end(0, TaskOutcome::refused, Token{0x5000000});
-    while (!s.under_way.contains(0)) s.to(s.now / ms + 10);
-    std::printf("  under %llx\n", static_cast<unsigned long long>(s.under_way[0].raw));
+    s.finish(0, TaskOutcome::refused, Token{0x5000000});
+    while (!s.running.contains(0)) s.run_until(s.now / ms + 10);
+    std::printf("  under %llx\n", static_cast<unsigned long long>(s.running[0].raw));
   }
   {
     say("done by another meanwhile: its period counts from then; an earlier holder's word, late, changes "
@@ -171,46 +173,46 @@
     s.tasks->completed_elsewhere(s.now, "sweep", Token{9}, 100 * ms);
     s.tasks->completed_elsewhere(s.now, "sweep", Token{8}, 0);
     s.tasks->completed_elsewhere(s.now, "unknown", Token{8}, 0);
-    s.to(1300);
+    s.run_until(1300);
     std::printf("  next at %lld\n", static_cast<long long>(s.tasks->status()[0].next / ms));
   }
   for (const double catch_up : {0.0, 1.0}) {
     say(catch_up > 0 ? "missed periods are caught up with" : "missed periods are left out");
     Driver s(task(0, "sweep", 200, 50, {{"catch_up", catch_up}}));
-    s.to(1105);
+    s.run_until(1105);
     for (int n = 0; n < 3; ++n) {
-      s.to(s.now / ms + 20);
-      if (s.under_way.contains(0)) s.end(0, TaskOutcome::done);
+      s.run_until(s.now / ms + 20);
+      if (s.running.contains(0)) s.finish(0, TaskOutcome::done);
     }
-    const Tasks::Status stands = s.tasks->status()[0];
-    std::printf("  done %llu, left out %llu, next at %lld\n", static_cast<unsigned long long>(stands.done),
-                static_cast<unsigned long long>(stands.missed), static_cast<long long>(stands.next / ms));
+    const Tasks::Status status = s.tasks->status()[0];
+    std::printf("  done %llu, left out %llu, next at %lld\n", static_cast<unsigned long long>(status.done),
+                static_cast<unsigned long long>(status.missed), static_cast<long long>(status.next / ms));
   }
   {
     say("sixteen an hour at the most: two at once, then one each 225 s");
     Driver s(task(0, "sweep", 1000, 50, {{"most_an_hour", 16.0}}));
-    s.to(1050);
+    s.run_until(1050);
     for (int n = 0; n < 4; ++n) {
-      s.end(0, TaskOutcome::done);
-      while (!s.under_way.contains(0)) s.to(s.now / ms + 100);
+      s.finish(0, TaskOutcome::done);
+      while (!s.running.contains(0)) s.run_until(s.now / ms + 100);
     }
   }
   {
     say("leaving while one is under way: its lease is given up when it has ended, and none begins");
-    Driver s(with(task(0, "sweep", 200, 100), task(1, "other", 200, 100)));
-    s.to(1150);
-    s.end(1, TaskOutcome::done);
+    Driver s(merged(task(0, "sweep", 200, 100), task(1, "other", 200, 100)));
+    s.run_until(1150);
+    s.finish(1, TaskOutcome::done);
     s.tasks->leave(s.now);
     s.leases.leave(s.now);
-    s.to(1200);
-    s.end(0, TaskOutcome::done);
-    s.to(2000);
+    s.run_until(1200);
+    s.finish(0, TaskOutcome::done);
+    s.run_until(2000);
     std::printf("  still wanted: %zu\n", s.leases.status().size());
   }
   say("senseless settings");
   for (const Settings& bad :
        {task(0, "a", 100, 200), task(0, "a", 0, 0), task(0, "a", 100, 50, {{"most_an_hour", -1.0}}),
-        with(task(0, "a", 100, 50), {{"tasks.at_once", 0.0}})})
+        merged(task(0, "a", 100, 50), {{"tasks.at_once", 0.0}})})
     try {
       Driver s(bad);
       std::printf("  taken\n");
@@ -225,7 +227,7 @@
   say("two clocks, one of them wrong: over ten seconds, what who holds and who granted count");
   struct Case {
     const char* what;
-    std::function<Nanos(Nanos)> wrong;
+    std::function<Nanos(Nanos)> wrong_clock;
   };
   const Case cases[] = {
       {"both right", [](Nanos t) { return t; }},
@@ -237,26 +239,26 @@
       {"one goes back and on again",
        [](Nanos t) { return t < 4 * second || t > 6 * second ? t : t - second; }},
   };
-  for (const Case& one : cases)
+  for (const Case& clock_case : cases)
     for (const bool first : {true, false}) {
       LeaseClock clock(100 * second, 100 * second);
       const Nanos early0 = clock.early(), late0 = clock.late();
-      Nanos apart = 0, before_early = early0, before_late = late0;
-      bool back = false, early_short = false, late_long = false;
+      Nanos max_divergence = 0, before_early = early0, before_late = late0;
+      bool went_back = false, holder_too_slow = false, voter_too_fast = false;
       for (Nanos t = 0; t <= 10 * second; t += 7 * ms) {
-        const Nanos wrong = 100 * second + one.wrong(t), right = 100 * second + t;
-        clock.take(first ? wrong : right, first ? right : wrong);
-        back = back || clock.early() < before_early || clock.late() < before_late;
+        const Nanos wrong_clock = 100 * second + clock_case.wrong_clock(t), right = 100 * second + t;
+        clock.take(first ? wrong_clock : right, first ? right : wrong_clock);
+        went_back = went_back || clock.early() < before_early || clock.late() < before_late;
         before_early = clock.early(), before_late = clock.late();
-        early_short = early_short || clock.early() - early0 < t;
-        late_long = late_long || clock.late() - late0 > t;
-        apart = std::max(apart, clock.divergence());
+        holder_too_slow = holder_too_slow || clock.early() - early0 < t;
+        voter_too_fast = voter_too_fast || clock.late() - late0 > t;
+        max_divergence = std::max(max_divergence, clock.divergence());
       }
-      std::printf("  %s (%s): %lld ms, %lld ms%s%s%s%s\n", one.what, first ? "first" : "second",
+      std::printf("  %s (%s): %lld ms, %lld ms%s%s%s%s\n", clock_case.what, first ? "first" : "second",
                   static_cast<long long>((clock.early() - early0) / ms),
                   static_cast<long long>((clock.late() - late0) / ms),
-                  apart > 20 * ms ? ", seen to differ" : "", back ? ", WENT BACK" : "",
-                  early_short ? ", HOLDS TOO LONG" : "", late_long ? ", LETS GO TOO SOON" : "");
+                  max_divergence > 20 * ms ? ", seen to differ" : "", went_back ? ", WENT BACK" : "",
+                  holder_too_slow ? ", HOLDS TOO LONG" : "", voter_too_fast ? ", LETS GO TOO SOON" : "");
     }
 }
 
