--- a/core/core.cpp
+++ b/core/core.cpp
@@ -13,15 +13,16 @@
 constexpr Nanos ms = 1'000'000;
 constexpr Nanos second = 1000 * ms;
 
-// Bounds on what is kept, as parts of the memory told. None is met in ordinary service.
+// Limits on retained state, relative to the configured memory. Ordinary service does not reach them.
 constexpr std::size_t mb = 1024 * 1024;
-constexpr std::size_t results_memory_divisor = 8; // of the memory, for results kept for repeats
-constexpr std::size_t max_ops_per_mb = 48;        // of 2 KB and their records: a sixth of the memory
-constexpr std::size_t max_keys_per_mb = 128;      // entries without their results: a twentieth
+constexpr std::size_t results_memory_divisor = 8; // an eighth of the memory for results kept for retries
+constexpr std::size_t max_ops_per_mb = 48;        // at 2 KB an op plus bookkeeping: a sixth of the memory
+constexpr std::size_t max_keys_per_mb = 128;      // entries without their results: a twentieth of the memory
 
-constexpr Nanos key_window_slack =
-    100 * ms; // the protocol's time limits are 50 ms longer, and its times whole ms
-constexpr Nanos max_read_delay = 3600 * second; // of an op before it was read: older is a wrong clock
+// The protocol's time limits are 50 ms longer and its times are rounded to ms.
+constexpr Nanos key_window_slack = 100 * ms;
+// A longer delay between receipt and reading indicates a wrong clock.
+constexpr Nanos max_read_delay = 3600 * second;
 
 std::size_t memory_share(const Settings& settings, std::size_t per_mb, std::size_t divisor) {
   return static_cast<std::size_t>(number(settings, "memory_mb", 0)) * per_mb / divisor;
@@ -57,7 +58,7 @@
       new DecisionModule(now, seed_half("seed_high") << 32 | seed_half("seed_low"), settings, *this));
 }
 
-// ---- the end and the middle of a turn
+// ---- turns
 
 bool Core::anything_due(Nanos now) const {
   return (!wakes_.empty() && wakes_.top().first <= now) ||
@@ -84,7 +85,7 @@
   module_->drain(now, shutdown_timeout_);
 }
 
-// What was learnt of the capacity is kept; ops that stand here count in no pool any more.
+// The capacity estimate carries over; ops that are already open no longer count in any pool.
 void Core::set_pools(Nanos now, const Settings& pools) {
   now_ = now;
   Settings settings = settings_;
@@ -112,7 +113,8 @@
 void Core::mark_answered(OpId id, Op& op) {
   op.answered = true;
   op.answered_at = now_;
-  if (pools_) pools_->answered(now_, id, false); // a nack was told before
+  if (pools_)
+    pools_->answered(now_, id, false); // a nack has been reported before and this call then changes nothing
   if (const auto at = open_streams_.find(op.stream_ref.connection); at != open_streams_.end()) {
     at->second.erase(op.stream_ref.stream);
     if (at->second.empty()) open_streams_.erase(at);
@@ -143,15 +145,15 @@
     key = Key{type, std::string(mark), body_digest};
   else if (shared)
     key = Key{type, std::string(subject), {}};
-  // Sent again under its own number after it has ended: it has run, and is answered from what is kept.
+  // A resend under the same id after the op has ended: it has run and is answered from the kept result.
   if (const auto at = key ? keys_.find(*key) : keys_.end();
       at != keys_.end() && at->second.holder == id && !ops_.contains(id)) {
     if (at->second.state == KeyEntry::State::done) return actions_.served(stream_ref, id, at->second.result);
     if (at->second.state == KeyEntry::State::failed)
       return actions_.failed(stream_ref, id, Reason::first_failed);
   }
-  // Against filling the memory, and against a number that comes twice: also after its op has ended, as what
-  // is kept of that is known by its number, and whoever came under it would be taken for it.
+  // Bounds memory, and rejects an id that is already in use. That includes ids of ended ops: kept results
+  // refer to them by id, so another op with the same id would be taken for that one.
   const bool duplicate_id = ops_.contains(id) || holders_.contains(id);
   const bool keys_full = keyed && keys_.size() >= max_keys_;
   if (duplicate_id || ops_.size() >= max_ops_ || keys_full) {
@@ -170,7 +172,7 @@
   const OpId earlier = key ? find_earlier_try(*key, keyed, received_at) : no_op_id;
   double worth = 1;
   if (pools_) {
-    // Tries of one op have the same body and rank; other ops hardly ever have both.
+    // Tries of one op have the same body and rank; different ops rarely share both.
     const Digest fingerprint{body_digest.high ^ type.raw,
                              body_digest.low ^ std::bit_cast<std::uint64_t>(rank)};
     const Pools::Admission admission =
@@ -181,7 +183,7 @@
   }
   received_at = std::min(received_at, now);
   Nanos waited = std::min(now - received_at, max_read_delay);
-  if (limit > 0) waited = std::min(waited, limit - 1); // patience is told as at least something
+  if (limit > 0) waited = std::min(waited, limit - 1); // the module receives a positive remaining time
   Op& op = ops_[id];
   op.stream_ref = stream_ref;
   op.type = type;
@@ -189,7 +191,8 @@
   op.received_at = received_at;
   op.key = std::move(key);
   open_streams_[stream_ref.connection][stream_ref.stream] = id;
-  const KeyId read_key = subject.empty() ? no_key_id : KeyId{0}; // the module asks only whether there is one
+  const KeyId read_key =
+      subject.empty() ? no_key_id : KeyId{0}; // the module only tests whether there is a key
   module_->op_read(now, id, type, tenant, read_key, caller, limit > 0 ? limit - waited : 0, waited, 0,
                    held_kb, rank, false, earlier, worth);
 }
@@ -201,7 +204,7 @@
   const auto op_at = at->second.find(stream_ref.stream);
   if (op_at == at->second.end()) return;
   const OpId id = op_at->second;
-  module_->op_cancelled(now, id); // first: what it orders for this op still finds it
+  module_->op_cancelled(now, id); // first: actions that the module requests for this op must still find it
   if (Op* op = find_unanswered(id)) mark_answered(id, *op);
 }
 
@@ -261,15 +264,16 @@
   link_up_ = false;
 }
 
-// The link is new, and all that ended before is known. What was never sent goes now. Of what was sent and may
-// not have been read, only what may run twice is sent again: a run may end at this moment.
+// The link is new, and the end of every run that ended before is known. Starts that were never sent are sent
+// now. Of those that were sent but may not have been read, only ops that may safely run twice are sent again,
+// because the first run may be ending at this moment.
 void Core::link_up(Nanos now, StartNo last_read) {
   now_ = now;
   link_up_ = true;
   std::vector<OpId> never_sent;
   for (auto& [id, op] : ops_) {
     if (op.run == Op::Run::pending && op.answered)
-      never_sent.push_back(id); // was never begun, and never will be
+      never_sent.push_back(id); // was never started and will not be
     else if (op.run == Op::Run::pending ||
              (op.run == Op::Run::sent && !op.run_observed && op.last_start > last_read &&
               retry_classes_[op.type.raw] == RetryClass::retryable))
@@ -286,9 +290,9 @@
 
 bool Core::orphan_query_due() const { return link_up_ && now_ - orphans_checked_at_ >= orphan_query_delay_; }
 
-// Against a run counted for ever because its start or its end got lost: once its op was answered a while ago,
-// it is started again. That begins nothing, the op being over, but tells how the run stands if it is over
-// too.
+// Prevents a run from being counted for ever because its start or its end notice was lost. Some time after
+// the op was answered, the start is sent again. This does not start a run, since the op is over, but makes
+// the interpreter report the run's state if that is over too.
 void Core::query_orphans() {
   if (!orphan_query_due()) return;
   orphans_checked_at_ = now_;
@@ -307,7 +311,8 @@
   op.at_call = false;
   if (std::exchange(op.call_in_flight, false)) actions_.cancel_call(id);
   if (pools_) pools_->run_finished(now, id);
-  // That nothing was started is sure only of what was sent once at the most, or the first may have been read.
+  // Only with at most one start sent is it certain that nothing was started; otherwise the first may have
+  // been read.
   const bool original_not_started = outcome == Outcome::moot && !op.run_observed && op.starts <= 1;
   if (KeyEntry* entry = find_entry(id); entry && entry->executed == id) {
     const bool done = outcome == Outcome::done;
@@ -330,7 +335,7 @@
 
 void Core::start_refused(Nanos now, OpId id) {
   now_ = now;
-  // A start that was none: nothing was begun, and nothing else will be heard of it.
+  // The start was refused: nothing was started, and no other event follows for it.
   if (const auto at = ops_.find(id);
       at != ops_.end() && !at->second.run_observed && at->second.run == Op::Run::sent) {
     actions_.penalize(at->second.stream_ref);
@@ -385,7 +390,7 @@
   module_->call_ended(now, id, outcome, now - op.called_at);
 }
 
-// ---- keys, repeats and results
+// ---- keys, retries and results
 
 Core::KeyEntry* Core::find_entry(OpId id) {
   const auto op = ops_.find(id);
@@ -394,8 +399,9 @@
   return at == keys_.end() ? nullptr : &at->second;
 }
 
-// Against a stranger's op with the mark of a good one: what a run has proven good keeps its mark to itself.
-// While nothing is proven both stand, each with its own body, and the interpreter tells which it knows.
+// Protects an op's mark against another caller's op with the same mark: once the interpreter has confirmed
+// one of them, no other body is accepted under the mark. Until then both are kept, each under its own body
+// digest, and the interpreter decides which one it knows.
 bool Core::conflicts_with_confirmed(const Key& key) const {
   const Key first{key.type, key.value, {}};
   for (auto at = keys_.lower_bound(first);
@@ -408,7 +414,7 @@
   const auto at = keys_.find(key);
   if (at == keys_.end()) return no_op_id;
   const KeyEntry& entry = at->second;
-  // A holder that is gone without a run leaves nothing to repeat.
+  // If the holder is gone without having run, there is no result to repeat.
   if (entry.state == KeyEntry::State::held && !ops_.contains(entry.holder)) return no_op_id;
   if (keyed) return received_at <= entry.repeats_until + key_window_slack ? entry.holder : no_op_id;
   if (now_ > entry.repeats_until || entry.state == KeyEntry::State::failed) return no_op_id;
@@ -423,7 +429,8 @@
   KeyEntry& entry = at->second;
   if (!inserted) key_expiries_.erase(entry.end);
   if (entry.state == KeyEntry::State::done || entry.state == KeyEntry::State::failed) {
-    finish_entry(entry, KeyEntry::State::held, {}); // its time is over: nothing of the run before is left
+    // The entry has expired: the previous run's result is discarded.
+    finish_entry(entry, KeyEntry::State::held, {});
     entry.executed = no_op_id;
   }
   holders_.erase(entry.holder);
@@ -439,7 +446,7 @@
   drop_unstarted(*entry);
 }
 
-// Against failing those that wait for a run that never was: they are taken as new.
+// The run never happened: retries that wait for it are treated as new ops instead of failing.
 void Core::drop_unstarted(KeyEntry& entry) {
   for (const OpId id : entry.waiting)
     if (Op* op = find_unanswered(id)) op->original_not_started = true;
@@ -448,7 +455,7 @@
   erase(key);
 }
 
-// The one place where an entry is given back, with its result.
+// The only place that removes an entry and releases its result.
 void Core::erase(const Key& key) {
   const auto at = keys_.find(key);
   result_bytes_ -= at->second.result.size;
@@ -459,7 +466,7 @@
 
 void Core::finish_entry(KeyEntry& entry, KeyEntry::State state, Content result) {
   result_bytes_ -= entry.result.size;
-  // Against filling the memory: what has no room is answered as failed, and not run again.
+  // Bounds memory: a result that does not fit is answered as failed, and the op is not run again.
   if (result_bytes_ + result.size > max_result_bytes_) {
     actions_.note("results", "no room to keep one");
     state = KeyEntry::State::failed;
@@ -519,12 +526,12 @@
       erase(key);
       continue;
     }
-    key_expiries_.erase(entry.end); // its run goes on beyond its time: it is looked at again
+    key_expiries_.erase(entry.end); // the run outlasts the entry's lifetime: check again later
     entry.end = key_expiries_.emplace(now_ + max_op_timeout_, key);
   }
 }
 
-// ---- the rest of what the module orders
+// ---- other actions of the decision module
 
 void Core::health(bool good, bool) { actions_.health(good); }
 void Core::notify_callers(double value) { actions_.notify_callers(value); }
@@ -542,7 +549,7 @@
 }
 void Core::stop_accepting() { actions_.stop_accepting(); }
 
-// ---- what is remembered
+// ---- serialization
 
 template <class Serializer>
 void Core::serialize_op(Serializer& serializer, Op& op) {
@@ -577,7 +584,7 @@
       serialize_op(serializer, op);
       if (!op.answered) open_streams_[op.stream_ref.connection][op.stream_ref.stream] = id;
     }
-    for (; keys > 0; --keys) { // in the order of their ends: those of one time keep their order
+    for (; keys > 0; --keys) { // in order of expiry; entries with equal times keep their order
       Nanos end = 0;
       Key key;
       serializer(end, key);
--- a/core/core.hpp
+++ b/core/core.hpp
@@ -1,12 +1,14 @@
-// The state machine of a server: the ops that are open, the kept keys and results, repeats that wait,
-// wake-ups, starts that may not have been read. It stands between the decisions (src/decision_module.hpp),
-// whose orders it carries on, and whoever drives it. No I/O, no clock, no chance but the module's: the same
-// events with the same times give the same orders, in the same order, on every machine and at every level of
-// optimisation. What that rests on: every walk is over an ordered container whose order is that of ids, names
-// or times (never of addresses), nothing is hashed here, and fractions are added in one order.
+// The state machine of a server. It tracks open ops, idempotency keys and kept results, retries that wait for
+// their original, timers, and start commands that the interpreter may not have read. It carries out the
+// decisions of the decision module (src/decision_module.hpp) and is driven through `Events`.
 //
-// Errors: throws std::invalid_argument, at the start and from `set_pools` only, with the name of a setting
-// that is missing or senseless.
+// It does no I/O, reads no clock and has no randomness except the module's seeded generator: the same events
+// with the same times produce the same actions in the same order on every machine and at every optimisation
+// level. This holds because every iteration is over a container ordered by ids, names or times (never by
+// addresses), no hash container is used, and floating-point sums are formed in a fixed order.
+//
+// Errors: the constructor and `set_pools` throw std::invalid_argument naming a setting that is missing or
+// invalid; `serialize` throws it for an invalid snapshot. Events throw nothing else.
 #pragma once
 
 #include "interface.hpp"
@@ -22,6 +24,7 @@
 
 namespace cometshift {
 
+// The state machine of one server.
 class Core final : public Events, Server {
  public:
   Core(Nanos now, const Settings& settings, Actions& actions);
@@ -43,22 +46,23 @@
   void drain(Nanos now) override;
   void set_pools(Nanos now, const Settings& pools) override;
 
-  bool anything_due(Nanos now) const; // else `due` changes nothing
+  bool anything_due(Nanos now) const; // if false, `due` changes nothing
   bool has_repeats_to_answer() const { return !repeats_to_answer_.empty(); }
   Nanos next_wake() const { return wakes_.empty() ? -1 : wakes_.top().first; } // -1: none
   bool draining() const { return draining_; }
-  bool all_answered() const;
+  bool all_answered() const; // no op waits for its answer
 
   bool explain(Nanos now, OpId id, DecisionInputs& into) const { return module_->explain(now, id, into); }
-  const Pools* pools() const { return pools_.get(); }    // null: none are set
-  const Settings& settings() const { return settings_; } // the settings, with the pools as they are now
-  // As DecisionModule::serialize, with all that the core remembers beside it.
+  const Pools* pools() const { return pools_.get(); }    // null: pools are off
+  const Settings& settings() const { return settings_; } // with the current pool settings
+  // As DecisionModule::serialize, together with the state of the core itself.
   template <class Serializer>
   void serialize(Serializer& serializer);
 
  private:
-  // Under what repeats are known: the op type, the mark or the subject, and of a mark the body's digest, as
-  // others may bring the same mark with another body. Those of one mark stand together.
+  // Identifies retries of the same op: the op type and the mark (keyed ops) or the subject (retryable ops).
+  // For a mark the digest of the body belongs to the key, because another caller may send the same mark with
+  // another body. Keys with the same mark are adjacent in the order.
   struct Key {
     OpTypeId type;
     std::string value;
@@ -71,17 +75,17 @@
       serializer(body.high, body.low);
     }
   };
-  // What is remembered under a key: which try holds it, which ran, and what came of that.
+  // The state kept under a key: the try that holds it, the try that was executed, and the outcome.
   struct KeyEntry {
     OpId holder;
     OpId executed = no_op_id;
-    Nanos repeats_until = 0; // of arrival of repeats
-    Nanos ended_at = 0;      // of the run
+    Nanos repeats_until = 0; // retries received until then are answered from this entry
+    Nanos ended_at = 0;      // end of the run
     enum class State { held, running, done, failed } state = State::held;
-    bool confirmed = false; // the interpreter knows it: its run was heard of
+    bool confirmed = false; // the interpreter has reported something about its run
     Content result;
-    std::vector<OpId> waiting;                    // ops to be answered with the result
-    std::multimap<Nanos, Key>::iterator end = {}; // when to look whether this is over
+    std::vector<OpId> waiting;                    // retries to be answered with the result
+    std::multimap<Nanos, Key>::iterator end = {}; // when the entry expires
   };
   struct Op {
     StreamRef stream_ref;
@@ -92,19 +96,19 @@
     bool answered = false;
     bool reusing = false;
     enum class Run { none, pending, sent, finished } run = Run::none;
-    StartNo last_start{};              // the last that was sent for it
-    bool original_not_started = false; // of an op that waits: what it repeats was not
-    int starts = 0;                    // sent
-    bool run_observed = false;         // the run has been heard of
+    StartNo last_start{};              // the last start sent for this op
+    bool original_not_started = false; // of a waiting retry: the op that it repeats was never started
+    int starts = 0;                    // start commands sent
+    bool run_observed = false;         // the interpreter has reported something about the run
     bool at_call = false;
-    bool call_in_flight = false;  // its call is in hand
-    Content call_body;            // what the run wants to ask below
-    std::optional<Content> reply; // to its call, kept while the link is down
+    bool call_in_flight = false;  // its outgoing call has not ended
+    Content call_body;            // request body of the run's call to the service below
+    std::optional<Content> reply; // reply to the call, kept while the link is down
     Nanos called_at = 0;
     Nanos answered_at = 0;
   };
 
-  // The module's orders.
+  // Actions requested by the decision module (`Server`).
   void run(OpId op) override;
   void nack(OpId op, Reason reason, bool no_retry, Nanos retry_after) override;
   void fail(OpId op, Reason reason) override;
@@ -124,10 +128,10 @@
   void stop_accepting() override;
 
   void send_run(OpId id, Op& op);
-  Op* find_unanswered(OpId id); // null if it is answered already
+  Op* find_unanswered(OpId id); // null if unknown or already answered
   void mark_answered(OpId id, Op& op);
-  void erase_if_finished(OpId id); // forgets an op of which nothing is left to do
-  KeyEntry* find_entry(OpId id);   // under its key, whoever holds it; null if there is none
+  void erase_if_finished(OpId id); // forgets an op that is answered and has no run pending
+  KeyEntry* find_entry(OpId id);   // the entry under the op's key, whichever try holds it; or null
   bool conflicts_with_confirmed(const Key& key) const;
   OpId find_earlier_try(const Key& key, bool keyed, Nanos received_at) const;
   void finish_entry(KeyEntry& entry, KeyEntry::State state, Content result);
@@ -146,31 +150,31 @@
   std::vector<RetryClass> retry_classes_;
   std::vector<Nanos> op_timeouts_;
   Nanos result_freshness_;
-  Nanos max_op_timeout_ = 0; // op timeout
+  Nanos max_op_timeout_ = 0; // the longest of op_timeouts_
   Nanos shutdown_timeout_;
-  std::size_t max_result_bytes_; // bytes
+  std::size_t max_result_bytes_;
   std::size_t max_ops_;
   std::size_t max_keys_;
 
   Nanos now_;
   std::map<OpId, Op> ops_;
-  std::map<ConnectionId, std::map<StreamId, OpId>> open_streams_; // of the ops not answered, by connection
+  std::map<ConnectionId, std::map<StreamId, OpId>> open_streams_; // ops not answered, by connection
   std::map<Key, KeyEntry> keys_;
-  std::multimap<Nanos, Key> key_expiries_; // one for each of them
-  std::set<OpId> holders_;                 // of them
+  std::multimap<Nanos, Key> key_expiries_; // one for each entry of keys_
+  std::set<OpId> holders_;                 // of the entries of keys_
   std::size_t result_bytes_ = 0;
-  std::vector<OpId> repeats_to_answer_; // to be answered after the module has returned
+  std::vector<OpId> repeats_to_answer_; // answered by `answer_repeats`, after the module has returned
   using Wake = std::pair<Nanos, WakeId>;
   std::priority_queue<Wake, std::vector<Wake>, std::greater<>> wakes_;
   std::vector<double> gauges_;
-  std::size_t busy_gauge_ = ~std::size_t{0}; // of the cores, if it is told
-  std::uint64_t starts_sent_ = 0;            // sent, in all
+  std::size_t busy_gauge_ = ~std::size_t{0}; // index of the gauge of busy cores, if there is one
+  std::uint64_t starts_sent_ = 0;            // start commands sent in total
   Nanos orphan_query_delay_ = 0;
-  Nanos orphans_checked_at_ = 0; // for starts that came to nothing
+  Nanos orphans_checked_at_ = 0; // last query for runs of answered ops
   bool link_up_ = false;
   bool machine_seen_up_ = false;
   bool draining_ = false;
-  std::unique_ptr<Pools> pools_; // null: none, and nothing is asked of them
+  std::unique_ptr<Pools> pools_; // null: pools are off
   std::unique_ptr<DecisionModule> module_;
 };
 
--- a/core/interface.hpp
+++ b/core/interface.hpp
@@ -1,10 +1,10 @@
-// The seam round the state machine of a server: `Events` is what it is told, `Actions` what it wants done.
-// Both have one time each in a turn, handed in; neither names a socket. The loop, a recording and a replay
-// stand on either side.
+// The interface of a server's state machine: `Events` are its inputs, `Actions` its outputs. The event loop,
+// the recorder and the replayer use it; nothing here names a socket.
 //
-// Shapes: times are Unix time of the caller's clock in ns that never goes back, spans in ns. Ownership:
-// contents are handed over; views and spans hold until the call returns. An order is carried out after the
-// event has returned: nothing that follows from it may call back within it.
+// Every event carries the current time, which also applies to the actions that follow from it. Points in time
+// are Unix time in ns on the caller's clock, which never goes back; durations are in ns. Contents are passed
+// by ownership; views and spans are valid until the call returns. The driver carries an action out after the
+// event has returned: nothing that follows from an action may call back within the event.
 #pragma once
 
 #include "decision_module.hpp"
@@ -18,21 +18,22 @@
 
 namespace cometshift {
 
-// Where an op's answer goes.
+// The caller's stream to which an op's answer is sent.
 struct StreamRef {
   ConnectionId connection;
   StreamId stream;
   auto operator<=>(const StreamRef&) const = default;
 };
 
-// A keyed hash of a body, by which repeats are told from other ops with the same mark.
+// A keyed hash of a request body. It distinguishes retries of an op from other ops that carry the same
+// idempotency key (`mark`).
 struct Digest {
   std::uint64_t high = 0, low = 0;
   auto operator<=>(const Digest&) const = default;
 };
 
-// Bytes that are carried and never looked into. A replay may hold others in their place, so the size that
-// counts against bounds is told beside them.
+// An opaque payload. `size` is the size that counts against the limits; it is kept apart because a replay may
+// put a placeholder in place of the bytes.
 struct Content {
   std::string bytes;
   std::uint32_t size = 0;
@@ -45,47 +46,51 @@
   }
 };
 
-using StartNo = Id<struct StartNoTag, std::uint64_t>; // of a start that was sent; one more each time, from 1
+using StartNo = Id<struct StartNoTag, std::uint64_t>; // sequence number of the start commands sent, from 1
 
+// Inputs of the state machine.
 class Events {
  public:
   virtual ~Events() = default;
-  // An op was read. `received_at`: when it came to the machine; limit 0, empty texts: not told. `body_digest`
-  // counts for ops with a mark only.
+  // An op was read from a caller. `received_at`: when it reached the machine. A limit of 0 or an empty text
+  // means that the field was absent. `body_digest` is used only for ops with a mark.
   virtual void op_received(Nanos now, StreamRef stream_ref, OpId id, OpTypeId type, TenantId tenant,
                            CallerId caller, Nanos received_at, Nanos limit, double held_kb, double rank,
                            std::string_view mark, std::string_view subject, Content body,
                            Digest body_digest) = 0;
-  virtual void stream_lost(Nanos now, StreamRef stream_ref) = 0; // its answer can't be delivered any more
-  virtual void machine_up(Nanos now, Nanos since) = 0;
-  // The link works, all notices so far are told, and all starts up to `known` were read there.
+  virtual void stream_lost(Nanos now, StreamRef stream_ref) = 0; // the answer can no longer be delivered
+  virtual void machine_up(Nanos now, Nanos since) = 0;           // the machine started `since` ago
+  // The link to the interpreter is up, every notice received so far has been delivered as an event, and the
+  // interpreter has read all starts up to `last_read`.
   virtual void link_up(Nanos now, StartNo last_read) = 0;
   virtual void link_down(Nanos now) = 0;
   virtual void run_finished(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) = 0;
   virtual void call_wanted(Nanos now, OpId id, Content body) = 0;
-  virtual void start_refused(Nanos now, OpId id) = 0; // it began nothing
+  virtual void start_refused(Nanos now, OpId id) = 0; // nothing was started
   virtual void gauges(Nanos now, std::span<const double> values) = 0;
   virtual void call_finished(Nanos now, OpId id, Outcome outcome, Content reply) = 0;
-  virtual void due(Nanos now) = 0;            // wake-ups whose time has come, what is forgotten by now
-  virtual void answer_repeats(Nanos now) = 0; // the end of a turn: repeats whose first has ended
+  virtual void due(Nanos now) = 0; // runs timers that have expired and drops expired state
+  // At the end of a turn: answers retries whose original has ended.
+  virtual void answer_repeats(Nanos now) = 0;
   virtual void drain(Nanos now) = 0;
-  // From now on these pools (names as in pools/pools.hpp; none of them: no pools). Throws
-  // std::invalid_argument where they are senseless, and nothing has changed.
+  // Replaces the pools (setting names as in pools/pools.hpp; without any, pools are off). Throws
+  // std::invalid_argument for invalid settings, in which case nothing has changed.
   virtual void set_pools(Nanos now, const Settings& pools) = 0;
 };
 
+// Outputs of the state machine, carried out by its driver.
 class Actions {
  public:
   virtual ~Actions() = default;
-  // The final answers; one for each op.
+  // Final answers: exactly one for each op.
   virtual void served(StreamRef stream_ref, OpId op, Content result) = 0;
   virtual void refused(StreamRef stream_ref, OpId op, Reason reason, Nanos retry_after, bool no_retry) = 0;
   virtual void failed(StreamRef stream_ref, OpId op, Reason reason) = 0;
-  virtual void penalize(StreamRef stream_ref) = 0; // its op is none that a caller would send
-  // Only while the link is up.
+  virtual void penalize(StreamRef stream_ref) = 0; // the op is not one that a correct caller sends
+  // Commands to the interpreter, issued only while the link is up.
   virtual void start(OpId op, OpTypeId type, const Content& body, StartNo number) = 0;
   virtual void resume(OpId op, const Content& reply) = 0;
-  // Calls end by `Events::call_finished` unless they are given up.
+  // A call ends with `Events::call_finished` unless it is cancelled.
   virtual void call(OpId op, Nanos timeout, const Content& body) = 0;
   virtual void cancel_call(OpId op) = 0;
   virtual void health(bool good) = 0;
@@ -94,7 +99,7 @@
   virtual void set_timing(Timing what, Nanos time) = 0;
   virtual void set_eviction_order(std::span<const Eviction> order, int max_invalid_ops) = 0;
   virtual void stop_accepting() = 0;
-  virtual void note(const char* kind, std::string_view words) = 0; // for the log; kinds are literals
+  virtual void note(const char* kind, std::string_view words) = 0; // a log line; `kind` is a string literal
 };
 
 } // namespace cometshift
--- a/pools/capacity.cpp
+++ b/pools/capacity.cpp
@@ -7,23 +7,28 @@
 namespace {
 
 constexpr Nanos ms = 1'000'000;
-constexpr Nanos window = 500 * ms; // over which throughput is counted: some runs, short against a cold start
-constexpr double window_smoothing = 0.4; // of a window in the estimate: a change shows within two seconds
-constexpr double min_saturated_fraction =
-    0.6; // of a window with the cores wanted: less says nothing of what they can do
-constexpr double max_growth_per_window =
-    1.1; // at most, where runs end faster than believed though the cores are not full
-constexpr double initial_cores = 1; // believed before anything was seen
-constexpr double min_cores = 0.05;  // against an estimate that lets nothing through, and so never sees more
-constexpr float min_runs_for_base = 4;          // runs of a type before its base is believed
-constexpr Nanos base_rise_divisor = 512;        // part of it a base rises a run, so a jam does not become one
-constexpr double slowdown_smoothing = 1.0 / 12; // of a run in the ratio to its base
-constexpr double additive_step = 0.05;          // cores a run that takes what it should
-constexpr double additive_decrease_factor = 0.85; // once a cut's rest, while runs take twice their base
-constexpr double decrease_slowdown = 2;           // times its base
-constexpr Nanos decrease_interval = 300 * ms;     // as long as some runs take to show the last cut
-constexpr Nanos max_completion_gap =
-    2000 * ms; // with the cores wanted and nothing ending: the estimate falls by then
+// Interval over which throughput is counted: several runs, but short compared with a cold start.
+constexpr Nanos window = 500 * ms;
+// Weight of a window in the estimate: a change shows within two seconds.
+constexpr double window_smoothing = 0.4;
+// Fraction of a window that must be saturated: less says nothing about capacity.
+constexpr double min_saturated_fraction = 0.6;
+// Upper limit where throughput exceeds the estimate although the cores are not saturated.
+constexpr double max_growth_per_window = 1.1;
+constexpr double initial_cores = 1;    // estimate before anything was observed
+constexpr double min_cores = 0.05;     // an estimate that admits nothing could never recover
+constexpr float min_runs_for_base = 4; // runs of a type before its base work is used
+// Base work rises by at most 1/512 a run, so that congestion does not become the base.
+constexpr Nanos base_rise_divisor = 512;
+constexpr double slowdown_smoothing = 1.0 / 12; // weight of a run in the slowdown
+constexpr double additive_step = 0.05;          // cores added per run without slowdown
+// Applied once per decrease_interval while runs take twice their base work.
+constexpr double additive_decrease_factor = 0.85;
+constexpr double decrease_slowdown = 2; // core time over base work
+// Long enough for some runs to show the effect of the last decrease.
+constexpr Nanos decrease_interval = 300 * ms;
+// With saturated cores and no completed run, the estimate falls after this time.
+constexpr Nanos max_completion_gap = 2000 * ms;
 
 } // namespace
 
@@ -37,7 +42,7 @@
              : 0;
 }
 
-// Counts the time up to now with as many wanted as there were.
+// Accounts for the time up to now at the current demand.
 void Capacity::advance_to(Nanos now) {
   const Nanos span = std::max<Nanos>(0, now - demand_since_);
   demand_area_ += static_cast<double>(demand_) * static_cast<double>(span);
@@ -53,14 +58,14 @@
   const bool saturated = static_cast<double>(saturated_time_) >= min_saturated_fraction * span;
   if (estimator_ == Estimator::throughput) {
     if (saturated && (completed_work_ > 0 || now - last_completion_ >= max_completion_gap)) {
-      // Against an estimate that a first window sets for long: the first counts whole.
+      // The first window counts in full, so that the initial value does not linger.
       estimate_ += (rate - estimate_) * (has_estimate_ ? window_smoothing : 1);
       has_estimate_ = true;
     } else if (rate > estimate_) {
       estimate_ = std::min(rate, has_estimate_ ? estimate_ * max_growth_per_window : rate);
     }
   } else if (estimator_ == Estimator::gradient && saturated) {
-    // As many cores as are wanted at the same time, up to where runs get slower for it.
+    // As many cores as are wanted at the same time, up to the point where runs slow down.
     const double mean_demand = demand_area_ / span;
     estimate_ +=
         (mean_demand / std::max(1.0, slowdown_) - estimate_) * (has_estimate_ ? window_smoothing : 1);
@@ -86,7 +91,8 @@
   type.recent.record(core_time);
   type.runs_seen = std::min<float>(type.runs_seen + 1, 1e6f);
   const Nanos median = type.recent.quantile(0.5);
-  // It rises only by runs that had a core each: against a crowd, in which all take longer, becoming the base.
+  // The base rises only by runs that had a core to themselves; otherwise the slowdown of a crowd would become
+  // the base.
   const bool uncontended = static_cast<double>(demand) <= std::max(1.0, estimate_);
   type.base_work =
       type.base_work == 0
--- a/pools/capacity.hpp
+++ b/pools/capacity.hpp
@@ -1,13 +1,13 @@
-// How much a server gets done: an estimate from what it is seen to do, never from a figure that was
-// configured. Work is counted in what it takes of one core when all is well (base work), so that a slow or
-// cold machine shows as one that gets less of it done. No I/O, no clock.
+// Estimates how much work a server completes, from what it is observed to complete and never from a
+// configured figure. Work is measured in the core time that it takes without contention (base work), so a
+// slow or cold machine shows as one that completes less of it. No I/O, no clock.
 //
-// Three ways, compared in docs/pools.md:
-//   throughput  base work of the runs that ended over the time that the cores were wanted all along (Little's
-//   law from
-//               own figures: what is in service leaves at the rate of the server)
-//   gradient    cores that are seen busy, times base work over the work that runs take of late
-//   additive    raised by a step while runs take what they should, cut by a part when they take twice
+// Three estimators, compared in docs/pools.md:
+//   throughput  base work of the runs that ended, over the time in which the cores were saturated
+//               (Little's law on the server's own figures: saturated, it completes work at its capacity)
+//   gradient    mean demand for cores, divided by the recent ratio of core time to base work
+//   additive    raised by a step while runs take their base work, cut by a factor when they take twice
+//               as long
 #pragma once
 
 #include "histogram.hpp"
@@ -17,20 +17,22 @@
 
 namespace cometshift {
 
+// Estimate of the server's capacity; one object per server.
 class Capacity {
  public:
   enum class Estimator { throughput, gradient, additive };
   Capacity(Nanos now, Estimator estimator, std::size_t op_types);
 
-  // A run ended with so much time on the cores; `wanted`: of the ops that want a core now, that one among
-  // them.
+  // A run ended after `core_time` on the cores. `demand`: the number of ops that want a core, including this
+  // one.
   void run_ended(Nanos now, OpTypeId type, Nanos core_time, int demand);
-  void demand_changed(Nanos now, int demand); // whenever it changes
-  // The gauge of the cores, 0 to 1.
+  void demand_changed(Nanos now, int demand); // call whenever the demand changes
+  // Fraction of the cores that is busy, 0 to 1.
   void set_busy_fraction(double fraction) { busy_fraction_ = fraction; }
 
-  double cores() const { return estimate_; } // base work a second, in cores; at least a small figure
-  Nanos base_work(OpTypeId type) const;      // work of one op; 0: none seen
+  double cores() const { return estimate_; } // base work per second, in cores; never below a small minimum
+  Nanos base_work(OpTypeId type) const;      // base work of one op; 0: not known yet
+  // Whether anything was observed, so that `cores` is more than the initial value.
   bool has_estimate() const { return has_estimate_; }
 
   template <class Serializer>
@@ -57,10 +59,10 @@
   Nanos window_started_at_;
   int demand_ = 0;
   Nanos demand_since_;
-  double demand_area_ = 0;    // cores wanted x time in this window
-  Nanos saturated_time_ = 0;  // of it, in which more were wanted than are there
-  double completed_work_ = 0; // base work in it
-  double slowdown_ = 1;       // of late, work that runs take over their base
+  double demand_area_ = 0;    // integral of demand over time in this window
+  Nanos saturated_time_ = 0;  // part of the window in which the cores were saturated
+  double completed_work_ = 0; // base work completed in this window
+  double slowdown_ = 1;       // recent ratio of a run's core time to its base work
   Nanos last_decrease_ = 0;
   Nanos last_completion_ = 0;
 };
--- a/pools/pools.cpp
+++ b/pools/pools.cpp
@@ -12,22 +12,25 @@
 constexpr Nanos ms = 1'000'000;
 constexpr double second = 1e9;
 
-constexpr double protected_worth = 1000;         // of any weight: what is protected is turned away last
-constexpr double over_budget_repeat_worth = 0.1; // of a repeat over its budget, beside a first try
-constexpr double pressure_threshold = 0.85; // of the capacity let in of late: under it repeats do no harm
-constexpr double decay_per_second = 0.37;   // of a rate, each second: about a second's memory (1/e)
-constexpr double max_retry_budget = 20;     // saved up by a quiet pool: a burst after a break of a second
-constexpr double min_retries_per_second =
-    0.5;                                   // let in though there are no first tries: somebody has to find out
-constexpr Nanos min_retry_after = 20 * ms; // a look of the module: sooner nothing has changed
-constexpr Nanos max_retry_after = 1000 * ms; // later, callers give up
-constexpr Nanos fingerprint_lifetime =
-    10'000 * ms; // of a trace: the longest that tries of one op follow each other
-constexpr std::size_t max_fingerprints =
-    16'384; // bounded: 2 MB; the oldest go, and their repeats count as first tries
-constexpr double cheapest_factor = 1.25; // times the least work of any op type: what counts as cheapest
-constexpr double excess_window_factor =
-    0.6; // windows of a tenant's part, by which being over halves its worth
+constexpr double protected_worth = 1000;         // exceeds any weight: protected ops are turned away last
+constexpr double over_budget_repeat_worth = 0.1; // of a retry over budget, relative to a first try
+// Fraction of the capacity: while less than that was recently admitted, retries do no harm.
+constexpr double pressure_threshold = 0.85;
+// Remaining part of a rate after a second (about 1/e): a time constant of about one second.
+constexpr double decay_per_second = 0.37;
+// Saved up by an idle pool: covers a burst after an outage of a second.
+constexpr double max_retry_budget = 20;
+// Admitted even without first tries, so that recovery is noticed.
+constexpr double min_retries_per_second = 0.5;
+constexpr Nanos min_retry_after = 20 * ms;          // the module's decision interval: nothing changes sooner
+constexpr Nanos max_retry_after = 1000 * ms;        // callers give up later than that
+constexpr Nanos fingerprint_lifetime = 10'000 * ms; // the longest interval between tries of one op
+// 2 MB at most; the oldest are dropped, and their retries count as first tries.
+constexpr std::size_t max_fingerprints = 16'384;
+// Ops up to this multiple of the smallest base work of any op type count as cheapest.
+constexpr double cheapest_factor = 1.25;
+// In windows of a tenant's share: an excess up to this has no effect, twice this halves the worth.
+constexpr double excess_window_factor = 0.6;
 
 std::vector<std::string> split_lines(const std::string& text) {
   std::vector<std::string> lines;
@@ -38,7 +41,7 @@
   }
   return lines;
 }
-// Which of the names a setting lists; empty: all.
+// Marks which names of a list a setting selects; empty: all.
 std::vector<bool> select_names(const Settings& settings, const std::string& setting, const char* list) {
   const std::vector<std::string> listed = split_lines(text(settings, setting, ""));
   if (listed.empty()) return {};
@@ -80,7 +83,8 @@
       window_(span(settings, "pools.window_ns", second)), op_types_(count_named(settings, "op_type.")) {
   if (window_ < 50 * ms) throw std::invalid_argument("pools.window_ns: under 50 ms");
   double sum = 0;
-  const std::size_t tenants = count_named(settings, "tenant."); // once: it walks them
+  const std::size_t tenants =
+      count_named(settings, "tenant."); // counted once, as this iterates over all of them
   for (std::size_t t = 0; t < tenants; ++t) {
     quota_shares_.push_back(number(settings, "tenant." + std::to_string(t) + ".quota", 0));
     sum += quota_shares_.back();
@@ -115,15 +119,15 @@
   reserve_bucket_.at = now;
 }
 
-// ---- rooms
+// ---- token buckets
 
 void Pools::TokenBucket::refill(Nanos now, double rate, Nanos window) {
   capacity = rate * static_cast<double>(window) / second;
   level = std::min(capacity, level + rate * static_cast<double>(now - at) / second);
   at = now;
 }
-// What is not there yet may be taken once, so that an op larger than the room is not shut out for ever: over
-// any time no more is given than its part of that time, a window's and one op.
+// The level may become negative once, so that an op larger than the bucket is not shut out for ever: over any
+// period, at most that period's refill plus one window's and one op's work is taken.
 bool Pools::TokenBucket::take(double work) {
   if (level <= 0) return false;
   level -= work;
@@ -155,7 +159,7 @@
   for (double& over : pool.tenant_excess) over *= keep;
 }
 
-// Whether a try with this trace came before, of late.
+// Whether a try with this fingerprint was received recently.
 bool Pools::is_repeat(Nanos now, Digest fingerprint) {
   while (!fingerprint_expiries_.empty() &&
          (fingerprint_expiries_.front().first <= now || fingerprint_expiries_.size() > max_fingerprints)) {
@@ -180,7 +184,7 @@
   return own == 0 || static_cast<double>(own) <= cheapest_factor * static_cast<double>(least);
 }
 
-// By the pool's weight, and less the more its tenant has had beyond its quota's part of late.
+// The pool's weight, reduced by how much the tenant has recently exceeded its quota's share.
 double Pools::worth_of(const Pool& pool, TenantId tenant) const {
   if (tenant.raw >= quota_shares_.size()) return pool.weight;
   const double own =
@@ -212,9 +216,9 @@
     ++pool.refused;
     return Admission{false, 0, reason, std::clamp(retry_after, min_retry_after, max_retry_after)};
   };
-  // Over its budget a repeat counts for little: the module turns it away first, at once where there is a
-  // line. Refused here it would come back sooner from those who heed nothing, and be read again
-  // (docs/pools.md).
+  // A retry over budget counts for little: the module turns it away first, or at once where there is a
+  // backlog. If it were refused here, callers that ignore the retry delay would send it again sooner, and it
+  // would have to be read again (docs/pools.md).
   bool over_budget = false;
   if (!repeat) {
     pool.first_tries_per_second += 1;
@@ -269,7 +273,8 @@
   decay(now, pool);
   pool.work_rate += work;
   if (op.floor > 0 || op.reserve > 0) pool.protected_work_rate += work;
-  // Each tenant is owed its quota's part of what the pool gets; who has had more is over.
+  // Each tenant is entitled to its quota's share of the pool's work; the excess is what it received beyond
+  // that.
   for (std::size_t t = 0; t < quota_shares_.size(); ++t)
     pool.tenant_excess[t] += work * ((t == op.tenant.raw ? 1 : 0) - quota_shares_[t]);
 }
@@ -304,7 +309,7 @@
   OpenOp& op = at->second;
   op.answered = true;
   Pool& pool = pools_[op.pool.raw];
-  if (nacked && op.core_time == 0 && !op.running) { // what it took is there for others
+  if (nacked && op.core_time == 0 && !op.running) { // what it took is returned for other ops
     ++pool.refused;
     pool.ceiling_bucket.refund(op.work);
     pool.floor_bucket.refund(op.floor);
