--- a/leases/leases.cpp
+++ b/leases/leases.cpp
@@ -9,16 +9,17 @@
 namespace {
 
 constexpr Nanos ms = 1'000'000;
-constexpr std::size_t max_name_length = 128; // bytes: names are written by operators
-constexpr double max_drift = 0.1;            // a clock that is worse can't be believed at all
-constexpr double renewal_fraction = 0.4;     // of the time held: two renewals may get lost before it ends
-constexpr double renewal_jitter = 0.1;       // of that: leases taken together don't stay in step
-constexpr Nanos answer_timeout_divisor =
-    8;                                // of the term, in which a round's answers are waited for, if not told
-constexpr Nanos backoff_divisor = 16; // of the term, the mean rest after the first round that was lost
-constexpr int max_backoff_doublings = 2; // of that rest: a quarter of a term in the mean
-constexpr Nanos idle_grant_terms = 8;    // that a voter keeps a name with no grant, for the token seen on it
-constexpr unsigned member_bits = 16;     // of a token: its lowest, so that two members' are never the same
+constexpr std::size_t max_name_length = 128; // bytes; names come from operator files
+constexpr double max_drift = 0.1;            // a clock with a greater error is unusable
+constexpr double renewal_fraction = 0.4;     // of the holding time: two renewals may be lost before it ends
+constexpr double renewal_jitter = 0.1;       // of that: leases acquired together do not renew in step
+// Of the term: default time-out of a round.
+constexpr Nanos answer_timeout_divisor = 8;
+constexpr Nanos backoff_divisor = 16;    // of the term: mean delay after the first lost round
+constexpr int max_backoff_doublings = 2; // of that delay: at most a quarter of a term in the mean
+constexpr Nanos idle_grant_terms = 8; // a voter keeps a name without a grant that long, for its highest token
+// The lowest bits of a token hold the member id, so that two members never use the same token.
+constexpr unsigned member_bits = 16;
 
 bool is_valid_name(std::string_view lease) { return !lease.empty() && lease.size() <= max_name_length; }
 
@@ -53,12 +54,12 @@
   max_terms_ = static_cast<int>(number(settings, "leases.most_terms", 0));
   max_names_ = static_cast<std::size_t>(required_number(settings, "leases.most", 1));
   token_floor_ = Token{static_cast<std::uint64_t>(number(settings, "leases.first_token", 0)) << member_bits};
-  // Against two holders where a voter forgot what it granted: by then the longest of it is over, whatever the
-  // drift, as a holder's time is shorter than its voters' by twice the bound.
+  // Prevents two holders after a voter has lost its grants: after this time the longest of them has expired
+  // whatever the drift, because a holder's time is shorter than its voters' by twice the drift bound.
   silent_until_ = now + max_term_;
 }
 
-// A holder's clock may run slow and a voter's fast, each by the bound.
+// The holder's clock may run slow and a voter's clock fast, each by the drift bound.
 Nanos Leases::holding_time() const {
   return static_cast<Nanos>(std::floor(static_cast<double>(term_) * (1 - drift_) / (1 + drift_)));
 }
@@ -79,9 +80,10 @@
   return Token{(highest_used + 1) << member_bits | (self_.raw & ((1u << member_bits) - 1))};
 }
 
-// ---- a voter
+// ---- voter side
 
-// The record of a lease, made if there is room; what nobody asked for in a long while makes room.
+// The record of a lease, added if there is room. Records that have had no grant for long are removed when the
+// table is full.
 Leases::Grant* Leases::find_or_add_grant(Nanos now, std::string_view lease) {
   if (const auto at = grants_.find(lease); at != grants_.end()) return &at->second;
   if (grants_.size() >= max_names_)
@@ -96,30 +98,33 @@
 void Leases::asked(Nanos now, MemberId from, Incarnation incarnation, Epoch epoch, std::string_view lease,
                    AskNo number, Token token, Nanos term) {
   if (!voters_.may_grant(self_)) return;
-  // A longer term than is waited out by voters that start, or one that is no time, is none.
+  // A term longer than the silence of a restarted voter would be unsafe; a negative one is invalid.
   if (!is_valid_name(lease) || term < 0 || term > max_term_ || token.raw == 0 || number.raw == 0)
     return void(++invalid_messages_);
   Grant* const grant = find_or_add_grant(now, lease);
-  // Silent, it only learns which tokens are in use, so that they go on rising when most voters forgot.
+  // A silent voter only records the tokens in use, so that tokens keep rising after most voters have lost
+  // their state.
   if (silent(now)) {
     if (grant) grant->highest_token = std::max(grant->highest_token, token);
     return;
   }
   if (!grant) return actions_.refuse(from, incarnation, lease, number, Token{0}, term_); // no room
-  // Against a majority of voters that others need no more (voters.hpp): it is to learn of their list first.
+  // The asking member uses an old voter list, whose majority other members no longer need (voters.hpp). It
+  // has to receive the newer list first.
   if (epoch < voters_.epoch())
     return actions_.refuse(from, incarnation, lease, number, Token{0}, answer_timeout_);
   const bool same_holder = grant->holder == from && grant->incarnation == incarnation;
-  // Against an old ask, or one that comes twice, which would begin again what was released or is over.
+  // An old or duplicate ask must not restore a grant that was released or has expired.
   if (same_holder && number <= grant->last_ask) return;
   if (!same_holder && !grant->open(now)) {
     grant->contended_until = now + term_;
     return actions_.refuse(from, incarnation, lease, number, grant->highest_token, grant->until - now);
   }
-  // Who looks holds nothing: what it was granted and could not use is free again, if the word of it was lost.
+  // A member that only checks holds nothing, so an earlier grant to it whose release message was lost is
+  // freed.
   if (same_holder && term == 0) grant->until = std::min(grant->until, now);
-  // A token rises with each holder; one who holds goes on under its own, also where this voter missed some
-  // renewals: nobody else was granted meanwhile.
+  // Tokens rise with each holder. A holder renews under its own token, also if this voter missed some
+  // renewals: it has granted the lease to nobody else meanwhile.
   const bool is_renewal = same_holder && token == grant->highest_token;
   if (!is_renewal && token <= grant->highest_token)
     return actions_.refuse(from, incarnation, lease, number, grant->highest_token, 0);
@@ -142,7 +147,7 @@
   grant.until = std::min(grant.until, now);
 }
 
-// ---- who asks
+// ---- requesting side
 
 bool Leases::acquire(Nanos now, std::string_view lease) {
   if (!is_valid_name(lease)) return false;
@@ -157,7 +162,8 @@
   return true;
 }
 
-// Who does not hold looks first: against grants that are no use to it and stand in a holder's way.
+// A member that does not hold the lease checks first (a probe with term 0), so that grants short of a
+// majority do not block others.
 void Leases::ask(Nanos now, const std::string& lease, LeaseRequest& request, bool probe_only) {
   request.probing = probe_only;
   if (probe_only) {
@@ -186,7 +192,7 @@
   release_grants(lease, request);
   request.held = false;
   request.token_floor = std::max(request.token_floor, token);
-  request.number = AskNo{++last_ask_}; // grants that are still on their way count for nothing
+  request.number = AskNo{++last_ask_}; // grants still in transit are ignored
   request.granted.clear();
   request.rounds = request.renewals = request.acts = 0;
   request.next = now + backoff;
@@ -198,20 +204,20 @@
   const auto at = requests_.find(lease);
   if (to != incarnation_ || at == requests_.end()) return;
   LeaseRequest& request = at->second;
-  if (number != request.number) return; // of an ask that is over
+  if (number != request.number) return; // an answer to an earlier ask
   if (!voters_.is_voter(from)) return void(++invalid_messages_);
-  // Against a grant that comes when it has ended, and one that carries a holder over its own end.
+  // Ignores a grant that arrives after its own end, and a renewal that arrives after the holding has ended.
   if (now >= request.asked_at + holding_time() || (request.held && now >= request.until)) return;
   request.granted.insert(from);
   request.contended = request.contended || contended;
   if (!voters_.has_quorum(request.granted)) return settle_round(now, at->first, request);
   if (request.probing) return ask(now, at->first, request, false);
   const Nanos until = request.asked_at + holding_time();
-  if (request.held && until <= request.until) return; // another grant of an ask that has carried it on
+  if (request.held && until <= request.until) return; // the ask has already renewed the holding
   if (!request.held) {
     request.held = true;
     request.since = now;
-    // Against what a holder before began in time and was stopped in.
+    // Waits out an act that the previous holder began in time and was paused in.
     request.from = now + static_cast<Nanos>(
                              std::ceil(static_cast<double>(max_act_duration_) * (1 + drift_) / (1 - drift_)));
     request.rounds = request.renewals = 0;
@@ -235,19 +241,20 @@
   settle_round(now, at->first, request);
 }
 
-// A round that can't be won any more is given up at once, so that another's can be: of those who share the
-// voters the one with the greatest token asks again soon, the others rest.
+// A round that can no longer get a majority is given up at once, so that another member's round can succeed.
+// When rounds split the voters, the member with the greatest token retries soon and the others wait longer.
 void Leases::settle_round(Nanos now, const std::string& lease, LeaseRequest& request) {
   if (request.held || !voters_.quorum_impossible(request.refused_by)) return;
-  const bool blocked = request.blocked_until > now; // else only the token was too small: the next is greater
+  // If not blocked, only the token was too small, and the next one is greater.
+  const bool blocked = request.blocked_until > now;
   const bool has_highest_token = request.token > request.token_floor;
   release_grants(lease, request);
   request.number = AskNo{++last_ask_};
   if (!blocked)
     request.next = now;
   else if (voters_.has_quorum(request.refused_by) && request.blocked_until - now > term_ / 2) {
-    request.next =
-        request.blocked_until + backoff(1); // held by another: asked for again when that may be over
+    // Held by another member: ask again when that may have ended.
+    request.next = request.blocked_until + backoff(1);
     request.rounds = 0;
   } else
     request.next = now + backoff(has_highest_token ? 0 : request.rounds);
@@ -287,10 +294,11 @@
   const auto at = requests_.find(lease);
   if (at == requests_.end()) return;
   LeaseRequest& request = at->second;
-  // Against another's act beside one that is not over.
+  // Releasing during an act would let another member act at the same time.
   request.release_pending = request.held && request.acts > 0;
   if (request.release_pending) return;
-  token_floor_ = std::max(token_floor_, request.token); // asked for again, it is another holding
+  // A later request of the same lease is a new holding with a greater token.
+  token_floor_ = std::max(token_floor_, request.token);
   end_holding(now, at->first, request, LossReason::given_up, 0);
   requests_.erase(at);
 }
@@ -320,7 +328,7 @@
   }
   for (auto& [lease, request] : requests_) {
     if (request.release_pending) {
-      request.next = request.until; // not renewed
+      request.next = request.until; // a lease to be released is not renewed
     } else if (request.held && now >= request.until)
       end_holding(now, lease, request, LossReason::ended, backoff(0));
     else if (request.held && now >= request.next && max_terms_ > 0 && request.contended &&
--- a/leases/leases.hpp
+++ b/leases/leases.hpp
@@ -1,21 +1,26 @@
-// Leases: a named task of the whole fleet has one hand at a time. Each member may ask for a lease; a few
-// named members, the voters, grant it. One `Leases` is one member, voter or not. It decides only: no I/O, no
-// clock, one time with each call, and what is to be said goes out by `LeaseActions`. docs/leases.md has the
-// ways weighed and the argument; tests/leases.cpp mirrors it, assumption by assumption.
+// Leases: at most one member of the fleet at a time holds the lease of a name. Any member may request a
+// lease; a few configured members, the voters, grant it. One `Leases` object is one member, voter or not. It
+// contains only the protocol logic: no I/O, no clock; each call passes the current time, and outgoing
+// messages are requested through `LeaseActions`. docs/leases.md compares the alternatives and has the full
+// safety argument; tests/leases.cpp checks its assumptions one by one.
 //
-// Why two never hold at once, in short. (1) A voter has at most one grant of a lease that is not over. (2) A
-// holder has grants of a majority, all for one ask. (3) It counts its time from before that ask left, and
-// less of it than a voter counts from when the ask came. (4) A voter that forgot its grants is silent until
-// the longest of them is over. Any two majorities share a voter, whose two grants can't have been good at
-// once.
+// Why there are never two holders at the same time, in short:
+// (1) A voter has at most one unexpired grant per lease.
+// (2) A holder has grants of a majority of the voters, all for the same ask (lease request message).
+// (3) The holder counts its holding time from before that ask was sent, and for a shorter time than a
+//     voter counts from when it received the ask.
+// (4) A voter that has lost its grants (by a restart) stays silent until the longest of them has expired.
 //
-// Times: of the caller's own clock, ns, which never goes back and goes on while the machine sleeps; no two
-// members' are compared. A voter's side (the constructor, `asked`, `released`, `silent`) may run by another
-// clock than the side that asks, as no time of the one meets one of the other (clocks.hpp). Spans: ns.
-// Ownership: a view holds until the call returns. Nothing that is ordered may call back within the order.
+// Any two majorities share a voter, and that voter's two grants cannot have been valid at the same time.
 //
-// Errors: the constructor throws std::invalid_argument with the name of a setting that is missing or
-// senseless. What comes from others and makes no sense is counted and changes nothing.
+// Times: ns of the caller's own clock, which never goes back and keeps running while the machine sleeps;
+// times of two members are never compared. The voter side (the constructor, `asked`, `released`, `silent`)
+// may run on another clock than the requesting side, because the two sides share no times (clocks.hpp).
+// Durations: ns. Ownership: views are valid until the call returns. An action must not call back into this
+// object.
+//
+// Errors: the constructor throws std::invalid_argument naming a setting that is missing or invalid. Invalid
+// messages of other members are counted and otherwise ignored.
 #pragma once
 
 #include "ids.hpp"
@@ -33,72 +38,82 @@
 
 namespace cometshift {
 
-using Incarnation = Id<struct IncarnationTag, std::uint64_t>; // of a member: another with each start
-using Token = Id<struct TokenTag, std::uint64_t>; // of a holding: greater than all before it; 0: none
-using AskNo = Id<struct AskNoTag, std::uint64_t>; // of an ask, rising in one incarnation
+// Identifies a start of a member's process.
+using Incarnation = Id<struct IncarnationTag, std::uint64_t>;
+// Fencing token of a holding: greater than those of all holdings before it; 0: none.
+using Token = Id<struct TokenTag, std::uint64_t>;
+// Sequence number of an ask, rising within one incarnation.
+using AskNo = Id<struct AskNoTag, std::uint64_t>;
 
+// Why a holding ended.
 enum class LossReason { ended, given_up, yielded, refused_by_target };
 std::string_view to_text(LossReason reason);
 
+// What a `Leases` object asks its owner to do.
 class LeaseActions {
  public:
   virtual ~LeaseActions() = default;
-  // What is to be said to a voter: grant me this lease, or with a term of 0, would you; I have no use for
-  // what you granted up to this ask.
-  // `epoch`: of the list of voters that the asker goes by.
+  // Messages to a voter: ask for a grant of the lease for `term` (0: only whether it would be granted), and
+  // release what the voter granted up to this ask. `epoch`: of the voter list that the asking member uses.
   virtual void ask(MemberId voter, Epoch epoch, std::string_view lease, AskNo number, Token token,
                    Nanos term) = 0;
   virtual void release(MemberId voter, std::string_view lease, AskNo number) = 0;
-  // What a voter answers. `wanted`: others ask for it too. `seen`: no token up to it will be granted; `left`:
-  // of the grant that stands in the way, 0: none does.
+  // A voter's answers. `contended`: other members ask for the lease too. `highest_token`: no token up to it
+  // will be granted. `remaining`: time left of the conflicting grant, 0: there is none.
   virtual void grant(MemberId to, Incarnation incarnation, std::string_view lease, AskNo number,
                      bool contended) = 0;
   virtual void refuse(MemberId to, Incarnation incarnation, std::string_view lease, AskNo number,
                       Token highest_token, Nanos remaining) = 0;
-  // This member may act from `from` until `until`, under this token. Told again with each renewal.
+  // This member holds the lease and may act from `from` until `until` under this token. Repeated with each
+  // renewal.
   virtual void held(std::string_view lease, Token token, Nanos from, Nanos until) = 0;
   virtual void lost(std::string_view lease, Token token, LossReason reason) = 0;
 };
 
+// One member's part in all leases of the fleet.
 class Leases {
  public:
-  // `figures`, spans in ns:
-  // - leases.term: for how long a voter grants
-  // - leases.longest_term: the longest that any member has had set for a term's time before; a voter that
-  //   starts is silent that long
-  // - leases.answer: a round's answers are waited for so long; over a round trip to the farthest voter, else
-  //   no round ever ends where all of the voters that are up are needed. Else an eighth of the term
-  // - leases.drift: bound on how far a clock's rate is from true, as a part
-  // - leases.longest_act: of a target that can't refuse old tokens, its next holder waits that long; 0: none
-  // - leases.most_terms: after so many a holder gives others a turn, if they ask; 0: never
-  // - leases.first_token: where tokens begin, a count that is greater at each start than one a
-  //   millisecond has made of any before, as Unix time in ms. A hint: where it is none, tokens may go back
-  //   after most voters forgot, and a target's refusal puts it right
-  // - leases.most: names that are known at once, as a voter and as one who asks, each
-  // Who votes is asked of `voters` at each step.
+  // `settings`, durations in ns:
+  // - leases.term: duration of a grant
+  // - leases.longest_term: the longest leases.term that any member has been configured with within the last
+  //   term; a voter stays silent that long after a start
+  // - leases.answer: how long a round waits for its answers. It must exceed the round trip to the farthest
+  //   voter, or no round completes when every reachable voter is needed. Default: an eighth of the term
+  // - leases.drift: bound on a clock's rate error, as a fraction
+  // - leases.longest_act: for targets that cannot reject old tokens: the next holder waits that long before
+  //   it acts; 0: it does not wait
+  // - leases.most_terms: after so many renewals a holder yields the lease if others ask for it; 0: never
+  // - leases.first_token: lower bound of new tokens: a count that at each start exceeds what one count per
+  //   millisecond could have reached before, such as Unix time in ms. It is a hint: without it, tokens may
+  //   go back after most voters have lost their state, until a target's refusal corrects that
+  // - leases.most: the maximum number of lease names known at once, for the voter side and the requesting
+  //   side each
+  //
+  // `voters` is consulted at each step for the current voter list.
   Leases(Nanos now, MemberId self, Incarnation incarnation, const Voters& voters, const Settings& settings,
          std::uint64_t seed, LeaseActions& actions);
   Leases(const Leases&) = delete;
   Leases& operator=(const Leases&) = delete;
 
-  // Tokens that this member asks for are over this one's, which goes on as `leases.first_token` does: against
-  // voters that have seen none of those before, as where the list of voters was changed.
+  // Raises the lower bound of the tokens that this member asks for; the counter is of the same kind as
+  // `leases.first_token`. Needed for voters that have seen no earlier token, as after a change of the voter
+  // list.
   void raise_token_counter(std::uint64_t at_least) { token_counter_ = std::max(token_counter_, at_least); }
 
-  // ---- what this member wants
-  // Asks for a lease until it is dropped. False: no room for another name.
+  // ---- requesting side
+  // Requests a lease and keeps it until it is dropped. False: the name is invalid or there is no room for it.
   bool acquire(Nanos now, std::string_view lease);
-  void drop(Nanos now, std::string_view lease); // gives it up at once, if it is held
-  void leave(Nanos now);                        // all of them: this member is about to go
-  // May an act that takes `act` at the most begin now? Its token, or Token{0}.
+  void drop(Nanos now, std::string_view lease); // releases it, at once unless an act is in progress
+  void leave(Nanos now);                        // drops all leases, before this member stops
+  // The token under which an act that takes at most `act` may begin now, or Token{0}.
   Token may_act(Nanos now, std::string_view lease, Nanos act) const;
-  // The same, and what is held is not given up by choice until as many acts have ended as began.
+  // As may_act, and the lease is not released voluntarily until every begun act has ended.
   Token begin_act(Nanos now, std::string_view lease, Nanos act);
   void end_act(Nanos now, std::string_view lease, Token token);
-  // What is acted on has refused this member's token for a greater one.
+  // The target of an act rejected this member's token because it has seen a greater one.
   void refused_by_target(Nanos now, std::string_view lease, Token highest_token);
 
-  // ---- what others say
+  // ---- messages of other members
   void asked(Nanos now, MemberId from, Incarnation incarnation, Epoch epoch, std::string_view lease,
              AskNo number, Token token, Nanos term);
   void released(Nanos now, MemberId from, Incarnation incarnation, std::string_view lease, AskNo number);
@@ -108,33 +123,35 @@
                Token highest_token, Nanos remaining);
 
   // ---- time
-  Nanos next_wake() const; // -1: none
-  void due(Nanos now);
+  Nanos next_wake() const; // when to call `due` next; -1: not needed
+  void due(Nanos now);     // renews, asks again and ends holdings whose time has come
 
-  struct Status { // of a lease that this member wants
+  struct Status { // of a lease that this member requests
     std::string lease;
     Token token{0}; // 0: not held
     Nanos since = 0, until = 0;
-    int rounds = 0; // of asking since it was last held, or since it was wanted
+    int rounds = 0; // request rounds since it was last held, or since `acquire`
   };
   std::vector<Status> status() const;
+  // Whether this member, as a voter, still stays silent after its start.
   bool silent(Nanos now) const { return voters_.may_grant(self_) && now < silent_until_; }
   std::uint64_t invalid_messages() const { return invalid_messages_; }
 
-  // All that it remembers, to bytes and back (serializer.hpp), into one that was made with the same settings.
+  // Writes or reads the whole state (serializer.hpp); reading needs an object with the same settings.
   template <class Serializer>
   void serialize(Serializer& serializer);
-  // When something changes by itself: ends of grants by the voter's clock, all else by that of who asks.
+  // Times on the voter's clock at which state changes by itself: the end of the initial silence and of each
+  // grant.
   std::vector<Nanos> grant_expiries() const;
 
  private:
-  // A voter's: who has a lease of it.
+  // Voter side: the last grant of a lease.
   struct Grant {
     MemberId holder{};
     Incarnation incarnation{};
-    AskNo last_ask{}; // the greatest of the holder's that was taken, or released
+    AskNo last_ask{}; // the holder's latest ask that was granted or released
     Nanos until = 0;
-    Token highest_token{0}; // the greatest that was granted
+    Token highest_token{0}; // the greatest token granted or seen
     Nanos contended_until = 0;
     bool open(Nanos now) const { return now >= until; }
     template <class Serializer>
@@ -142,20 +159,20 @@
       serializer(holder, incarnation, last_ask, until, highest_token, contended_until);
     }
   };
-  // What this member wants.
+  // Requesting side: a lease that this member requests or holds.
   struct LeaseRequest {
-    AskNo number{}; // of the last ask
+    AskNo number{}; // the last ask
     Nanos asked_at = 0;
-    Token token{0};       // asked for, or held
-    Token token_floor{0}; // tokens up to it are known to be used
+    Token token{0};       // requested or held
+    Token token_floor{0}; // tokens up to it are known to be in use
     std::set<MemberId> granted, refused_by;
     bool held = false, contended = false;
-    bool probing = false;         // the ask only looks whether it would be granted
-    bool release_pending = false; // given up once its acts have ended
-    int acts = 0;                 // begun and not ended, under this token
-    Nanos since = 0, from = 0, until = 0;
-    Nanos next = 0;          // ask, renew or look again
-    Nanos blocked_until = 0; // until then a grant is known to stand in the way
+    bool probing = false;                 // the current ask only checks whether it would be granted
+    bool release_pending = false;         // released as soon as its acts have ended
+    int acts = 0;                         // in progress under this token
+    Nanos since = 0, from = 0, until = 0; // held since; may act from and until
+    Nanos next = 0;                       // time of the next ask or renewal
+    Nanos blocked_until = 0;              // until then a conflicting grant is known
     int rounds = 0, renewals = 0;
     template <class Serializer>
     void serialize(Serializer& serializer) {
@@ -171,7 +188,7 @@
                    Nanos backoff);
   void settle_round(Nanos now, const std::string& lease, LeaseRequest& request);
   Token next_token(const LeaseRequest& request) const;
-  Nanos backoff(int rounds); // drawn by chance, longer with each round lost
+  Nanos backoff(int rounds); // random, longer with each lost round
   Nanos holding_time() const;
   Nanos renewal_delay();
   Grant* find_or_add_grant(Nanos now, std::string_view lease);
@@ -185,7 +202,7 @@
   double drift_;
   int max_terms_;
   std::size_t max_names_;
-  Token token_floor_; // tokens up to it are not used
+  Token token_floor_; // new tokens are above it
   std::uint64_t token_counter_ = 0;
   Nanos silent_until_;
   std::uint64_t last_ask_ = 0;
--- a/leases/tasks.cpp
+++ b/leases/tasks.cpp
@@ -10,11 +10,12 @@
 
 constexpr Nanos ms = 1'000'000;
 constexpr double hour = 3600e9;
-constexpr double burst_divisor = 8;          // part of the bound an hour that may go at once: an eighth
-constexpr int max_consecutive_failures = 3;  // until another member is to try
-constexpr Nanos initial_backoff_periods = 2; // of letting go at first, doubled while it is no better
+constexpr double burst_divisor = 8;         // of the hourly limit, an eighth may be used at once
+constexpr int max_consecutive_failures = 3; // before another member gets a try
+// Periods for which the lease is released at first; doubled with further failures.
+constexpr Nanos initial_backoff_periods = 2;
 constexpr Nanos max_backoff_periods = 32;
-constexpr Nanos max_caught_up_periods = 16; // periods that are caught up with
+constexpr Nanos max_caught_up_periods = 16; // periods made up for at most
 
 } // namespace
 
@@ -65,7 +66,8 @@
   task.refilled_at = now;
 }
 
-// In step with its period. Of what was missed, as while nobody held its lease: some, or none.
+// Keeps the task aligned to its period. Of missed periods, as while nobody held its lease, some or none are
+// made up for.
 void Tasks::record_done(Nanos now, Task& task, Nanos at) {
   task.last = std::max(task.last, at);
   task.next += task.period;
@@ -76,7 +78,7 @@
     task.next += (periods_behind - caught_up) * task.period;
   }
   if (!task.catch_up)
-    task.next = std::max(task.next, at + task.period / 2); // against two at nearly one moment
+    task.next = std::max(task.next, at + task.period / 2); // prevents two runs shortly after each other
   task.next = std::min(task.next, now + task.period);
 }
 
@@ -111,7 +113,7 @@
   case TaskOutcome::failed:
   case TaskOutcome::unknown:
     ++task.failed;
-    task.next = now + task.period; // a failure is no reason to ask sooner
+    task.next = now + task.period; // a failed task is not retried sooner
     if (++task.failures < max_consecutive_failures || draining_) return;
     task.failures = 0;
     task.backoff = std::clamp(2 * task.backoff, initial_backoff_periods * task.period,
@@ -126,7 +128,7 @@
 void Tasks::completed_elsewhere(Nanos now, std::string_view name, Token token, Nanos ago) {
   for (Task& task : tasks_) {
     if (task.name != name) continue;
-    // Against word of an earlier holder that comes late, and against a time that can't be.
+    // Ignores a late report of an earlier holder, and an impossible time.
     if (token < task.last_done_token || ago < 0 || ago > now) return;
     task.last_done_token = token;
     if (now - ago > task.last) record_done(now, task, now - ago);
@@ -147,8 +149,8 @@
   return next;
 }
 
-// Most important first; of equals the one that has been due longest, or the first of many would be done for
-// ever.
+// Highest priority first; among equals the one that has been due longest, or the first of many would starve
+// the others.
 void Tasks::due(Nanos now) {
   if (draining_) return;
   std::vector<std::uint32_t> ready;
@@ -166,7 +168,7 @@
     return std::tuple(-left.priority, left.next, a) < std::tuple(-right.priority, right.next, b);
   });
   for (const std::uint32_t t : ready) {
-    if (running_ >= max_concurrent_) break; // the others wait for the next end
+    if (running_ >= max_concurrent_) break; // the others wait until a running task ends
     Task& task = tasks_[t];
     refill(now, task);
     if (task.max_per_hour > 0 && task.tokens < 1) {
@@ -175,7 +177,7 @@
     }
     const Token token = leases_.begin_act(now, task.name, task.limit);
     if (token.raw == 0) {
-      task.startable_from = -1; // it would not end in time: after the next renewal it does
+      task.startable_from = -1; // it would not end within the holding; it will after the next renewal
       continue;
     }
     task.tokens -= task.max_per_hour > 0 ? 1 : 0;
--- a/leases/tasks.hpp
+++ b/leases/tasks.hpp
@@ -1,13 +1,13 @@
-// Periodic tasks of the whole fleet: each is done by whoever holds its lease, at most once at a time, in its
-// period, under its token. Decides only, as leases.hpp does: no I/O, no clock, one time with each call; what
-// is to be done goes out by `TaskActions`. docs/leases.md says which guarantee holds for which kind of
-// target.
+// Periodic tasks of the fleet: each task is run by the holder of its lease, at most once at a time, once per
+// period, under the lease's token. Logic only, as leases.hpp: no I/O, no clock; each call passes the current
+// time, and actions are requested through `TaskActions`. docs/leases.md states which guarantee holds for
+// which kind of target.
 //
-// A task that is due is begun only if its longest time ends within the holding, most important first, so many
-// at once. Who fails at it several times in a row lets it go for a while, so that another tries: it may be
-// this server alone that can't reach the target.
+// A due task is started only if its time limit ends within the holding; if several are due, the highest
+// priority goes first. A member that fails a task several times in a row releases its lease for a while, so
+// that another member tries: the target may be unreachable from this server only.
 //
-// Errors: the constructor throws std::invalid_argument with the name of a setting that is senseless.
+// Errors: the constructor throws std::invalid_argument naming an invalid setting.
 #pragma once
 
 #include "leases.hpp"
@@ -20,44 +20,47 @@
 
 using TaskId = Id<struct TaskIdTag, std::uint32_t>; // index into the tasks
 
-enum class TaskOutcome { done, failed, unknown, refused }; // unknown: it may have had its effect
+// How a task ended; unknown: it may have taken effect.
+enum class TaskOutcome { done, failed, unknown, refused };
 std::string_view to_text(TaskOutcome outcome);
 
+// What a `Tasks` object asks its owner to do.
 class TaskActions {
  public:
   virtual ~TaskActions() = default;
-  // To be done now, over within `limit`; ends by `Tasks::ended`.
+  // Run the task now, within `limit`; its end is reported by `Tasks::ended`.
   virtual void begin(TaskId task, Token token, Nanos limit) = 0;
-  // All others are to hear that it was done just now.
+  // Notify all other members that it was just done.
   virtual void notify_done(TaskId task, Token token) = 0;
-  virtual void
-  released_after_failures(TaskId task,
-                          Nanos backoff) = 0; // let go after failures, asked for again after the rest
+  // The lease was released after failures and is requested again after the delay.
+  virtual void released_after_failures(TaskId task, Nanos backoff) = 0;
 };
 
+// The periodic tasks as seen by one member.
 class Tasks {
  public:
-  // `figures`, for each task from 0 on, spans in ns:
+  // `settings`, for each task from 0 on, durations in ns:
   // - task.N.name: also the name of its lease
-  // - task.N.every: the period; task.N.limit: the longest that it takes, under the period
-  // - task.N.priority: greater ones first; 0
-  // - task.N.most_an_hour: how often this member may begin it; 0: no bound
-  // - task.N.catch_up: 1: periods that were missed are done later, one after the other, some at the most
-  // - tasks.at_once: that this member does at once
+  // - task.N.every: the period; task.N.limit: the longest run time, at most the period
+  // - task.N.priority: greater ones first; default 0
+  // - task.N.most_an_hour: how often this member may start it an hour; 0: no limit
+  // - task.N.catch_up: 1: missed periods are made up for one after the other, up to a limit
+  // - tasks.at_once: tasks that this member runs concurrently
   Tasks(Nanos now, const Settings& settings, Leases& leases, TaskActions& actions);
 
-  // What the leases have ordered: from when a lease may be acted under, or that it is gone.
+  // Lease changes: the time from which tasks may run under the lease, or its loss.
   void held(std::string_view lease, Nanos from);
   void lost(std::string_view lease);
-  void ended(Nanos now, TaskId task, Token token, TaskOutcome outcome,
-             Token target_token); // seen: of a target that refused
+  // A task ended. `target_token`: the token that the target knows, if it refused.
+  void ended(Nanos now, TaskId task, Token token, TaskOutcome outcome, Token target_token);
+  // Another member reports that it completed the task `ago` earlier.
   void completed_elsewhere(Nanos now, std::string_view name, Token token, Nanos ago);
-  void leave(Nanos now); // begins none any more
+  void leave(Nanos now); // no task is started after this
 
-  Nanos next_wake() const; // -1: none but by a change of what is held
+  Nanos next_wake() const; // -1: none, unless a lease changes
   void due(Nanos now);
 
-  struct Status {
+  struct Status { // of a task
     std::string name;
     bool running = false;
     Nanos limit = 0, last = -1, next = 0;
@@ -73,16 +76,15 @@
     int priority;
     double max_per_hour;
     bool catch_up;
-    double tokens = 0; // of the bound an hour
+    double tokens = 0; // token bucket of the hourly limit
     Nanos refilled_at = 0;
-    Token running{0};         // 0: not
-    Nanos last = -1;          // when it was done last, as far as this member has heard
-    Nanos next = 0;           // when it is due
-    Token last_done_token{0}; // the greatest under which it was done
-    int failures = 0;         // in a row
-    Nanos startable_from =
-        -1; // it may be begun from then on; -1: not held, or not before the next word of its lease
-    Nanos backoff_until = -1; // has let its lease go until then; -1: wants it
+    Token running{0};          // 0: not running
+    Nanos last = -1;           // last completion that this member knows of
+    Nanos next = 0;            // time when it is due
+    Token last_done_token{0};  // the greatest token under which it was done
+    int failures = 0;          // consecutive
+    Nanos startable_from = -1; // -1: the lease is not held, or its next renewal has to come first
+    Nanos backoff_until = -1;  // the lease is released until then; -1: it is requested
     Nanos backoff = 0;
     std::uint64_t begun = 0, done = 0, failed = 0, refused = 0, missed = 0;
   };
--- a/leases/trials.cpp
+++ b/leases/trials.cpp
@@ -5,7 +5,7 @@
 namespace cometshift {
 
 namespace {
-constexpr double min_report_timeout_terms = 2; // a holder may be lost, and the next one found, in between
+constexpr double min_report_timeout_terms = 2; // the time in which a holder may fail and a next one be found
 } // namespace
 
 Trials::Trials(const Settings& settings, std::string lease, Leases& leases, std::uint64_t seed,
@@ -26,11 +26,11 @@
   if (stopped_at_ >= 0) return;
   stopped_at_ = now;
   latest_token_ = Token{0};
-  if (!leases_.acquire(now, lease_)) return; // no room for its name: each for itself
+  if (!leases_.acquire(now, lease_)) return; // no room for the lease name: this server sends trials itself
   defer(now + report_timeout_);
 }
 
-// Who holds the lease needs to wait for nobody.
+// The holder of the lease does not wait for reports.
 void Trials::held(Nanos now, Token token, Nanos from) {
   if (stopped_at_ < 0) return;
   held_token_ = token;
@@ -54,18 +54,18 @@
 }
 
 void Trials::result_received(Nanos now, Token token, bool success, Nanos ago) {
-  // Against word of what was before calls stopped here, and of an earlier holder that comes late.
+  // Ignores reports of trials before calls stopped here, and late reports of an earlier holder.
   if (stopped_at_ < 0 || ago < 0 || now - ago < stopped_at_ || (token.raw != 0 && token < latest_token_))
     return;
   latest_token_ = std::max(latest_token_, token);
   if (success) {
     if (resume_at_ >= 0) return;
     resume_at_ = now + static_cast<Nanos>(random_.unit() * static_cast<double>(spread_));
-    defer(std::max(deferred_until_,
-                   resume_at_)); // against all at once, where the last bad word is too old meanwhile
+    // Spreads the servers also if the last failure report is too old by then.
+    defer(std::max(deferred_until_, resume_at_));
     return;
   }
-  // Another's failure puts off this server's own trial, unless it is the one that holds.
+  // Another server's failed trial defers this server's own, unless this server holds the lease.
   if (held_token_.raw == 0 && token.raw != 0) defer(std::max(deferred_until_, now - ago + report_timeout_));
 }
 
--- a/leases/trials.hpp
+++ b/leases/trials.hpp
@@ -1,10 +1,11 @@
-// Trials of a service below by one hand: where calls to it have stopped on many servers, whoever holds its
-// lease tries it, and tells the others what came of that; they wait for the word instead of trying each for
-// itself. Decides only, as leases.hpp does. What a trial is and when calls stop is the server's own
-// judgement; with nobody heard for a stated time, each tries for itself, as without leases.
+// Shared trials of the service below after a circuit breaker has opened. Where calls have stopped on many
+// servers, only the holder of a lease sends trial calls and reports the result to the others, which wait for
+// it instead of each sending its own trials. Logic only, as leases.hpp. The server itself decides what a
+// trial is and when calls stop. A server that receives no report for a given time sends trials itself, as it
+// would without leases.
 //
-// Times: of the clock of who holds, ns. Nothing that is ordered may call back within the order. Errors: the
-// constructor throws std::invalid_argument with the name of a setting that is senseless.
+// Times: ns, on the clock of lease holders (clocks.hpp). Actions must not call back into this object.
+// Errors: the constructor throws std::invalid_argument naming an invalid setting.
 #pragma once
 
 #include "leases.hpp"
@@ -14,34 +15,42 @@
 
 namespace cometshift {
 
+// What a `Trials` object asks its owner to do.
 class TrialActions {
  public:
   virtual ~TrialActions() = default;
-  virtual void
-  defer_trial(Nanos until) = 0;    // this server makes no trial before then; a time that is past: it may
-  virtual void resume_calls() = 0; // calls may go there again, few at first, as after a good trial of its own
-  virtual void report_result(bool success, Token token) = 0; // all others; 0: a trial for itself
+  // This server sends no trial call before `until`; if that is in the past, it may send one at once.
+  virtual void defer_trial(Nanos until) = 0;
+  // Calls may resume, few at first, as after a successful trial of this server.
+  virtual void resume_calls() = 0;
+  // Reports a trial's result to all other members; token 0: a trial without the lease.
+  virtual void report_result(bool success, Token token) = 0;
 };
 
+// The shared trials as seen by one server.
 class Trials {
  public:
-  // `figures`, spans in ns:
-  // - trials.unheard: after so long without a word of whoever tries, this server tries for itself; at least
-  // two terms
-  // - trials.spread: over which servers come back after a good word, by chance: against all at once
+  // `settings`, durations in ns:
+  // - trials.unheard: after that long without a report this server sends trials itself; at least two
+  //   lease terms
+  // - trials.spread: after a successful trial the servers resume at random times within this span, not
+  //   all at once
   Trials(const Settings& settings, std::string lease, Leases& leases, std::uint64_t seed,
          TrialActions& actions);
 
-  void calls_stopped(Nanos now); // calls have stopped here
-  void trial_finished(Nanos now,
-                      bool success); // a trial of this server's has ended, or calls go again by themselves
+  void calls_stopped(Nanos now); // the circuit breaker of this server has opened
+  // A trial call of this server has ended, or its calls resumed by themselves.
+  void trial_finished(Nanos now, bool success);
+  // The lease was acquired or renewed, or it was lost.
   void held(Nanos now, Token token, Nanos from);
   void lost(Nanos now);
+  // Another member reports a trial that ended `ago` earlier.
   void result_received(Nanos now, Token token, bool success, Nanos ago);
 
   Nanos next_wake() const { return resume_at_; } // -1: none
   void due(Nanos now);
 
+  // Whether calls are stopped and this object coordinates the trials.
   bool waiting() const { return stopped_at_ >= 0; }
 
  private:
@@ -53,11 +62,11 @@
   std::string lease_;
   Pcg random_;
   Nanos report_timeout_, spread_;
-  Nanos stopped_at_ = -1;    // -1: calls go
-  Nanos deferred_until_ = 0; // others try, as last ordered
-  Nanos resume_at_ = -1;     // calls may go again from then
-  Token held_token_{0};      // held
-  Token latest_token_{0};    // the greatest under which a trial was told of
+  Nanos stopped_at_ = -1;    // -1: calls are not stopped
+  Nanos deferred_until_ = 0; // the time last passed to `defer_trial`
+  Nanos resume_at_ = -1;     // calls resume at that time; -1: not decided
+  Token held_token_{0};      // of the lease, while it is held
+  Token latest_token_{0};    // the greatest token of a reported trial
 };
 
 } // namespace cometshift
--- a/leases/voters.cpp
+++ b/leases/voters.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::size_t max_voters = 7;           // more only cost messages: three may be lost of seven
-constexpr std::size_t max_known_members = 4096; // members whose files are remembered
+constexpr std::size_t max_voters = 7;           // with seven, three may fail; more voters only cost messages
+constexpr std::size_t max_known_members = 4096; // members whose reported epochs are kept
 
 bool majority(const std::set<MemberId>& subset, const std::set<MemberId>& voters) {
   const auto count =
@@ -38,7 +38,7 @@
   update_joint(now);
 }
 
-// Against a list that leaves out a step: between this one and it no majorities need meet.
+// A list that skips an epoch is rejected: its majorities need not intersect those of the current list.
 std::string_view Voters::apply_file(Nanos now, VoterList on_file) {
   if (!is_valid(on_file)) return "senseless";
   if (on_file.epoch < list_.epoch) return "its epoch is past";
@@ -64,15 +64,15 @@
   update_joint(now);
 }
 
-// A newer list is what others go by: asks under an older one come to nothing more and more. Whatever epochs
-// lie between, those who made it have seen them settled.
+// Other members use the newer list, so asks under an older one increasingly fail. Whatever epochs lie
+// between, the members that applied the newer list have seen them settled.
 void Voters::list_received(Nanos now, const VoterList& list) {
   if (is_valid(list) && list.epoch > list_.epoch) adopt(now, list);
 }
 
 void Voters::update_joint(Nanos now) {
   if (!joint_) return;
-  std::set<MemberId> refusing;
+  std::set<MemberId> refusing; // previous voters that refuse the previous epoch for good
   for (const MemberId member : list_.previous) {
     const auto at = file_epochs_.find(member);
     if (member == self_ ? on_file_ >= list_.epoch : at != file_epochs_.end() && at->second >= list_.epoch)
