--- a/tests/capacity.cpp
+++ b/tests/capacity.cpp
@@ -1,5 +1,5 @@
-// The three estimators of capacity on the same machine: told at first nothing, then cold, warm, at half
-// speed, and back.
+// The three capacity estimators on the same simulated machine of four cores, at different concurrency and
+// core speed.
 #include "capacity.hpp"
 #include "driver.hpp"
 
@@ -15,7 +15,7 @@
     Capacity c(0, estimator, 1);
     Nanos now = 0;
     Pcg random(3);
-    // As many runs as are let in at a time, on four cores that are shared.
+    // `concurrency` concurrent runs share four cores.
     const auto run_phase = [&](const char* title, Nanos time, int concurrency, double speed) {
       std::vector<double> remaining(static_cast<std::size_t>(concurrency));
       std::vector<Nanos> started(remaining.size(), now);
--- a/tests/fleet_of_leases.hpp
+++ b/tests/fleet_of_leases.hpp
@@ -1,6 +1,7 @@
-// Many members in one process, from one seed: a network that loses, delays, doubles, reorders and cuts;
-// clocks that run at other rates and show other times; crashes that forget; pauses at any point, also within
-// an act. The referee has the one true time and hears of every holding and every act.
+// A simulated fleet of lease members in one process, driven by one seed. The network loses, delays,
+// duplicates, reorders and cuts messages; clocks run at different rates and show different times; members
+// crash and lose their state, and pause at any point, also during an act. The referee knows the true time and
+// sees every holding and every act.
 #pragma once
 
 #include "leases.hpp"
@@ -21,34 +22,34 @@
   std::uint64_t seed = 1;
   unsigned members = 5, voters = 3;
   Nanos term = second;
-  double drift = 0.01;   // the bound that members are told
-  double clocks_off = 1; // part of it that clocks use; over 1 they break it
-  Nanos act = 50 * ms;   // the longest that a member plans for
+  double drift = 0.01;   // the drift bound in the members' settings
+  double clocks_off = 1; // fraction of the bound that clocks use; above 1 they violate it
+  Nanos act = 50 * ms;   // the longest act a member plans for
   Nanos lock_delay = 0;  // leases.longest_act
   int most_terms = 0;
-  double list_updates = 0.1;      // part of the letters that tell of voters
-  bool unsettled_changes = false; // the operator does not wait for a list to be settled
-  bool raises_counter = false;    // and one that goes on
-  bool first_token_hint = true;   // members know a count that rises over their starts
+  double list_updates = 0.1;      // fraction of the messages that carry the voter list
+  bool unsettled_changes = false; // the operator does not wait until a list is settled
+  bool raises_counter = false;    // members raise their token counter
+  bool first_token_hint = true;   // leases.first_token rises with each start
   Nanos length = 30 * second;
-  double lost = 0.1, duplicated = 0.1, late = 0.02; // parts of the messages; late: by up to three terms
-  Nanos kill_every = 0;                             // the holder, once so long or up to a half more; 0: never
-  double crashes = 0.3, pauses = 0.3, cuts = 0.3, drops = 0.1; // a second, of the whole fleet
+  double lost = 0.1, duplicated = 0.1, late = 0.02; // fractions of the messages; late: by up to three terms
+  Nanos kill_every = 0; // interval between kills of the holder, up to a half longer; 0: never
+  double crashes = 0.3, pauses = 0.3, cuts = 0.3, drops = 0.1; // per second, in the whole fleet
   Nanos longest_pause = 3 * second;
-  double in_act = 0.02;              // part of the acts with a pause in them
+  double in_act = 0.02;              // fraction of the acts with a pause in them
   Nanos longest_in_act = 3 * second; // of those pauses
-  bool check_unfenced = false;       // acts at once at the target that can't fence are wrong
-  Nanos faults_until = -1;           // no more faults from then on; -1: never
-  double changes = 0; // of the list of voters, a second, by an operator who waits until one is settled
+  bool check_unfenced = false;       // concurrent acts at the target that cannot fence are a violation
+  Nanos faults_until = -1;           // no faults from then on; -1: faults until the end
+  double changes = 0; // changes of the voter list per second, by an operator who waits until each is settled
 };
 
 struct Verdict {
   int holdings = 0, renewals = 0, overlaps = 0, acts = 0, stale_refused = 0, concurrent_acts_unfenced = 0;
-  std::uint64_t changes = 0; // lists of voters that were settled
-  int non_rising_tokens = 0; // holdings with a token not over the one before
-  Nanos longest_gap = 0;     // without a holder, after quiet_after
-  std::vector<Nanos> gaps;   // from a holder's kill to the next one's first act
-  std::string first;         // what went wrong first
+  std::uint64_t changes = 0; // voter lists that were settled
+  int non_rising_tokens = 0; // holdings whose token was not greater than the previous one
+  Nanos longest_gap = 0;     // time without a holder, after faults_until
+  std::vector<Nanos> gaps;   // from the kill of a holder to the next holder's first act
+  std::string first;         // the first violation
 };
 
 class FleetOfLeases {
@@ -56,14 +57,14 @@
     FleetOfLeases& fleet;
     MemberId self;
     std::uint64_t starts = 0;
-    VoterList file; // as it is read at a start, or at a signal
+    VoterList file; // the operator file's list, read at a start or on a signal
     std::unique_ptr<Voters> voters;
     std::unique_ptr<Leases> leases;
-    double rate = 1;        // of its clock
-    Nanos clock_offset = 0; // what its clock shows more, at the true time 0
+    double rate = 1;        // rate of its clock
+    Nanos clock_offset = 0; // its clock's reading at true time 0
     Nanos paused_until = 0;
     bool up = false;
-    std::vector<std::function<void()>> waiting; // what came while it stood still
+    std::vector<std::function<void()>> waiting; // what arrived while it was paused
     std::size_t holding = ~std::size_t{0};
     Nanos scheduled_wake = -1;
 
@@ -72,7 +73,7 @@
     Nanos true_time(Nanos clock_time) const { // rounded up
       return static_cast<Nanos>(static_cast<double>(clock_time - clock_offset) / rate) + 1;
     }
-    // Some letters tell of voters, too.
+    // Some messages also carry the voter list.
     void send(MemberId to, std::function<void(Leases&, Nanos)> action) {
       const bool with_list = fleet.plan_.changes > 0 && fleet.random_.unit() < fleet.plan_.list_updates;
       fleet.send(self, to,
@@ -126,12 +127,12 @@
   Token target_token_{0};
   struct Act {
     Token token;
-    Nanos end; // the act of a later end began before, if it was at once with this one
+    Nanos end; // an act that ends later overlaps this one if it began before this end
   };
-  std::deque<Act> unfenced_acts_; // in the order of their ends
+  std::deque<Act> unfenced_acts_; // ordered by end
   Nanos last_end_ = 0;
-  VoterList list_;              // the newest that the operator has made
-  Nanos holder_killed_at_ = -1; // the holder, and no other has acted since
+  VoterList list_;              // the operator's newest list
+  Nanos holder_killed_at_ = -1; // when the holder was killed, -1 once another member has acted
   using Event = std::pair<std::pair<Nanos, std::uint64_t>, std::function<void()>>;
   struct Later {
     bool operator()(const Event& a, const Event& b) const { return a.first > b.first; }
@@ -186,7 +187,7 @@
     if (verdict_.first.empty()) verdict_.first = std::to_string(now / ms) + " ms: " + description;
   }
 
-  // So many a second, as long as there are faults.
+  // Schedules a fault at this rate per second, as long as faults are injected.
   void schedule_faults(double rate, std::function<void()> action) {
     if (rate <= 0) return;
     at(now + static_cast<Nanos>(2 * random_.unit() / rate * static_cast<double>(second)),
@@ -220,8 +221,8 @@
     member.leases->acquire(member.clock(), lease_name);
     wake(member);
   }
-  // A new list, of other voters at times and of as many or more or fewer, comes to each member's file after a
-  // while, and is read there by a signal if it is up. Whoever is down then may miss it for good.
+  // A new list with random voters, of the same or another number, reaches each member's file after a while
+  // and is read there on a signal if the member is up. A member that is down then may miss it for good.
   void change() {
     const bool settled = std::any_of(members_.begin(), members_.end(), [&](const auto& member) {
       return member->up && member->voters->epoch() == list_.epoch && !member->voters->joint();
@@ -253,7 +254,7 @@
     holding_ended(member);
     member.up = false;
     member.leases.reset();
-    // Back soon, or after a while.
+    // Restarts soon, or after a longer while.
     at(now + random_part(random_.unit() < 0.5 ? plan_.term / 4 : 3 * plan_.term), [this, &member] {
       if (!member.up) start_member(member);
     });
@@ -280,7 +281,7 @@
     });
   }
   void cut_links() {
-    // A part hears nothing, or isn't heard, or both.
+    // Part of the fleet cannot receive, or cannot send, or both.
     const double direction = random_.unit();
     std::set<MemberId> side;
     for (auto& member : members_)
@@ -324,7 +325,7 @@
       });
     }
   }
-  // Now, or when it goes on; in this life only.
+  // Runs now, or when the pause ends; only in the same incarnation.
   void run_on(Member& member, std::function<void()> action) {
     if (!member.up) return;
     if (member.paused_until > now)
@@ -397,8 +398,8 @@
     member.holding = ~std::size_t{0};
   }
 
-  // Each member tries to act now and then: it checks, and does it after a while, with a pause between at
-  // times.
+  // Each member repeatedly tries to act: it checks its lease and completes the act a while later, sometimes
+  // with a pause in between.
   void schedule_acts(Member& member) {
     at(now + random_part(100 * ms), [this, &member] {
       run_on(member, [this, &member] {
@@ -422,7 +423,8 @@
       schedule_acts(member);
     });
   }
-  // At both targets: one that fences, and one that can't, at which an act is all the time from the check on.
+  // Each act goes to two targets: one that fences by token, and one that cannot, at which the act lasts from
+  // the check to its completion.
   void complete_act(Member& member, Token token, Nanos begun) {
     ++verdict_.acts;
     if (holder_killed_at_ >= 0) verdict_.gaps.push_back(begun - holder_killed_at_), holder_killed_at_ = -1;
--- a/tests/leases.cpp
+++ b/tests/leases.cpp
@@ -1,6 +1,6 @@
-// Leases: what one member does, step by step; then whole fleets from seeds, with a referee
-// (fleet_of_leases.hpp). With arguments: so many seeds of the troubled kind only, or of those in which voters
-// change ("changing"), to the first that goes wrong ("stop"), and what went wrong.
+// Tests of leases: one member step by step, then simulated fleets from seeds with a referee
+// (fleet_of_leases.hpp). With arguments, as the judge of mutants: the number of seeds to run with faults;
+// "changing" limits them to fleets whose voters change; "stop" ends at the first violation, which is printed.
 #include "fleet_of_leases.hpp"
 
 #include <cstdlib>
@@ -45,7 +45,7 @@
   if (!s.first.empty()) std::printf("  first: %s\n", s.first.c_str());
 }
 
-// All kinds of fleets in turn.
+// The fleet of a kind; the kinds combine its properties in turn.
 Plan plan_of_kind(std::uint64_t seed) {
   Plan plan;
   plan.voters = seed % 5 == 0 ? 1 : seed % 5 < 3 ? 3 : 5;
@@ -58,8 +58,8 @@
   plan.length = 20 * second;
   return plan;
 }
-// Seven members, of which one to three vote, ever others; files that come late or not at all, starts with old
-// ones.
+// Seven members with one to three changing voters; operator files arrive late or not at all, and members
+// restart with old ones.
 Plan voter_change_plan(std::uint64_t seed) {
   Plan plan = plan_of_kind(seed);
   plan.members = 7;
@@ -69,7 +69,8 @@
   plan.crashes = seed % 2 == 0 ? 1.5 : 0.4;
   plan.lost = 0.05;
   plan.length = 30 * second;
-  // An operator who does not wait: members that go on have to see to it that no step is left out.
+  // The operator does not wait for a list to be settled: members that keep running have to ensure that no
+  // list is skipped.
   plan.unsettled_changes = seed % 4 == 3;
   if (plan.unsettled_changes) {
     plan.crashes = 0;
@@ -79,8 +80,8 @@
   return plan;
 }
 
-// For a target that can't fence: acts of 300 ms at the most with the pauses in them, which the next holder
-// waits out; or acts without a pause, which nobody waits out.
+// For a target that cannot fence: acts of at most 300 ms including pauses, which the next holder waits out;
+// or acts without a pause, which nobody waits out.
 Plan unfenced_plan(bool waited_out) {
   Plan plan = plan_of_kind(2);
   plan.check_unfenced = true;
@@ -94,7 +95,7 @@
   plan.lock_delay = waited_out ? 300 * ms : 0;
   return plan;
 }
-// Most voters forget again and again.
+// Most voters lose their state again and again.
 Plan forgetful_plan() {
   Plan plan = plan_of_kind(2);
   plan.crashes = 4;
@@ -123,7 +124,7 @@
   return all.overlaps + all.non_rising_tokens + all.concurrent_acts;
 }
 
-// One member's orders, printed.
+// Prints one member's actions.
 struct Printed final : LeaseActions {
   void ask(MemberId v, Epoch, std::string_view l, AskNo n, Token t, Nanos term) override {
     std::printf("  ask %u for %.*s, ask %llu, token %llx, %lld ms\n", v.raw, static_cast<int>(l.size()),
@@ -204,8 +205,8 @@
   m.acquire(0, "t");
   m.due(0);
   m.granted(10 * ms, MemberId{1}, me, "t", AskNo{1}, false);
-  m.granted(10 * ms, MemberId{1}, me, "t", AskNo{1}, false); // twice is once
-  m.granted(10 * ms, MemberId{8}, me, "t", AskNo{1}, false); // no voter
+  m.granted(10 * ms, MemberId{1}, me, "t", AskNo{1}, false); // a duplicate counts once
+  m.granted(10 * ms, MemberId{8}, me, "t", AskNo{1}, false); // not a voter
   m.granted(20 * ms, MemberId{2}, me, "t", AskNo{1}, false);
   say("it acts once what a holder before may have begun is over, and if the act ends in time");
   std::printf("  at 50 ms %llx, at 130 ms %llx, at 130 ms for 860 ms %llx\n",
@@ -283,7 +284,7 @@
   Plan killed = calm;
   killed.members = 7;
   killed.voters = 5;
-  killed.kill_every = 6 * second; // by then the one before is back and no longer silent
+  killed.kill_every = 6 * second; // by then the previous one is back and no longer silent
   Sum kills = run_seeds(killed, 1, 10);
   print("the holder killed every six to nine seconds", kills);
   std::sort(kills.gaps.begin(), kills.gaps.end());
@@ -329,7 +330,7 @@
   fair.length = 60 * second;
   print("turns of three terms", run_seeds(fair, 1, 10));
   Plan broken = plan_of_kind(2);
-  broken.clocks_off = 8; // eight times the bound: the argument does not hold, and the referee has to see it
+  broken.clocks_off = 8; // eight times the bound: leases are not safe there, and the referee has to detect it
   const Sum seen = run_seeds(broken, 1, 60);
   print("clocks eight times beyond the bound", seen);
   violations += steady.overlaps + again.overlaps + changes.overlaps + (seen.overlaps == 0);
--- a/tests/pools.cpp
+++ b/tests/pools.cpp
@@ -1,4 +1,4 @@
-// Pools alone: floors, ceilings, the reserve, repeats, tenants; what comes back and when.
+// Unit tests of pools: floors, ceilings, the reserve, retries, tenants, and the retry delay of refused ops.
 #include "pools.hpp"
 #include "driver.hpp"
 
@@ -14,7 +14,7 @@
   return settings;
 }
 
-// Two cores that do a look in 50 ms and a book in 100; as many run as there are cores.
+// A server with two cores; a look takes 50 ms and a book 100 ms, and one op runs per core.
 struct TestServer {
   Nanos now = 0;
   Pools pools;
@@ -22,7 +22,7 @@
   std::vector<std::pair<Nanos, OpId>> running;
   std::map<OpId, std::pair<OpTypeId, Nanos>> waiting;
   std::map<OpId, double> worth;
-  double turned_away_work = 0; // protected work that was turned away after all
+  double turned_away_work = 0; // protected work that was turned away nevertheless
   std::deque<OpId> queue;
   double slowdown = 1;
 
@@ -57,7 +57,7 @@
       waiting[id] = {OpTypeId{type}, type == 0 ? 50 * ms : 100 * ms};
       worth[id] = v.worth;
       queue.push_back(id);
-      if (queue.size() > 6) { // the module turns away what is worth least
+      if (queue.size() > 6) { // as the module: turns away the op of the least worth
         const auto least =
             std::min_element(queue.begin(), queue.end(), [&](OpId a, OpId b) { return worth[a] < worth[b]; });
         if (worth[*least] >= 1000) turned_away_work += static_cast<double>(waiting[*least].second) / second;
@@ -68,7 +68,8 @@
     }
     return v;
   }
-  // So much of each type a second, evenly, for some seconds; how many passed, protected, refused.
+  // Offers each type at a steady rate per second for some time, and prints how many ops were admitted,
+  // protected and refused.
   void load(const char* title, double looks, double books, Nanos time, unsigned tenant = 0) {
     struct Count {
       int admitted = 0, protected_ops = 0, refused = 0;
--- a/tests/tasks.cpp
+++ b/tests/tasks.cpp
@@ -1,4 +1,4 @@
-// Tasks of the whole fleet, and the time that leases go by: what one member orders, step by step.
+// Tests of the fleet's periodic tasks on one member, step by step, and of the lease clock.
 #include "tasks.hpp"
 #include "clocks.hpp"
 
@@ -16,11 +16,11 @@
 constexpr Nanos second = 1000 * ms;
 void say(const char* text) { std::printf("# %s\n", text); }
 
-// A member that is the one voter: what it asks itself is heard at the end of each step.
+// A member that is the only voter; its messages to itself are delivered at the end of each step.
 struct Driver final : LeaseActions, TaskActions {
   Nanos now = 0;
   std::deque<std::function<void()>> pending_messages;
-  bool asks_lost = false; // its asks get lost
+  bool asks_lost = false; // its asks are lost
   Voters voters{0, MemberId{1}, {Epoch{1}, {MemberId{1}}, {}}, second};
   Leases leases;
   std::unique_ptr<Tasks> tasks;
@@ -120,12 +120,12 @@
     say("done once a period by who holds it; not begun while it is under way, or where it would not end in "
         "time");
     Driver s(task(0, "sweep", 400, 300));
-    s.run_until(1100); // a voter that starts is silent for a term
+    s.run_until(1100); // a voter is silent for a term after its start
     s.run_until(1250);
     s.finish(0, TaskOutcome::done);
     s.run_until(1600);
     s.finish(0, TaskOutcome::done);
-    s.asks_lost = true; // no renewal from here on
+    s.asks_lost = true; // no renewal succeeds from here on
     s.run_until(3000);
   }
   {
@@ -221,8 +221,8 @@
     }
 }
 
-// Who holds has to let go by true time, who granted must not let go before it, whichever one of two clocks is
-// wrong.
+// The holder must release by the true time and the voter must not let a grant expire before it, whichever one
+// of the two clocks is wrong.
 void clocks() {
   say("two clocks, one of them wrong: over ten seconds, what who holds and who granted count");
   struct Case {
--- a/tests/trials.cpp
+++ b/tests/trials.cpp
@@ -1,6 +1,6 @@
-// Trials of a service below by one hand: what one server does, step by step; then fleets in simulated time,
-// each server with a breaker as the module's, beside the same fleet with each for itself. The service counts
-// what reaches it.
+// Tests of shared trials: one server step by step, then simulated fleets whose servers have the decision
+// module's circuit breaker, compared with the same fleets where each server sends its own trials. The service
+// counts the calls that reach it.
 #include "trials.hpp"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 constexpr Nanos second = 1000 * ms;
 constexpr const char* lease = "below";
 
-// The breaker's own figures, as src/decision_module.cpp has them.
+// The constants of the circuit breaker, as in src/decision_module.cpp.
 constexpr Nanos initial_backoff = 250 * ms, max_backoff = 1000 * ms;
 constexpr int failures_to_open = 5;
 
@@ -26,15 +26,15 @@
   unsigned servers = 12;
   bool shared = true;
   Nanos down_from = 5 * second, down_to = 25 * second, length = 40 * second;
-  Nanos kill_holder_at = -1;        // it is gone for good
-  Nanos cut_from = -1, cut_to = -1; // half of the servers, voters among the others, hear nobody
-  Nanos call_every = 100 * ms;      // of each server, while calls go
+  Nanos kill_holder_at = -1;        // it does not restart
+  Nanos cut_from = -1, cut_to = -1; // half of the servers are cut off; the voters are in the other half
+  Nanos call_every = 100 * ms;      // of each server, while its breaker is closed
 };
 struct Result {
-  std::uint64_t trials_while_down = 0; // at the service, once all have stopped
-  Nanos half_resumed_after = -1,
-        most_resumed_after = -1;          // from the service's return: half, nine tenths of the servers
-  std::uint64_t max_resumed_in_100ms = 0; // servers that came back within any 100 ms
+  std::uint64_t trials_while_down = 0; // trial calls at the service, once all breakers are open
+  // From the service's recovery until half and nine tenths of the servers have resumed.
+  Nanos half_resumed_after = -1, most_resumed_after = -1;
+  std::uint64_t max_resumed_in_100ms = 0; // the most servers that resumed within any 100 ms
   std::uint64_t messages_sent = 0;
 };
 
@@ -182,8 +182,8 @@
     });
   }
   void record_resumed(Server&) { resumed_at_.push_back(now); }
-  // A call now and then; while they have stopped, a single trial after each rest, if it is this server's to
-  // make.
+  // Calls at intervals; while the breaker is open, a single trial after each delay, if this server may send
+  // one.
   void call(Server& server, Nanos after) {
     at(now + after, [this, &server] {
       if (!server.up) return;
