--- a/core/core.cpp
+++ b/core/core.cpp
@@ -81,7 +81,7 @@
   now_ = now;
   if (draining_) return;
   draining_ = true;
-  actions_.note("drain", "told to leave, " + std::to_string(shutdown_timeout_ / ms) + " ms to go");
+  actions_.note("drain", "draining, " + std::to_string(shutdown_timeout_ / ms) + " ms until shutdown");
   module_->drain(now, shutdown_timeout_);
 }
 
@@ -160,12 +160,13 @@
     const Reason reason = duplicate_id ? Reason::known
                           : keys_full  ? Reason::too_many_keys
                                        : Reason::too_many_ops;
-    actions_.note("request", duplicate_id ? "refused, its txn is known" : "refused, too many");
+    actions_.note("request", duplicate_id ? "refused: its txn is already in use"
+                                          : "refused: too many open ops or kept keys");
     actions_.refused(stream_ref, id, reason, 0, false);
     return duplicate_id ? actions_.penalize(stream_ref) : void();
   }
   if (keyed && conflicts_with_confirmed(*key)) {
-    actions_.note("request", "refused, the mark of another op");
+    actions_.note("request", "refused: its mark belongs to another op");
     actions_.refused(stream_ref, id, Reason::other_mark, 0, true);
     return actions_.penalize(stream_ref);
   }
@@ -249,7 +250,7 @@
 
 void Core::halt(OpId) { actions_.note("module", "this link has no command to stop a run"); }
 void Core::answer_without_call(OpId) {
-  actions_.note("module", "this link has no command to go on without a call");
+  actions_.note("module", "this link has no command to continue a run without its call");
 }
 
 void Core::machine_up(Nanos now, Nanos since) {
@@ -305,7 +306,7 @@
   now_ = now;
   const auto at = ops_.find(id);
   if (at == ops_.end() || (at->second.run != Op::Run::sent && at->second.run != Op::Run::pending))
-    return actions_.note("notice", "passed over, the end of a run that is not known");
+    return actions_.note("notice", "ignored: end of an unknown run");
   Op& op = at->second;
   op.run = Op::Run::finished;
   op.at_call = false;
@@ -356,7 +357,7 @@
   now_ = now;
   const auto at = ops_.find(id);
   if (at == ops_.end() || at->second.run != Op::Run::sent || at->second.at_call)
-    return actions_.note("notice", "passed over, a call of a run that is not known");
+    return actions_.note("notice", "ignored: call of an unknown run");
   at->second.run_observed = at->second.at_call = true;
   if (KeyEntry* entry = find_entry(id); entry && entry->executed == id) entry->confirmed = true;
   at->second.call_body = std::move(body);
@@ -468,7 +469,7 @@
   result_bytes_ -= entry.result.size;
   // Bounds memory: a result that does not fit is answered as failed, and the op is not run again.
   if (result_bytes_ + result.size > max_result_bytes_) {
-    actions_.note("results", "no room to keep one");
+    actions_.note("results", "no room to keep the result of a run");
     state = KeyEntry::State::failed;
     result = {};
   }
@@ -559,7 +560,7 @@
              op.answered_at);
   if (Serializer::reads &&
       (op.type.raw >= retry_classes_.size() || op.run > Op::Run::finished || (op.reusing && !op.key)))
-    throw std::invalid_argument("snapshot: an op that can't be");
+    throw std::invalid_argument("snapshot: invalid op");
 }
 
 template <class Serializer>
@@ -567,7 +568,7 @@
   serializer(entry.holder, entry.executed, entry.repeats_until, entry.ended_at, entry.state, entry.confirmed,
              entry.result, entry.waiting);
   if (Serializer::reads && entry.state > KeyEntry::State::failed)
-    throw std::invalid_argument("snapshot: an entry that can't be");
+    throw std::invalid_argument("snapshot: invalid key entry");
 }
 
 template <class Serializer>
@@ -589,7 +590,7 @@
       Key key;
       serializer(end, key);
       const auto [at, inserted] = keys_.try_emplace(key);
-      if (!inserted) throw std::invalid_argument("snapshot: a key twice");
+      if (!inserted) throw std::invalid_argument("snapshot: duplicate key");
       serialize_entry(serializer, at->second);
       holders_.insert(at->second.holder);
       result_bytes_ += at->second.result.size;
@@ -619,7 +620,7 @@
   serializer(gauges_, *module_);
   if (pools_) serializer(*pools_);
   if (Serializer::reads && gauges_.size() != gauge_count)
-    throw std::invalid_argument("snapshot: other gauges than the settings'");
+    throw std::invalid_argument("snapshot: number of gauges differs from the settings");
 }
 
 template void Core::serialize(Writer& serializer);
--- a/leases/leases.cpp
+++ b/leases/leases.cpp
@@ -32,7 +32,7 @@
   case LossReason::given_up:
     return "given up";
   case LossReason::yielded:
-    return "its turn is over";
+    return "yielded to another member";
   case LossReason::refused_by_target:
     return "its token was refused";
   }
--- a/leases/voters.cpp
+++ b/leases/voters.cpp
@@ -41,9 +41,9 @@
 // A list that skips an epoch is rejected: its majorities need not intersect those of the current list.
 std::string_view Voters::apply_file(Nanos now, VoterList on_file) {
   if (!is_valid(on_file)) return "senseless";
-  if (on_file.epoch < list_.epoch) return "its epoch is past";
+  if (on_file.epoch < list_.epoch) return "its epoch is older than that of the current list";
   if (on_file.epoch == list_.epoch) {
-    if (on_file != list_) return "its epoch is that of another list";
+    if (on_file != list_) return "its epoch is already that of another list";
     on_file_ = on_file.epoch;
     update_joint(now);
     return {};
--- a/pools/pools.cpp
+++ b/pools/pools.cpp
@@ -58,7 +58,7 @@
 }
 double fraction_setting(const Settings& settings, const std::string& name, double fallback) {
   const double value = number(settings, name, fallback);
-  if (!(value >= 0 && value <= 1)) throw std::invalid_argument(name + ": not a part from 0 to 1");
+  if (!(value >= 0 && value <= 1)) throw std::invalid_argument(name + ": not a fraction from 0 to 1");
   return value;
 }
 Capacity::Estimator parse_estimator(const std::string& word) {
@@ -337,13 +337,14 @@
   const std::size_t pool_count = pools_.size();
   std::size_t stored_count = pool_count;
   serializer(stored_count);
-  if (stored_count != pool_count) throw std::invalid_argument("snapshot: other pools than the settings'");
+  if (stored_count != pool_count)
+    throw std::invalid_argument("snapshot: number of pools differs from the settings");
   for (Pool& pool : pools_) {
     serializer(pool.floor_bucket, pool.ceiling_bucket, pool.retry_budget, pool.first_tries_per_second,
                pool.tenant_excess, pool.work_rate, pool.protected_work_rate, pool.at, pool.last_repeat_at,
                pool.received, pool.refused, pool.repeats);
     if (pool.tenant_excess.size() != quota_shares_.size())
-      throw std::invalid_argument("snapshot: other tenants than the settings'");
+      throw std::invalid_argument("snapshot: number of tenants differs from the settings");
   }
   serializer(capacity_, reserve_bucket_, running_on_cores_);
   std::size_t open = open_ops_.size();
@@ -351,7 +352,7 @@
   const auto serialize_op = [&](OpenOp& op) {
     serializer(op.pool, op.type, op.tenant, op.work, op.floor, op.reserve, op.core_time, op.on_core_since,
                op.running, op.answered);
-    if (op.pool.raw >= pools_.size()) throw std::invalid_argument("snapshot: an op of no pool");
+    if (op.pool.raw >= pools_.size()) throw std::invalid_argument("snapshot: op of an unknown pool");
   };
   if constexpr (Serializer::reads) {
     open_ops_.clear();
--- a/tests/leases.cpp
+++ b/tests/leases.cpp
@@ -170,26 +170,26 @@
   Leases v(0, MemberId{1}, Incarnation{7}, voters, settings(), 1, out);
   const Incarnation a{5}, b{6};
   const auto say = [](const char* text) { std::printf("# %s\n", text); };
-  say("a voter that starts is silent for the longest term, to its last instant");
+  say("a voter is silent for the longest term after its start, to the last instant");
   v.asked(999'999'999, MemberId{4}, a, epoch, "t", AskNo{1}, Token{0x10004}, second);
   v.asked(second, MemberId{4}, a, epoch, "t", AskNo{2}, Token{0x10004}, second);
-  say("it is granted: another's ask is refused until the instant of its end, when it needs a greater token");
+  say("granted: another member's ask is refused until the grant ends, and then needs a greater token");
   v.asked(2 * second - 1, MemberId{5}, b, epoch, "t", AskNo{1}, Token{0x20005}, second);
   v.asked(2 * second, MemberId{5}, b, epoch, "t", AskNo{2}, Token{0x10004}, second);
   v.asked(2 * second, MemberId{5}, b, epoch, "t", AskNo{3}, Token{0x20005}, second);
-  say("an ask that comes twice, or after a later one, is not taken; an end told before its ask stays told");
+  say("a duplicate or old ask is ignored; a release that arrives before its ask stays in effect");
   v.asked(2 * second + ms, MemberId{5}, b, epoch, "t", AskNo{3}, Token{0x20005}, second);
   v.released(2 * second + 2 * ms, MemberId{5}, b, "t", AskNo{5});
   v.asked(2 * second + 3 * ms, MemberId{5}, b, epoch, "t", AskNo{4}, Token{0x20005}, second);
-  say("the same member started anew is another: it waits too");
+  say("a restarted member counts as another one and waits too");
   v.asked(3 * second, MemberId{4}, a, epoch, "t", AskNo{9}, Token{0x30004}, second);
   v.asked(3 * second + ms, MemberId{4}, Incarnation{99}, epoch, "t", AskNo{1}, Token{0x40004}, second);
-  say("a longer term than starting voters wait out, no name, no token: senseless");
+  say("a term longer than the silence of starting voters, no name, no token: invalid");
   v.asked(5 * second, MemberId{4}, a, epoch, "t", AskNo{20}, Token{0x50004}, second + 1);
   v.asked(5 * second, MemberId{4}, a, epoch, "", AskNo{20}, Token{0x50004}, second);
   v.asked(5 * second, MemberId{4}, a, epoch, "t", AskNo{20}, Token{0}, second);
   std::printf("  senseless %llu\n", static_cast<unsigned long long>(v.invalid_messages()));
-  say("no room for a third name until one has had no grant for long");
+  say("no room for a third name until one has had no grant for a long time");
   v.asked(6 * second, MemberId{4}, a, epoch, "u", AskNo{21}, Token{0x50004}, second);
   v.asked(6 * second, MemberId{4}, a, epoch, "w", AskNo{22}, Token{0x50004}, second);
   v.asked(12 * second, MemberId{4}, a, epoch, "w", AskNo{23}, Token{0x50004}, second);
@@ -201,38 +201,39 @@
   const auto say = [](const char* text) { std::printf("# %s\n", text); };
   const Incarnation me{5};
   Leases m(0, MemberId{9}, me, voters, settings(100 * ms), 1, out);
-  say("who asks: a majority of one ask makes it a holder, counted from when the ask left, less the drift");
+  say("requesting side: a majority for one ask makes a holder, counted from when the ask was sent, less the "
+      "drift");
   m.acquire(0, "t");
   m.due(0);
   m.granted(10 * ms, MemberId{1}, me, "t", AskNo{1}, false);
   m.granted(10 * ms, MemberId{1}, me, "t", AskNo{1}, false); // a duplicate counts once
   m.granted(10 * ms, MemberId{8}, me, "t", AskNo{1}, false); // not a voter
   m.granted(20 * ms, MemberId{2}, me, "t", AskNo{1}, false);
-  say("it acts once what a holder before may have begun is over, and if the act ends in time");
+  say("it acts once the previous holder's acts must have ended, and if its own act ends in time");
   std::printf("  at 50 ms %llx, at 130 ms %llx, at 130 ms for 860 ms %llx\n",
               static_cast<unsigned long long>(m.may_act(50 * ms, "t", ms).raw),
               static_cast<unsigned long long>(m.may_act(130 * ms, "t", ms).raw),
               static_cast<unsigned long long>(m.may_act(130 * ms, "t", 860 * ms).raw));
-  say("it renews early; grants of the ask before carry nothing on, a majority of the new one does");
+  say("it renews early; grants for the previous ask renew nothing, a majority for the new one does");
   const Nanos renew = m.next_wake();
   m.due(renew);
   m.granted(renew + ms, MemberId{3}, me, "t", AskNo{1}, false);
   m.granted(renew + ms, MemberId{3}, me, "t", AskNo{2}, false);
   m.granted(renew + 2 * ms, MemberId{1}, me, "t", AskNo{2}, false);
-  say("given up while an act is under way: once that is over, no sooner, and no act begins meanwhile");
+  say("dropped during an act: released once the act has ended, and no act begins meanwhile");
   const Token token = m.begin_act(renew + 3 * ms, "t", 10 * ms);
   m.leave(renew + 4 * ms);
   std::printf("  another act: %llx\n",
               static_cast<unsigned long long>(m.begin_act(renew + 5 * ms, "t", ms).raw));
   m.end_act(renew + 6 * ms, "t", token);
-  say("a grant that comes when it has ended is none");
+  say("a grant that arrives after its own end is ignored");
   Leases late(0, MemberId{9}, me, voters, settings(), 1, out);
   late.acquire(0, "t");
   late.due(0);
   late.granted(970 * ms, MemberId{1}, me, "t", AskNo{1}, false);
   late.granted(981 * ms, MemberId{2}, me, "t", AskNo{1}, false);
-  say("voters an eighth of a term away and more: asked again before they have answered; told how far, waited "
-      "for");
+  say("voters farther away than an eighth of a term: asked again too soon; with a longer answer time-out, "
+      "waited for");
   for (const bool told : {false, true}) {
     Settings far = settings();
     if (told) far["leases.answer"] = 200e6;
@@ -243,14 +244,14 @@
     away.granted(150 * ms, MemberId{1}, me, "t", AskNo{1}, false);
     away.granted(150 * ms, MemberId{2}, me, "t", AskNo{1}, false);
   }
-  say("a token that is too small: at once a greater one");
+  say("a token that is too small: a greater one is used at once");
   Leases small(0, MemberId{9}, me, voters, settings(), 1, out);
   small.acquire(0, "t");
   small.due(0);
   small.refused(5 * ms, MemberId{1}, me, "t", AskNo{1}, Token{0x70003}, 0);
   small.refused(5 * ms, MemberId{2}, me, "t", AskNo{1}, Token{0x70003}, 0);
   small.due(5 * ms);
-  say("what is acted on knows a greater token: let go, and asked for anew above it");
+  say("the target knows a greater token: the lease is released and requested again above it");
   small.granted(6 * ms, MemberId{1}, me, "t", AskNo{3}, false);
   small.granted(6 * ms, MemberId{2}, me, "t", AskNo{3}, false);
   small.refused_by_target(7 * ms, "t", Token{0x90001});
--- a/tests/pools.cpp
+++ b/tests/pools.cpp
@@ -102,7 +102,7 @@
 
 int main() {
   {
-    say("a floor for bookings: so much of the capacity as observed is protected, whatever else comes");
+    say("floor for bookings: this fraction of the observed capacity is protected, whatever else arrives");
     TestServer s({{"pool.0.name", "bookings"}, {"pool.0.op_types", "book\n"}, {"pool.0.floor", 0.5}});
     s.load("learning", 10, 5, 4 * second);
     s.load("a flood of looks", 200, 20, 4 * second);
@@ -113,7 +113,7 @@
     s.load("and back", 100, 20, 6 * second);
   }
   {
-    say("a ceiling: what is over it is refused at once, with the time to come back");
+    say("ceiling: ops above it are refused at once, with a retry delay");
     TestServer s({{"pool.0.name", "looks"}, {"pool.0.op_types", "look\n"}, {"pool.0.ceiling", 0.25}});
     s.load("learning", 10, 15, 4 * second);
     s.load("a flood of looks", 100, 10, 4 * second);
@@ -127,15 +127,15 @@
     std::printf("  and then: passes %d\n", s.offer(0).admitted);
   }
   {
-    say("a reserve for the cheapest: its part of the capacity, and not more");
+    say("reserve for the cheapest ops: its fraction of the capacity, and not more");
     TestServer s({{"pools.reserve", 0.1}});
     s.load("learning", 10, 5, 4 * second);
     s.load("a flood of bookings", 20, 100, 10 * second);
     s.load("a flood of looks", 200, 0, 10 * second);
   }
   {
-    say("repeats: told by their trace; a part of the first tries passes where it is crowded, all where it is "
-        "not");
+    say("retries, recognised by their fingerprint: under pressure up to a fraction of the first tries, else "
+        "all");
     TestServer s({{"pools.repeats", 0.2}});
     const auto storm = [&](const char* title, int each) {
       int first = 0, full_worth = 0, refused = 0;
@@ -158,8 +158,7 @@
     std::printf("  one whose first runs here: passes %d\n", s.offer(1, 0, fingerprint, true).admitted);
   }
   {
-    say("tenants: one with ten times the other's ops counts for less, the longer the less; then it is "
-        "forgotten");
+    say("tenants: one with ten times the other's ops counts for less, the longer the less; then this decays");
     TestServer s({});
     s.load("learning", 10, 5, 4 * second);
     const auto print_worths = [&](const char* when) {
@@ -176,7 +175,7 @@
     print_worths("ten seconds later");
   }
   {
-    say("what can't be");
+    say("invalid settings");
     const auto rejected = [](std::initializer_list<Settings::value_type> more) {
       try {
         Pools(0, site_settings(more));
--- a/tests/tasks.cpp
+++ b/tests/tasks.cpp
@@ -117,8 +117,8 @@
 
 void steps() {
   {
-    say("done once a period by who holds it; not begun while it is under way, or where it would not end in "
-        "time");
+    say("run once a period by the holder; not started while running, or if it would not end within the "
+        "holding");
     Driver s(task(0, "sweep", 400, 300));
     s.run_until(1100); // a voter is silent for a term after its start
     s.run_until(1250);
@@ -129,7 +129,7 @@
     s.run_until(3000);
   }
   {
-    say("most important first, so many at once");
+    say("highest priority first, up to the limit of concurrent tasks");
     Settings all = merged(task(0, "low", 200, 50, {{"priority", 1.0}}),
                           merged(task(1, "high", 200, 50, {{"priority", 9.0}}),
                                  task(2, "middle", 200, 50, {{"priority", 5.0}})));
@@ -142,7 +142,7 @@
     s.finish(0, TaskOutcome::done);
   }
   {
-    say("equals, one at once: each in its turn");
+    say("equal priorities, one at a time: each in turn");
     Settings all = merged(task(0, "a", 100, 50), merged(task(1, "b", 100, 50), task(2, "c", 100, 50)));
     all["tasks.at_once"] = 1.0;
     Driver s(all);
@@ -153,20 +153,21 @@
     }
   }
   {
-    say("three failures in a row: it is let go, each time for longer, so that another may try");
+    say("three consecutive failures: the lease is released, each time for longer, so that another member may "
+        "try");
     Driver s(task(0, "sweep", 100, 50));
     s.run_until(1150);
     for (int n = 0; n < 7; ++n) {
       s.finish(0, n % 2 ? TaskOutcome::failed : TaskOutcome::unknown);
       while (!s.running.contains(0)) s.run_until(s.now / ms + 10);
     }
-    say("the target knows a greater token: let go, and held again under one above it");
+    say("the target knows a greater token: the lease is released and held again under a greater one");
     s.finish(0, TaskOutcome::refused, Token{0x5000000});
     while (!s.running.contains(0)) s.run_until(s.now / ms + 10);
     std::printf("  under %llx\n", static_cast<unsigned long long>(s.running[0].raw));
   }
   {
-    say("done by another meanwhile: its period counts from then; an earlier holder's word, late, changes "
+    say("done by another member: the period counts from then; a late report of an earlier holder changes "
         "nothing");
     Driver s(task(0, "sweep", 400, 100));
     s.now = 700 * ms;
@@ -177,7 +178,7 @@
     std::printf("  next at %lld\n", static_cast<long long>(s.tasks->status()[0].next / ms));
   }
   for (const double catch_up : {0.0, 1.0}) {
-    say(catch_up > 0 ? "missed periods are caught up with" : "missed periods are left out");
+    say(catch_up > 0 ? "missed periods are made up for" : "missed periods are skipped");
     Driver s(task(0, "sweep", 200, 50, {{"catch_up", catch_up}}));
     s.run_until(1105);
     for (int n = 0; n < 3; ++n) {
@@ -189,7 +190,7 @@
                 static_cast<unsigned long long>(status.missed), static_cast<long long>(status.next / ms));
   }
   {
-    say("sixteen an hour at the most: two at once, then one each 225 s");
+    say("at most sixteen an hour: two at once, then one every 225 s");
     Driver s(task(0, "sweep", 1000, 50, {{"most_an_hour", 16.0}}));
     s.run_until(1050);
     for (int n = 0; n < 4; ++n) {
@@ -198,7 +199,7 @@
     }
   }
   {
-    say("leaving while one is under way: its lease is given up when it has ended, and none begins");
+    say("leaving while a task runs: its lease is released when it has ended, and no task starts");
     Driver s(merged(task(0, "sweep", 200, 100), task(1, "other", 200, 100)));
     s.run_until(1150);
     s.finish(1, TaskOutcome::done);
@@ -209,7 +210,7 @@
     s.run_until(2000);
     std::printf("  still wanted: %zu\n", s.leases.status().size());
   }
-  say("senseless settings");
+  say("invalid settings");
   for (const Settings& bad :
        {task(0, "a", 100, 200), task(0, "a", 0, 0), task(0, "a", 100, 50, {{"most_an_hour", -1.0}}),
         merged(task(0, "a", 100, 50), {{"tasks.at_once", 0.0}})})
@@ -224,7 +225,7 @@
 // The holder must release by the true time and the voter must not let a grant expire before it, whichever one
 // of the two clocks is wrong.
 void clocks() {
-  say("two clocks, one of them wrong: over ten seconds, what who holds and who granted count");
+  say("two clocks, one of them wrong: the time counted by the holder and by the voter over ten seconds");
   struct Case {
     const char* what;
     std::function<Nanos(Nanos)> wrong_clock;
--- a/tests/trials.cpp
+++ b/tests/trials.cpp
@@ -238,30 +238,31 @@
                           {"leases.most", 4.0}, {"trials.unheard", 2e9},      {"trials.spread", 5e8}};
   Leases leases(0, MemberId{9}, Incarnation{1}, voters, settings, 1, out);
   Trials t(settings, lease, leases, 1, out);
-  say("stopped: it waits for another's word, and each bad one puts its own trial off");
+  say("stopped: it waits for another server's report, and each failed trial defers its own");
   t.calls_stopped(1000 * ms);
   t.result_received(1500 * ms, Token{5}, false, 10 * ms);
-  say("word of an earlier holder, of a trial before calls stopped here, of one that was for itself: nothing");
+  say("reports of an earlier holder, of a trial before calls stopped here, of one without the lease: "
+      "ignored");
   t.result_received(1600 * ms, Token{4}, false, 0);
   t.result_received(1600 * ms, Token{6}, true, 700 * ms);
   t.result_received(1600 * ms, Token{0}, false, 0);
-  say("it holds the lease: it tries, and tells");
+  say("it holds the lease: it sends a trial and reports the result");
   t.held(2000 * ms, Token{7}, 2000 * ms);
   t.trial_finished(2100 * ms, false);
   t.result_received(2200 * ms, Token{0}, false, 0);
-  say("it has lost it: it waits again; a good word: back after a while by chance, once");
+  say("lease lost: it waits again; a successful trial is reported: it resumes after a random delay, once");
   t.lost(2300 * ms);
   t.result_received(2400 * ms, Token{8}, true, 0);
   t.result_received(2500 * ms, Token{8}, true, 0);
   t.due(t.next_wake() - 1);
   t.due(t.next_wake());
   std::printf("  %s\n", t.waiting() || t.next_wake() >= 0 ? "still waits" : "waits for nothing");
-  say("its own trial was good: told, and over");
+  say("its own trial succeeded: reported, and finished");
   t.calls_stopped(9000 * ms);
   t.held(9100 * ms, Token{9}, 9150 * ms);
   t.trial_finished(9200 * ms, true);
   t.trial_finished(9300 * ms, true);
-  say("too short a time without a word");
+  say("report time-out too short");
   try {
     Settings bad = settings;
     bad["trials.unheard"] = 1.9e9;
@@ -302,11 +303,11 @@
 
 int main() {
   steps();
-  say("the service down for 20 s, five seeds");
+  say("the service is down for 20 s, five seeds");
   for (const unsigned servers : {12u, 100u, 300u}) run_scenario({.servers = servers});
   say("the holder dies at 15 s");
   run_scenario({.servers = 100, .kill_holder_at = 15 * second});
-  say("nearly half of the servers hear nobody of the rest from 10 s to the end, the voters are in the other "
-      "part");
+  say("nearly half of the servers are cut off from the rest from 10 s to the end; the voters are in the "
+      "other part");
   run_scenario({.servers = 100, .cut_from = 10 * second, .cut_to = 60 * second});
 }
