--- a/control/entries.cpp
+++ b/control/entries.cpp
@@ -21,30 +21,30 @@
   return end == std::string_view::npos ? std::string_view() : key.substr(0, end);
 }
 
-Entries::Entries(const Settings& figures) {
-  most_entries_ = static_cast<std::size_t>(required_number(figures, "control.most_entries", 1));
-  most_bytes_ = static_cast<std::size_t>(required_number(figures, "control.most_bytes", 1));
-  most_key_ = static_cast<std::size_t>(required_number(figures, "control.most_key", 1));
-  most_value_ = static_cast<std::size_t>(required_number(figures, "control.most_value", 0));
-  most_deleted_ = static_cast<std::size_t>(required_number(figures, "control.most_deleted", 0));
+Entries::Entries(const Settings& settings) {
+  max_entries_ = static_cast<std::size_t>(required_number(settings, "control.most_entries", 1));
+  max_bytes_ = static_cast<std::size_t>(required_number(settings, "control.most_bytes", 1));
+  max_key_bytes_ = static_cast<std::size_t>(required_number(settings, "control.most_key", 1));
+  max_value_bytes_ = static_cast<std::size_t>(required_number(settings, "control.most_value", 0));
+  max_deletions_ = static_cast<std::size_t>(required_number(settings, "control.most_deleted", 0));
 }
 
 std::string_view Entries::rejection_reason(const Entry& entry) const {
   if (entry.key.empty() || entry.key.back() == '/') return "the key has no name";
-  if (entry.key.size() > most_key_) return "the key is too long";
-  if (entry.value.size() > most_value_) return "the value is too long";
+  if (entry.key.size() > max_key_bytes_) return "the key is too long";
+  if (entry.value.size() > max_value_bytes_) return "the value is too long";
   if (entry.deleted) return entry.value.empty() ? std::string_view() : "a deletion has no value";
   const Entry* held = find(entry.key);
-  const bool instead = held && !held->deleted;
-  if (!instead && count() >= most_entries_) return "no room for another entry";
-  if (bytes_ - (instead ? size_of(*held) : 0) + size_of(entry) > most_bytes_) return "no room for its bytes";
+  const bool replaces = held && !held->deleted;
+  if (!replaces && count() >= max_entries_) return "no room for another entry";
+  if (bytes_ - (replaces ? size_of(*held) : 0) + size_of(entry) > max_bytes_) return "no room for its bytes";
   return {};
 }
 
-void Entries::leave_out(const Entry& entry) {
+void Entries::remove_from_indexes(const Entry& entry) {
   by_version_.erase(entry.version);
   if (entry.deleted) {
-    gone_.erase(entry.version);
+    deletions_.erase(entry.version);
   } else {
     bytes_ -= size_of(entry);
   }
@@ -54,40 +54,40 @@
   if (scope->second.by_version.empty()) by_scope_.erase(scope);
 }
 
-bool Entries::take(Entry entry) {
+bool Entries::apply(Entry entry) {
   // Against two entries under one version, too: a table would point at what is gone.
   if (entry.version == Version{} || by_version_.contains(entry.version) || !rejection_reason(entry).empty())
     return false;
   const auto held = by_key_.find(entry.key);
   if (held != by_key_.end()) {
     if (held->second.version >= entry.version) return false;
-    leave_out(held->second);
+    remove_from_indexes(held->second);
   }
   std::string key = entry.key;
-  Entry& kept = by_key_[std::move(key)] = std::move(entry);
-  last_ = std::max(last_, kept.version);
-  by_version_[kept.version] = &kept;
-  const std::string_view name = scope_of(kept.key);
+  Entry& stored = by_key_[std::move(key)] = std::move(entry);
+  last_ = std::max(last_, stored.version);
+  by_version_[stored.version] = &stored;
+  const std::string_view name = scope_of(stored.key);
   auto scope = by_scope_.find(name);
   if (scope == by_scope_.end()) scope = by_scope_.emplace(std::string(name), Scope{}).first;
-  scope->second.by_version[kept.version] = &kept;
-  if (!kept.deleted) {
-    bytes_ += size_of(kept);
-    scope->second.digest += digest_of(kept), ++scope->second.live;
+  scope->second.by_version[stored.version] = &stored;
+  if (!stored.deleted) {
+    bytes_ += size_of(stored);
+    scope->second.digest += digest_of(stored), ++scope->second.live;
     return true;
   }
-  gone_.insert(kept.version);
-  while (gone_.size() > most_deleted_) {
-    const Version oldest = *gone_.begin();
+  deletions_.insert(stored.version);
+  while (deletions_.size() > max_deletions_) {
+    const Version oldest = *deletions_.begin();
     const Entry& forgotten = *by_version_.at(oldest);
     floor_ = std::max(floor_, oldest);
-    leave_out(forgotten);
+    remove_from_indexes(forgotten);
     by_key_.erase(by_key_.find(forgotten.key));
   }
   return true;
 }
 
-void Entries::reached(Version version) { last_ = std::max(last_, version); }
+void Entries::advance_to(Version version) { last_ = std::max(last_, version); }
 
 void Entries::raise_floor(Version version) { floor_ = std::max(floor_, version); }
 
@@ -95,7 +95,7 @@
   by_version_.clear();
   by_scope_.clear();
   by_key_.clear();
-  gone_.clear();
+  deletions_.clear();
   bytes_ = 0;
   last_ = floor_ = Version{};
 }
@@ -105,20 +105,20 @@
   return at == by_key_.end() ? nullptr : &at->second;
 }
 
-void Entries::since(Version after, Version to, const std::vector<std::string>& scopes,
-                    const std::function<bool(const Entry&)>& each) const {
+void Entries::for_each_since(Version after, Version to, const std::vector<std::string>& scopes,
+                             const std::function<bool(const Entry&)>& each) const {
   if (scopes.empty()) {
     for (auto at = by_version_.upper_bound(after); at != by_version_.end() && at->first <= to; ++at)
       if (!each(*at->second)) return;
     return;
   }
-  using At = std::map<Version, const Entry*>::const_iterator;
-  std::vector<std::pair<At, At>> heads; // a heap, the oldest on top
+  using Iterator = std::map<Version, const Entry*>::const_iterator;
+  std::vector<std::pair<Iterator, Iterator>> heads; // a heap, the oldest on top
   const auto newer = [](const auto& a, const auto& b) { return a.first->first > b.first->first; };
   for (const std::string& name : std::set<std::string>(scopes.begin(), scopes.end())) {
     const auto scope = by_scope_.find(name);
     if (scope == by_scope_.end()) continue;
-    const At first = scope->second.by_version.upper_bound(after);
+    const Iterator first = scope->second.by_version.upper_bound(after);
     if (first != scope->second.by_version.end()) heads.emplace_back(first, scope->second.by_version.end());
   }
   std::make_heap(heads.begin(), heads.end(), newer);
--- a/control/entries.hpp
+++ b/control/entries.hpp
@@ -42,14 +42,14 @@
 
 class Entries {
  public:
-  explicit Entries(const Settings& figures);
+  explicit Entries(const Settings& settings);
 
   // Why such an entry has no room or makes no sense; empty: it can be taken.
   std::string_view rejection_reason(const Entry& entry) const;
   // The newest of its key wins; false: what is held is as new, or there is no room. `last` goes up to it.
-  bool take(Entry entry);
+  bool apply(Entry entry);
   // All up to `version` is held now, though the last of it is of scopes that are not: `last` goes up to it.
-  void reached(Version version);
+  void advance_to(Version version);
   // What is held was told by one who forgot deletions up to this version: the floor is at least there.
   void raise_floor(Version version);
   void clear(); // everything, as after a start
@@ -60,8 +60,8 @@
   const Entry* find(std::string_view key) const; // deletions too; nullptr: none
   // Entries with a version over `after` and up to `to`, deletions too, in their order; of these scopes, or of
   // all where none is named. Stops where `each` returns false.
-  void since(Version after, Version to, const std::vector<std::string>& scopes,
-             const std::function<bool(const Entry&)>& each) const;
+  void for_each_since(Version after, Version to, const std::vector<std::string>& scopes,
+                      const std::function<bool(const Entry&)>& each) const;
   // Of one scope, by key; deletions are left out.
   void for_each_in(std::string_view scope, const std::function<bool(const Entry&)>& each) const;
   std::vector<std::string> scopes() const;
@@ -69,11 +69,11 @@
   // kept up with each entry, so that asking costs nothing. 0: it holds nothing.
   std::uint64_t digest(std::string_view scope) const;
 
-  std::size_t count() const { return by_key_.size() - gone_.size(); }
+  std::size_t count() const { return by_key_.size() - deletions_.size(); }
   std::size_t bytes() const { return bytes_; } // of keys and values, deletions left out
 
  private:
-  std::size_t most_entries_, most_bytes_, most_key_, most_value_, most_deleted_;
+  std::size_t max_entries_, max_bytes_, max_key_bytes_, max_value_bytes_, max_deletions_;
   std::map<std::string, Entry, std::less<>> by_key_;
   std::map<Version, const Entry*> by_version_;
   struct Scope {
@@ -81,10 +81,10 @@
     std::size_t live = 0;     // deletions left out
     std::uint64_t digest = 0; // the sum of theirs, so that it doesn't matter in which order they came
   };
-  void leave_out(const Entry& entry); // of all tables but the one by key
+  void remove_from_indexes(const Entry& entry); // of all tables but the one by key
 
   std::map<std::string, Scope, std::less<>> by_scope_;
-  std::set<Version> gone_; // deletions
+  std::set<Version> deletions_; // deletions
   std::size_t bytes_ = 0;
   Version last_{}, floor_{};
 };
--- a/control/feed.hpp
+++ b/control/feed.hpp
@@ -37,21 +37,22 @@
 class FeedActions {
  public:
   virtual ~FeedActions() = default;
-  virtual void delta(MemberId to, Incarnation of, AttachmentNumber number, Version from, Version upto,
-                     Version last, Nanos age, const std::vector<const Entry*>& entries) = 0;
+  virtual void delta(MemberId to, Incarnation incarnation, AttachmentNumber number, Version from,
+                     Version upto, Version last, Nanos age, const std::vector<const Entry*>& entries) = 0;
   // `scopes`: places in the list that the follower gave. Begins with a `from` of none, ends with `upto` at
   // `at`. No deletions are in it.
-  virtual void renewal(MemberId to, Incarnation of, AttachmentNumber number, Version at,
+  virtual void renewal(MemberId to, Incarnation incarnation, AttachmentNumber number, Version at,
                        const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version last,
                        const std::vector<const Entry*>& entries) = 0;
   // All that is committed here is `committed`, which was known to be the newest `age` ago.
-  virtual void beat(MemberId to, Incarnation of, AttachmentNumber number, Version committed, Nanos age) = 0;
+  virtual void beat(MemberId to, Incarnation incarnation, AttachmentNumber number, Version committed,
+                    Nanos age) = 0;
   // A renewal has to wait about so long.
-  virtual void rest(MemberId to, Incarnation of, AttachmentNumber number, Nanos rest) = 0;
+  virtual void rest(MemberId to, Incarnation incarnation, AttachmentNumber number, Nanos rest) = 0;
   // Nothing is to be had here: blank, or no room.
-  virtual void elsewhere(MemberId to, Incarnation of, AttachmentNumber number) = 0;
+  virtual void elsewhere(MemberId to, Incarnation incarnation, AttachmentNumber number) = 0;
   // That attachment is not known here (any more): follow again.
-  virtual void again(MemberId to, Incarnation of, AttachmentNumber number) = 0;
+  virtual void again(MemberId to, Incarnation incarnation, AttachmentNumber number) = 0;
 };
 
 class Feed {
@@ -65,7 +66,7 @@
   // - control.total_rate, control.total_burst: the same, to all
   // - control.most_followers; control.most_whole: renewals at once
   // - control.most_key, control.most_value: as entries.hpp
-  Feed(Nanos now, const Entries& state, const Settings& figures, std::uint64_t seed, FeedActions& orders);
+  Feed(Nanos now, const Entries& state, const Settings& settings, std::uint64_t seed, FeedActions& actions);
   Feed(const Feed&) = delete;
   Feed& operator=(const Feed&) = delete;
 
@@ -76,23 +77,23 @@
   void confirm_current(Nanos now);               // `state` is known to be the newest: the writer was heard
 
   // ---- what followers say
-  void follow(Nanos now, MemberId from, Incarnation of, AttachmentNumber number, bool primary,
+  void follow(Nanos now, MemberId from, Incarnation incarnation, AttachmentNumber number, bool primary,
               const Position& at, const std::vector<FollowedScope>& scopes);
   // How far it is: the answer to each part, and its beat.
-  void have(Nanos now, MemberId from, Incarnation of, AttachmentNumber number, const Position& at);
+  void have(Nanos now, MemberId from, Incarnation incarnation, AttachmentNumber number, const Position& at);
   // Digests of its scopes, in their order, at version `at`.
-  void compare(Nanos now, MemberId from, Incarnation of, AttachmentNumber number, Version at,
+  void compare(Nanos now, MemberId from, Incarnation incarnation, AttachmentNumber number, Version at,
                const std::vector<std::uint64_t>& digests);
-  void unfollow(Nanos now, MemberId from, Incarnation of, AttachmentNumber number);
+  void unfollow(Nanos now, MemberId from, Incarnation incarnation, AttachmentNumber number);
 
   // ---- time
   Nanos next_wake() const; // -1: none
   void due(Nanos now);     // says what there is to say; also at the end of a turn
 
-  bool is_inactive() const { return blank_; }
+  bool is_inactive() const { return inactive_; }
   std::size_t followers() const { return followers_.size(); }
-  std::size_t renewals() const { return renewing_; }
-  std::size_t waiting_for_renewal() const { return line_.size(); } // for a renewal
+  std::size_t renewals() const { return active_renewals_; }
+  std::size_t waiting_for_renewal() const { return renewal_queue_.size(); } // for a renewal
   struct Counts {
     std::uint64_t parts = 0, repeats = 0, renewals = 0, beats = 0, bytes = 0, visited = 0, invalid = 0,
                   dropped = 0, refused = 0; // dropped: silent; refused: no room
@@ -110,84 +111,84 @@
  private:
   struct Bucket {
     double rate = 0, burst = 0, tokens = 0;
-    Nanos at = 0;
+    Nanos filled_at = 0;
     void fill(Nanos now);
-    Nanos when(Nanos now, double bytes) const; // enough will be there
+    Nanos available_at(Nanos now, double bytes) const; // enough will be there
   };
   struct Follower {
-    Incarnation of{};
+    Incarnation incarnation{};
     AttachmentNumber number{};
     bool primary = false;
-    std::vector<FollowedScope> scopes; // as it last told
-    Version digests_at{};              // of the state that they are of
-    std::vector<std::string> names;    // of them
-    Position at;
+    std::vector<FollowedScope> scopes;    // as it last told
+    Version digests_at{};                 // of the state that they are of
+    std::vector<std::string> scope_names; // of them
+    Position position;
     Bucket bucket;
-    Nanos last_received_at = 0, next_beat = 0, wake = -1;
+    Nanos last_received_at = 0, next_beat = 0, wake_at = -1;
     // A part under way: what is to be there when it is answered.
-    bool under_way = false;
+    bool in_flight = false;
     Nanos sent_at = 0;
-    Position expects;
+    Position expected;
     int repeats = 0;
-    bool dirty = false;      // something of its scopes may be newer than what it has
-    bool owes_whole = false; // what it has staged is to be taken, though nothing may follow
+    bool dirty = false;          // something of its scopes may be newer than what it has
+    bool final_part_due = false; // what it has staged is to be taken, though nothing may follow
     // A renewal: with a `ticket` in line for it, or under way.
-    bool renews = false, renewing = false, renewed = false;
-    std::uint64_t ticket = 0;
-    Nanos rested_until = 0, renewing_since = 0;
+    bool renewal_pending = false, renewing = false, renewed = false;
+    std::uint64_t renewal_ticket = 0;
+    Nanos rest_until = 0, renewing_since = 0;
     Version renewal_at{};
     std::uint32_t renewals_before = 0;
-    bool anew = false;                  // no part of it was answered: one of before may be of other scopes
-    std::vector<std::uint16_t> renewal; // scopes that it replaces
-    std::vector<std::string> renewal_names;
+    bool renewal_unacked = false; // no part of it was answered: one of before may be of other scopes
+    std::vector<std::uint16_t> renewal_scopes; // scopes that it replaces
+    std::vector<std::string> renewal_scope_names;
     // Credit: its own comes then; of all, its ticket in line, and for how much. 0: it is not in line.
     Nanos credit_at = -1;
-    std::uint64_t waits = 0;
-    std::size_t wants = 0;
+    std::uint64_t credit_ticket = 0;
+    std::size_t credit_bytes = 0;
   };
 
-  Follower* known(Nanos now, MemberId from, Incarnation of, AttachmentNumber number);
+  Follower* find_follower(Nanos now, MemberId from, Incarnation incarnation, AttachmentNumber number);
   void drop(MemberId id, Follower& follower, Nanos now);
-  Bucket bucket_of(Nanos now, MemberId id);
-  bool reached(const Follower& follower) const;
-  bool lacks(const Follower& follower) const;
-  void look_at_digests(Nanos now, MemberId id, Follower& follower, Version at);
-  bool needs_renewal(Nanos now, MemberId id, Follower& follower);
+  Bucket restore_bucket(Nanos now, MemberId id);
+  bool part_acked(const Follower& follower) const;
+  bool delta_impossible(const Follower& follower) const;
+  void check_digests(Nanos now, MemberId id, Follower& follower, Version at);
+  bool request_renewal(Nanos now, MemberId id, Follower& follower);
   void begin_renewal(Nanos now, Follower& follower);
   void end_renewal(Nanos now, Follower& follower, bool done);
-  void admit(Nanos now);
-  Nanos rest_of(const Follower& follower);
-  void plan(MemberId id, Follower& follower, Nanos at);
-  void turn(Nanos now, MemberId id, Follower& follower);
-  bool pay(Nanos now, MemberId id, Follower& follower, std::size_t bytes);
-  bool pay_beat(Nanos now, Follower& follower);
+  void start_renewals(Nanos now);
+  Nanos rest_time(const Follower& follower);
+  void schedule(MemberId id, Follower& follower, Nanos at);
+  void serve(Nanos now, MemberId id, Follower& follower);
+  bool spend_credit(Nanos now, MemberId id, Follower& follower, std::size_t bytes);
+  bool spend_beat_credit(Nanos now, Follower& follower);
   void send_renewal(Nanos now, MemberId id, Follower& follower);
   void send_delta(Nanos now, MemberId id, Follower& follower);
-  Nanos answer_time(const Follower& follower) const;
-  Nanos age(Nanos now) const { return current_at_ < 0 ? -1 : now - current_at_; }
+  Nanos answer_timeout(const Follower& follower) const;
+  Nanos age(Nanos now) const { return confirmed_at_ < 0 ? -1 : now - confirmed_at_; }
 
   const Entries& state_;
   FeedActions& actions_;
-  Pcg chance_;
-  Nanos beat_, silent_, answer_;
-  std::size_t most_part_, most_followers_, most_whole_;
+  Pcg random_;
+  Nanos beat_interval_, silence_timeout_, answer_timeout_;
+  std::size_t max_part_bytes_, max_followers_, max_renewals_;
   double rate_, burst_;
-  Nanos full_after_; // a follower's credit, from none
-  Bucket total_;
-  Nanos credit_wake_ = -1; // there is enough of it for the first in line
-  MemberId serving_{};     // it was first
-  bool blank_ = true;
-  Nanos current_at_ = -1;
+  Nanos refill_time_; // a follower's credit, from none
+  Bucket total_bucket_;
+  Nanos credit_wake_at_ = -1; // there is enough of it for the first in line
+  MemberId serving_{};        // it was first
+  bool inactive_ = true;
+  Nanos confirmed_at_ = -1;
   std::map<MemberId, Follower> followers_;
-  std::map<std::string, std::set<MemberId>, std::less<>> by_scope_;
+  std::map<std::string, std::set<MemberId>, std::less<>> followers_by_scope_;
   std::set<std::pair<Nanos, MemberId>> wakes_;
-  std::map<MemberId, Bucket> past_; // of those that went, until they would be full
-  std::deque<std::pair<Nanos, MemberId>> past_order_;
-  std::map<std::uint64_t, MemberId> line_;        // for a renewal
-  std::map<std::uint64_t, MemberId> credit_line_; // for credit of all
-  std::uint64_t tickets_ = 0;                     // in the order of their numbers
-  std::size_t renewing_ = 0;
-  Nanos renewal_time_; // a mean of those before, for what is told to those in line
+  std::map<MemberId, Bucket> departed_; // of those that went, until they would be full
+  std::deque<std::pair<Nanos, MemberId>> departed_order_;
+  std::map<std::uint64_t, MemberId> renewal_queue_; // for a renewal
+  std::map<std::uint64_t, MemberId> credit_queue_;  // for credit of all
+  std::uint64_t last_ticket_ = 0;                   // in the order of their numbers
+  std::size_t active_renewals_ = 0;
+  Nanos mean_renewal_time_; // a mean of those before, for what is told to those in line
   Counts counts_;
 };
 
--- a/control/follower.cpp
+++ b/control/follower.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr double ms = 1e6;                // ns
-constexpr std::size_t most_controls = 64; // named in a file; a fleet sets aside ten
-constexpr int most_doublings = 16;        // of a rest
-constexpr double first_compare = 4;       // beats after an attachment, by chance, until digests are told
-constexpr Nanos most_rest_heeded = 60'000'000'000; // ns: who tells of more at once is looked at again by then
+constexpr double ms = 1e6;                      // ns
+constexpr std::size_t max_control_members = 64; // named in a file; a fleet sets aside ten
+constexpr int max_backoff_doublings = 16;       // of a rest
+constexpr double first_compare_beats = 4; // beats after an attachment, by chance, until digests are told
+constexpr Nanos max_rest_honored = 60'000'000'000; // ns: who tells of more at once is looked at again by then
 
-std::string_view senseless_scopes(const std::vector<std::string>& scopes) {
+std::string_view invalid_scopes_reason(const std::vector<std::string>& scopes) {
   std::size_t bytes = 0;
   std::set<std::string_view> seen;
   for (const std::string& one : scopes) {
@@ -25,23 +25,23 @@
     if (!seen.insert(one).second) return "a scope that is named twice";
   }
   if (scopes.empty()) return "no scope";
-  if (scopes.size() > max_scopes || bytes > most_scope_bytes) return "too many scopes";
+  if (scopes.size() > max_scopes || bytes > max_scope_bytes) return "too many scopes";
   return {};
 }
 
 } // namespace
 
-std::string_view to_text(LeaveReason why) {
-  switch (why) {
-  case LeaveReason::silent:
+std::string_view to_text(LeaveReason reason) {
+  switch (reason) {
+  case LeaveReason::unresponsive:
     return "silent";
-  case LeaveReason::blank:
+  case LeaveReason::no_state:
     return "has nothing to give";
-  case LeaveReason::behind:
+  case LeaveReason::stale:
     return "gives nothing while another is ahead";
-  case LeaveReason::lost:
+  case LeaveReason::disconnected:
     return "not reached";
-  case LeaveReason::nearer:
+  case LeaveReason::closer_member:
     return "a nearer one is well";
   case LeaveReason::invalid:
     return "what it gives makes no sense, or has no room";
@@ -50,24 +50,28 @@
 }
 
 Follower::Follower(Nanos now, Incarnation self, const Location& place, const std::vector<Control>& controls,
-                   std::vector<std::string> scopes, const Settings& figures, std::uint64_t seed,
-                   FollowerActions& orders)
-    : actions_(orders), self_(self), chance_(seed), figures_(figures), scopes_(std::move(scopes)),
-      state_(std::make_unique<Entries>(figures)), progress_at_(now), now_(now) {
-  beat_ = static_cast<Nanos>(required_number(figures, "control.beat", ms));
-  silent_ = static_cast<Nanos>(required_number(figures, "control.silent", 2 * static_cast<double>(beat_)));
-  behind_ = static_cast<Nanos>(required_number(figures, "control.behind", static_cast<double>(beat_)));
-  settle_ = static_cast<Nanos>(required_number(figures, "control.settle", static_cast<double>(beat_)));
-  rest_least_ = static_cast<Nanos>(required_number(figures, "control.rest_least", ms));
-  rest_most_ =
-      static_cast<Nanos>(required_number(figures, "control.rest_most", static_cast<double>(rest_least_)));
-  compare_ = static_cast<Nanos>(required_number(figures, "control.compare", static_cast<double>(beat_)));
-  most_entries_ = static_cast<std::size_t>(required_number(figures, "control.most_entries", 1));
-  most_bytes_ = static_cast<std::size_t>(required_number(figures, "control.most_bytes", 1));
-  numbers_ = static_cast<std::uint64_t>(number(figures, "control.first_number", 0));
-  if (const std::string_view why = senseless_scopes(scopes_); !why.empty())
-    throw std::invalid_argument("control: " + std::string(why));
-  if (controls.empty() || controls.size() > most_controls)
+                   std::vector<std::string> scopes, const Settings& settings, std::uint64_t seed,
+                   FollowerActions& actions)
+    : actions_(actions), self_(self), random_(seed), settings_(settings), scopes_(std::move(scopes)),
+      state_(std::make_unique<Entries>(settings)), progress_at_(now), now_(now) {
+  beat_interval_ = static_cast<Nanos>(required_number(settings, "control.beat", ms));
+  silence_timeout_ = static_cast<Nanos>(
+      required_number(settings, "control.silent", 2 * static_cast<double>(beat_interval_)));
+  stale_timeout_ =
+      static_cast<Nanos>(required_number(settings, "control.behind", static_cast<double>(beat_interval_)));
+  settle_time_ =
+      static_cast<Nanos>(required_number(settings, "control.settle", static_cast<double>(beat_interval_)));
+  min_backoff_ = static_cast<Nanos>(required_number(settings, "control.rest_least", ms));
+  max_backoff_ =
+      static_cast<Nanos>(required_number(settings, "control.rest_most", static_cast<double>(min_backoff_)));
+  compare_interval_ =
+      static_cast<Nanos>(required_number(settings, "control.compare", static_cast<double>(beat_interval_)));
+  max_entries_ = static_cast<std::size_t>(required_number(settings, "control.most_entries", 1));
+  max_bytes_ = static_cast<std::size_t>(required_number(settings, "control.most_bytes", 1));
+  last_number_ = static_cast<std::uint64_t>(number(settings, "control.first_number", 0));
+  if (const std::string_view reason = invalid_scopes_reason(scopes_); !reason.empty())
+    throw std::invalid_argument("control: " + std::string(reason));
+  if (controls.empty() || controls.size() > max_control_members)
     throw std::invalid_argument("control: none or too many control members");
   std::set<MemberId> seen;
   for (const Control& one : controls) {
@@ -75,12 +79,12 @@
       throw std::invalid_argument("control: member " + std::to_string(one.member.raw) + " is named twice");
     Member member;
     member.id = one.member;
-    member.nearness = one.region != place.region ? 2 : one.zone != place.zone ? 1 : 0;
-    member.order = chance_.next();
+    member.distance = one.region != place.region ? 2 : one.zone != place.zone ? 1 : 0;
+    member.tie_break = random_.next();
     members_.push_back(member);
   }
   std::sort(members_.begin(), members_.end(), [](const Member& a, const Member& b) {
-    return std::tie(a.nearness, a.order, a.id) < std::tie(b.nearness, b.order, b.id);
+    return std::tie(a.distance, a.tie_break, a.id) < std::tie(b.distance, b.tie_break, b.id);
   });
 }
 
@@ -88,145 +92,150 @@
 
 Follower::Member* Follower::primary() {
   const auto at = std::find_if(members_.begin(), members_.end(),
-                               [](const Member& one) { return one.line && one.primary; });
+                               [](const Member& one) { return one.attached && one.primary; });
   return at == members_.end() ? nullptr : &*at;
 }
 Follower::Member* Follower::secondary() {
   const auto at = std::find_if(members_.begin(), members_.end(),
-                               [](const Member& one) { return one.line && !one.primary; });
+                               [](const Member& one) { return one.attached && !one.primary; });
   return at == members_.end() ? nullptr : &*at;
 }
 
 void Follower::attach(Nanos now, Member& member, bool as_primary) {
-  if (!member.line) {
-    member.heard = false;
-    member.since = member.last_received_at = now;
-    member.settle = static_cast<Nanos>(static_cast<double>(settle_) * (1 + chance_.unit()));
+  if (!member.attached) {
+    member.responded = false;
+    member.attached_at = member.last_received_at = now;
+    member.settle_time = static_cast<Nanos>(static_cast<double>(settle_time_) * (1 + random_.unit()));
     member.ahead_since = -1;
     member.committed = {};
   }
-  member.line = true;
+  member.attached = true;
   member.primary = as_primary;
-  member.number = AttachmentNumber{++numbers_};
-  member.next_have = now + beat_;
+  member.number = AttachmentNumber{++last_number_};
+  member.next_have_at = now + beat_interval_;
   if (as_primary) {
-    drop_stage();
+    discard_stage();
     progress_at_ = now;
-    next_compare_ =
-        now + static_cast<Nanos>(static_cast<double>(beat_) * (1 + first_compare * chance_.unit()));
+    next_compare_at_ = now + static_cast<Nanos>(static_cast<double>(beat_interval_) *
+                                                (1 + first_compare_beats * random_.unit()));
   }
-  actions_.follow(member.id, member.number, as_primary, at_, held());
+  actions_.follow(member.id, member.number, as_primary, position_, followed_scopes());
 }
 
 // Rests grow until it was well for a while (`due`): against going back and forth.
-void Follower::leave(Nanos now, Member& member, LeaveReason why) {
+void Follower::detach(Nanos now, Member& member, LeaveReason reason) {
   actions_.unfollow(member.id, member.number);
-  member.line = member.primary = false;
-  const double rest =
-      std::min(static_cast<double>(rest_least_) * std::exp2(member.tries), static_cast<double>(rest_most_));
-  member.rests_until = now + static_cast<Nanos>(rest * (0.5 + chance_.unit()));
-  member.tries = std::min(member.tries + 1, most_doublings);
+  member.attached = member.primary = false;
+  const double rest = std::min(static_cast<double>(min_backoff_) * std::exp2(member.failures),
+                               static_cast<double>(max_backoff_));
+  member.retry_at = now + static_cast<Nanos>(rest * (0.5 + random_.unit()));
+  member.failures = std::min(member.failures + 1, max_backoff_doublings);
   ++counts_.moves;
-  actions_.left(member.id, why);
+  actions_.left(member.id, reason);
 }
 
 // The best that isn't a line and doesn't rest.
-Follower::Member* Follower::next_best(Nanos now) {
+Follower::Member* Follower::best_candidate(Nanos now) {
   const auto at = std::find_if(members_.begin(), members_.end(),
-                               [now](const Member& one) { return !one.line && one.rests_until <= now; });
+                               [now](const Member& one) { return !one.attached && one.retry_at <= now; });
   return at == members_.end() ? nullptr : &*at;
 }
 
-void Follower::choose(Nanos now) {
+void Follower::choose_members(Nanos now) {
   if (!primary()) {
     if (Member* const other = secondary())
       attach(now, *other, true);
-    else if (Member* const best = next_best(now))
+    else if (Member* const best = best_candidate(now))
       attach(now, *best, true);
   }
   if (!secondary()) {
-    if (Member* const best = next_best(now)) attach(now, *best, false);
+    if (Member* const best = best_candidate(now)) attach(now, *best, false);
     return;
   }
   Member* const first = primary();
   Member* second = secondary();
   // A nearer one may be asked again: it is tried, while the primary gives.
-  if (Member* const best = next_best(now);
-      best && first->heard && second->heard && best->nearness < second->nearness) {
+  if (Member* const best = best_candidate(now);
+      best && first->responded && second->responded && best->distance < second->distance) {
     actions_.unfollow(second->id, second->number);
-    second->line = false;
+    second->attached = false;
     second = best;
     attach(now, *second, false);
   }
-  if (second->nearness < first->nearness && second->heard && now - second->well_since >= second->settle &&
-      second->committed >= at_.taken) {
-    actions_.left(first->id, LeaveReason::nearer);
+  if (second->distance < first->distance && second->responded &&
+      now - second->healthy_since >= second->settle_time && second->committed >= position_.taken) {
+    actions_.left(first->id, LeaveReason::closer_member);
     ++counts_.moves;
     attach(now, *first, false);
     attach(now, *second, true);
   }
 }
 
-Follower::Member* Follower::heard(Nanos now, MemberId from, Incarnation to, AttachmentNumber number) {
+Follower::Member* Follower::match_attachment(Nanos now, MemberId from, Incarnation to_incarnation,
+                                             AttachmentNumber number) {
   const auto at =
       std::find_if(members_.begin(), members_.end(), [from](const Member& one) { return one.id == from; });
-  if (at == members_.end() || to != self_ || !at->line || at->number != number)
+  if (at == members_.end() || to_incarnation != self_ || !at->attached || at->number != number)
     return ++counts_.misaddressed, nullptr;
   at->last_received_at = now;
-  if (!at->heard) {
-    at->heard = true;
-    at->well_since = now;
+  if (!at->responded) {
+    at->responded = true;
+    at->healthy_since = now;
   }
   return &*at;
 }
 
 // What a control member says that it has. One that is behind says nothing of how new this state is.
-void Follower::told(Nanos now, Member& member, Version committed, Nanos age) {
+void Follower::record_committed(Nanos now, Member& member, Version committed, Nanos age) {
   member.committed = committed;
-  if (committed > at_.taken) {
+  if (committed > position_.taken) {
     if (member.ahead_since < 0) member.ahead_since = now;
     return;
   }
   member.ahead_since = -1;
-  const bool all = at_.staged == at_.taken && (held_.size() == scopes_.size() || at_.taken == Version{});
-  if (committed == at_.taken && age >= 0 && all) current_at_ = std::max(current_at_, now - age);
+  const bool all = position_.staged == position_.taken &&
+                   (complete_scopes_.size() == scopes_.size() || position_.taken == Version{});
+  if (committed == position_.taken && age >= 0 && all) confirmed_at_ = std::max(confirmed_at_, now - age);
 }
 
-void Follower::answer(Nanos now, Member& member) {
-  member.next_have = now + beat_;
-  actions_.have(member.id, member.number, at_);
+void Follower::send_have(Nanos now, Member& member) {
+  member.next_have_at = now + beat_interval_;
+  actions_.have(member.id, member.number, position_);
 }
 
-void Follower::beat(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Version committed,
-                    Nanos age) {
-  if (Member* const member = heard(now, from, to, number)) told(now, *member, committed, age);
+void Follower::beat(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number,
+                    Version committed, Nanos age) {
+  if (Member* const member = match_attachment(now, from, to_incarnation, number))
+    record_committed(now, *member, committed, age);
 }
 
-void Follower::rest(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Nanos rest) {
-  Member* const member = heard(now, from, to, number);
+void Follower::rest(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number,
+                    Nanos rest) {
+  Member* const member = match_attachment(now, from, to_incarnation, number);
   if (!member || !member->primary) return;
   if (rest < 0) return void(++counts_.invalid);
   // It will be its turn: no reason to leave, up to a bound.
-  progress_at_ = std::max(progress_at_, now + std::min(rest, most_rest_heeded));
+  progress_at_ = std::max(progress_at_, now + std::min(rest, max_rest_honored));
 }
 
-void Follower::elsewhere(Nanos now, MemberId from, Incarnation to, AttachmentNumber number) {
-  if (Member* const member = heard(now, from, to, number)) {
-    leave(now, *member, LeaveReason::blank);
-    choose(now);
+void Follower::elsewhere(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number) {
+  if (Member* const member = match_attachment(now, from, to_incarnation, number)) {
+    detach(now, *member, LeaveReason::no_state);
+    choose_members(now);
   }
 }
 
-void Follower::again(Nanos now, MemberId from, Incarnation to, AttachmentNumber number) {
-  if (Member* const member = heard(now, from, to, number)) attach(now, *member, member->primary);
+void Follower::again(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number) {
+  if (Member* const member = match_attachment(now, from, to_incarnation, number))
+    attach(now, *member, member->primary);
 }
 
 void Follower::disconnected(Nanos now, MemberId control) {
   const auto at = std::find_if(members_.begin(), members_.end(),
-                               [control](const Member& one) { return one.id == control && one.line; });
+                               [control](const Member& one) { return one.id == control && one.attached; });
   if (at == members_.end()) return;
-  leave(now, *at, LeaveReason::lost);
-  choose(now);
+  detach(now, *at, LeaveReason::disconnected);
+  choose_members(now);
 }
 
 // ---- what is given
@@ -241,130 +250,131 @@
   for (const Entry& entry : entries) {
     const auto at = stage_.entries.find(entry.key);
     if (at == stage_.entries.end()) {
-      stage_.bytes += bytes_of(entry);
+      stage_.bytes += max_encoded_size(entry);
       stage_.entries.emplace(entry.key, entry);
     } else if (at->second.version < entry.version) {
-      stage_.bytes += bytes_of(entry);
-      stage_.bytes -= bytes_of(at->second);
+      stage_.bytes += max_encoded_size(entry);
+      stage_.bytes -= max_encoded_size(at->second);
       at->second = entry;
     }
   }
   // Deletions that are staged count too: room for as many again.
-  if (stage_.entries.size() <= 2 * most_entries_ && stage_.bytes <= 2 * most_bytes_) return true;
-  drop_stage();
+  if (stage_.entries.size() <= 2 * max_entries_ && stage_.bytes <= 2 * max_bytes_) return true;
+  discard_stage();
   return false;
 }
 
-void Follower::drop_stage() {
+void Follower::discard_stage() {
   stage_ = {};
-  at_.staged = at_.taken;
-  at_.renewing = at_.renewed = {};
+  position_.staged = position_.taken;
+  position_.renewing = position_.renewed = {};
 }
 
-void Follower::delta(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Version since,
-                     Version upto, Version last, Nanos age, const std::vector<Entry>& entries) {
-  Member* const member = heard(now, from, to, number);
+void Follower::delta(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number,
+                     Version since, Version upto, Version last, Nanos age,
+                     const std::vector<Entry>& entries) {
+  Member* const member = match_attachment(now, from, to_incarnation, number);
   if (!member) return;
   if (!member->primary) return void(++counts_.misaddressed);
-  if (since > at_.staged) {
+  if (since > position_.staged) {
     ++counts_.gaps; // what came between is not here
-    return answer(now, *member);
+    return send_have(now, *member);
   }
   // Or of a state before one that a part here was read from: then some that it held are not staged.
-  if (upto < at_.staged || last < stage_.read_at) {
-    ++counts_.older;
-    return answer(now, *member);
+  if (upto < position_.staged || last < stage_.read_at) {
+    ++counts_.outdated;
+    return send_have(now, *member);
   }
-  if (at_.renewing != Version{}) drop_stage(); // it goes on from what is taken
-  const Position before = at_;
-  const bool news = !entries.empty() || at_.staged != at_.taken || !stage_.replaced.empty();
+  if (position_.renewing != Version{}) discard_stage(); // it goes on from what is taken
+  const Position before = position_;
+  const bool has_update = !entries.empty() || position_.staged != position_.taken || !stage_.replaced.empty();
   const bool covers = std::all_of(scopes_.begin(), scopes_.end(), [this](const std::string& scope) {
-    return held_.contains(scope) || stage_.replaced.contains(scope);
+    return complete_scopes_.contains(scope) || stage_.replaced.contains(scope);
   });
   if (!covers || upto > last || !stage(entries, since, upto, false)) {
     ++counts_.invalid;
-    leave(now, *member, LeaveReason::invalid);
-    return choose(now);
+    detach(now, *member, LeaveReason::invalid);
+    return choose_members(now);
   }
-  at_.staged = upto;
+  position_.staged = upto;
   stage_.read_at = last;
   ++counts_.parts;
   if (upto == last) {
-    if (at_.staged > at_.taken || !stage_.replaced.empty()) take_stage();
-    told(now, *member, upto, age);
+    if (position_.staged > position_.taken || !stage_.replaced.empty()) apply_stage();
+    record_committed(now, *member, upto, age);
   }
-  if (at_ != before) progress_at_ = std::max(progress_at_, now);
-  if (news) answer(now, *member);
+  if (position_ != before) progress_at_ = std::max(progress_at_, now);
+  if (has_update) send_have(now, *member);
 }
 
-void Follower::renewal(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Version at,
-                       const std::vector<std::uint16_t>& scopes, Version since, Version upto, Version last,
-                       const std::vector<Entry>& entries) {
-  Member* const member = heard(now, from, to, number);
+void Follower::renewal(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number,
+                       Version at, const std::vector<std::uint16_t>& scopes, Version since, Version upto,
+                       Version last, const std::vector<Entry>& entries) {
+  Member* const member = match_attachment(now, from, to_incarnation, number);
   if (!member) return;
   if (!member->primary) return void(++counts_.misaddressed);
-  if (at < at_.taken) {
-    ++counts_.older;
-    return answer(now, *member);
+  if (at < position_.taken) {
+    ++counts_.outdated;
+    return send_have(now, *member);
   }
   std::set<std::string, std::less<>> replaced;
   for (const std::uint16_t place : scopes)
     if (place < scopes_.size()) replaced.insert(scopes_[place]);
   const bool covers = std::all_of(scopes_.begin(), scopes_.end(), [&](const std::string& scope) {
-    return held_.contains(scope) || replaced.contains(scope);
+    return complete_scopes_.contains(scope) || replaced.contains(scope);
   });
   if (replaced.size() != scopes.size() || !covers || upto > at || at > last || since > upto ||
       at == Version{}) {
     ++counts_.invalid;
-    leave(now, *member, LeaveReason::invalid);
-    return choose(now);
+    detach(now, *member, LeaveReason::invalid);
+    return choose_members(now);
   }
-  const bool same = at_.renewing == at && stage_.replaced == replaced;
+  const bool same = position_.renewing == at && stage_.replaced == replaced;
   if (since == Version{} && !same) {
-    drop_stage();
-    at_.renewing = at;
+    discard_stage();
+    position_.renewing = at;
     stage_.replaced = replaced;
-  } else if (!same || since > at_.renewed || last < stage_.read_at) {
+  } else if (!same || since > position_.renewed || last < stage_.read_at) {
     ++counts_.gaps;
-    return answer(now, *member);
+    return send_have(now, *member);
   }
   if (!stage(entries, since, upto, true)) {
     ++counts_.invalid;
-    leave(now, *member, LeaveReason::invalid);
-    return choose(now);
+    detach(now, *member, LeaveReason::invalid);
+    return choose_members(now);
   }
   stage_.read_at = last;
   ++counts_.parts;
-  if (upto > at_.renewed || upto == at) progress_at_ = std::max(progress_at_, now);
-  at_.renewed = std::max(at_.renewed, upto);
-  if (at_.renewed == at) { // from here on by deltas; taken with the next that is whole
-    at_.staged = at;
-    at_.renewing = at_.renewed = {};
-    ++at_.renewals;
+  if (upto > position_.renewed || upto == at) progress_at_ = std::max(progress_at_, now);
+  position_.renewed = std::max(position_.renewed, upto);
+  if (position_.renewed == at) { // from here on by deltas; taken with the next that is whole
+    position_.staged = at;
+    position_.renewing = position_.renewed = {};
+    ++position_.renewals;
     ++counts_.renewals;
   }
-  answer(now, *member);
+  send_have(now, *member);
 }
 
 // All of it, at once. Entries that are refused are held as given, so that digests agree; what was in force
 // for their keys stays so.
-void Follower::take_stage() {
-  const Version upto = at_.staged;
-  std::vector<std::string> left_out; // by a renewal
-  std::vector<Entry> gone;           // what was in force of those
-  std::map<std::string, std::optional<Entry>, std::less<>> in_force_before;
+void Follower::apply_stage() {
+  const Version upto = position_.staged;
+  std::vector<std::string> removed_keys; // by a renewal
+  std::vector<Entry> removed;            // what was in force of those
+  std::map<std::string, std::optional<Entry>, std::less<>> previous;
   if (!stage_.replaced.empty()) {
-    auto made = std::make_unique<Entries>(figures_);
+    auto new_state = std::make_unique<Entries>(settings_);
     for (const std::string& scope : scopes_) {
       const bool replaced = stage_.replaced.contains(scope);
       state_->for_each_in(scope, [&](const Entry& entry) {
         if (!replaced) {
-          made->take(entry);
+          new_state->apply(entry);
         } else if (const auto at = stage_.entries.find(entry.key); at == stage_.entries.end()) {
-          left_out.push_back(entry.key);
-          if (const Entry* const in_force = find(entry.key)) gone.push_back(*in_force);
+          removed_keys.push_back(entry.key);
+          if (const Entry* const in_force = find(entry.key)) removed.push_back(*in_force);
         } else if (at->second.version == entry.version) {
-          made->take(entry); // as it was, in force or refused
+          new_state->apply(entry); // as it was, in force or refused
         }
         return true;
       });
@@ -372,10 +382,10 @@
     // Of keys that are replaced, what is in force now is looked for below.
     for (const std::string& scope : stage_.replaced)
       for_each_in(scope, [&](const Entry& entry) {
-        in_force_before.emplace(entry.key, entry);
+        previous.emplace(entry.key, entry);
         return true;
       });
-    state_ = std::move(made);
+    state_ = std::move(new_state);
   }
   std::vector<const Entry*> order;
   for (const auto& [key, entry] : stage_.entries) order.push_back(&entry);
@@ -385,86 +395,86 @@
   });
   std::vector<std::string_view> keys; // changed
   for (const Entry* const entry : order) {
-    const Entry* const given = state_->find(entry->key);
-    if (given && given->version >= entry->version) continue;
+    const Entry* const stored = state_->find(entry->key);
+    if (stored && stored->version >= entry->version) continue;
     std::optional<Entry> before;
-    if (const auto at = in_force_before.find(entry->key); at != in_force_before.end())
+    if (const auto at = previous.find(entry->key); at != previous.end())
       before = at->second;
-    else if (const Entry* const now_in_force = find(entry->key))
-      before = *now_in_force;
-    std::string why(state_->rejection_reason(*entry));
-    const bool room = why.empty();
-    if (room && !entry->deleted) why = actions_.check(*entry);
-    if (room) state_->take(*entry);
-    if (!why.empty()) {
+    else if (const Entry* const current = find(entry->key))
+      before = *current;
+    std::string reason(state_->rejection_reason(*entry));
+    const bool fits = reason.empty();
+    if (fits && !entry->deleted) reason = actions_.check(*entry);
+    if (fits) state_->apply(*entry);
+    if (!reason.empty()) {
       ++counts_.refused;
-      if (room) in_force_.insert_or_assign(entry->key, before);
-      actions_.refused(*entry, why);
+      if (fits) retained_.insert_or_assign(entry->key, before);
+      actions_.refused(*entry, reason);
       continue;
     }
-    in_force_.erase(entry->key);
-    const bool was = before.has_value();
-    if (entry->deleted ? was : !was || before->value != entry->value) keys.push_back(entry->key);
+    retained_.erase(entry->key);
+    const bool had_value = before.has_value();
+    if (entry->deleted ? had_value : !had_value || before->value != entry->value) keys.push_back(entry->key);
   }
-  for (const std::string& key : left_out) in_force_.erase(key);
-  for (Entry& entry : gone) {
+  for (const std::string& key : removed_keys) retained_.erase(key);
+  for (Entry& entry : removed) {
     entry.deleted = true;
     entry.version = upto;
     entry.value.clear();
   }
-  state_->reached(upto);
-  at_.taken = upto;
+  state_->advance_to(upto);
+  position_.taken = upto;
   const bool renewed = !stage_.replaced.empty();
-  held_.insert(stage_.replaced.begin(), stage_.replaced.end());
+  complete_scopes_.insert(stage_.replaced.begin(), stage_.replaced.end());
   ++counts_.deltas;
   std::vector<const Entry*> changed;
   for (const std::string_view key : keys) changed.push_back(&stage_.entries.find(key)->second);
-  for (const Entry& entry : gone) changed.push_back(&entry);
-  const Stage held_on = std::exchange(stage_, {}); // until the order returns
+  for (const Entry& entry : removed) changed.push_back(&entry);
+  const Stage applied_stage = std::exchange(stage_, {}); // until the order returns
   if (renewed || !changed.empty()) actions_.applied(upto, changed);
 }
 
-std::vector<FollowedScope> Follower::held() const {
+std::vector<FollowedScope> Follower::followed_scopes() const {
   std::vector<FollowedScope> all;
   for (const std::string& scope : scopes_)
-    all.push_back({scope, state_->digest(scope), held_.contains(scope)});
+    all.push_back({scope, state_->digest(scope), complete_scopes_.contains(scope)});
   return all;
 }
 
 std::string_view Follower::set_scopes(Nanos now, std::vector<std::string> scopes) {
-  if (const std::string_view why = senseless_scopes(scopes); !why.empty()) return why;
+  if (const std::string_view reason = invalid_scopes_reason(scopes); !reason.empty()) return reason;
   if (scopes == scopes_) return {};
-  drop_stage();
+  discard_stage();
   scopes_ = std::move(scopes);
-  std::set<std::string, std::less<>> still;
-  auto made = std::make_unique<Entries>(figures_);
+  std::set<std::string, std::less<>> kept_scopes;
+  auto new_state = std::make_unique<Entries>(settings_);
   for (const std::string& scope : scopes_) {
-    if (!held_.contains(scope)) continue;
-    still.insert(scope);
-    state_->for_each_in(scope, [&](const Entry& entry) { return made->take(entry), true; });
-  }
-  made->reached(at_.taken);
-  state_ = std::move(made);
-  held_ = std::move(still);
-  std::erase_if(in_force_, [&](const auto& one) { return !held_.contains(scope_of(one.first)); });
+    if (!complete_scopes_.contains(scope)) continue;
+    kept_scopes.insert(scope);
+    state_->for_each_in(scope, [&](const Entry& entry) { return new_state->apply(entry), true; });
+  }
+  new_state->advance_to(position_.taken);
+  state_ = std::move(new_state);
+  complete_scopes_ = std::move(kept_scopes);
+  std::erase_if(retained_, [&](const auto& one) { return !complete_scopes_.contains(scope_of(one.first)); });
   for (Member& member : members_)
-    if (member.line) attach(now, member, member.primary);
+    if (member.attached) attach(now, member, member.primary);
   return {};
 }
 
 // ---- the state
 
 const Entry* Follower::find(std::string_view key) const {
-  if (const auto at = in_force_.find(key); at != in_force_.end()) return at->second ? &*at->second : nullptr;
+  if (const auto at = retained_.find(key); at != retained_.end()) return at->second ? &*at->second : nullptr;
   const Entry* const entry = state_->find(key);
   return entry && !entry->deleted ? entry : nullptr;
 }
 
 void Follower::for_each_in(std::string_view scope, const std::function<bool(const Entry&)>& each) const {
-  bool go_on = true;
+  bool more = true;
   state_->for_each_in(scope, [&](const Entry& entry) {
     const Entry* const in_force = find(entry.key);
-    return go_on = !in_force || each(*in_force);
+    return more = !in_force || each(*in_force);
   });
 }
 
@@ -473,69 +483,70 @@
 void Follower::due(Nanos now) {
   now_ = now;
   for (Member& member : members_) {
-    if (!member.line) continue;
-    if (now - member.last_received_at >= silent_) {
-      leave(now, member, LeaveReason::silent);
+    if (!member.attached) continue;
+    if (now - member.last_received_at >= silence_timeout_) {
+      detach(now, member, LeaveReason::unresponsive);
       continue;
     }
-    if (member.heard && now - member.well_since >= settle_) member.tries = 0;
+    if (member.responded && now - member.healthy_since >= settle_time_) member.failures = 0;
   }
   // The primary gives nothing, and the other has more.
   if (Member* const first = primary()) {
     Member* const second = secondary();
-    if (second && behind_at(*second) >= 0 && now >= behind_at(*second))
-      leave(now, *first, LeaveReason::behind);
+    if (second && stale_at(*second) >= 0 && now >= stale_at(*second)) detach(now, *first, LeaveReason::stale);
   }
-  choose(now);
+  choose_members(now);
   for (Member& member : members_) {
-    if (!member.line) continue;
-    if (now >= member.next_have) answer(now, member);
-    const bool level = member.primary && member.heard && at_.staged == at_.taken &&
-                       member.committed == at_.taken && at_.taken != Version{} &&
-                       held_.size() == scopes_.size();
-    if (!level || now < next_compare_) continue;
+    if (!member.attached) continue;
+    if (now >= member.next_have_at) send_have(now, member);
+    const bool up_to_date = member.primary && member.responded && position_.staged == position_.taken &&
+                            member.committed == position_.taken && position_.taken != Version{} &&
+                            complete_scopes_.size() == scopes_.size();
+    if (!up_to_date || now < next_compare_at_) continue;
     std::vector<std::uint64_t> digests;
     for (const std::string& scope : scopes_) digests.push_back(state_->digest(scope));
-    next_compare_ = now + static_cast<Nanos>(static_cast<double>(compare_) * (0.5 + chance_.unit()));
-    actions_.compare(member.id, member.number, at_.taken, digests);
+    next_compare_at_ =
+        now + static_cast<Nanos>(static_cast<double>(compare_interval_) * (0.5 + random_.unit()));
+    actions_.compare(member.id, member.number, position_.taken, digests);
   }
 }
 
 // When a secondary that is ahead is the better one; -1: it isn't ahead.
-Nanos Follower::behind_at(const Member& second) const {
-  if (!second.heard || second.ahead_since < 0) return -1;
-  return std::max(second.ahead_since, progress_at_) + behind_;
+Nanos Follower::stale_at(const Member& second) const {
+  if (!second.responded || second.ahead_since < 0) return -1;
+  return std::max(second.ahead_since, progress_at_) + stale_timeout_;
 }
 
 Nanos Follower::next_wake() const {
   Nanos next = -1;
-  const auto also = [&next](Nanos at) { next = next < 0 ? at : std::min(next, at); };
+  const auto consider = [&next](Nanos at) { next = next < 0 ? at : std::min(next, at); };
   const Member* first = nullptr;
   const Member* second = nullptr;
   for (const Member& member : members_) {
-    if (!member.line) continue;
+    if (!member.attached) continue;
     (member.primary ? first : second) = &member;
-    also(member.last_received_at + silent_);
-    also(member.next_have);
+    consider(member.last_received_at + silence_timeout_);
+    consider(member.next_have_at);
   }
   if (first && second) {
-    if (const Nanos at = behind_at(*second); at >= 0) also(at);
-    if (second->nearness < first->nearness && second->heard && second->well_since + second->settle > now_)
-      also(second->well_since + second->settle);
+    if (const Nanos at = stale_at(*second); at >= 0) consider(at);
+    if (second->distance < first->distance && second->responded &&
+        second->healthy_since + second->settle_time > now_)
+      consider(second->healthy_since + second->settle_time);
   }
   for (const Member& member : members_)
-    if (!member.line && (!first || !second || member.nearness < second->nearness) &&
-        (member.rests_until > now_ || !first))
-      also(member.rests_until);
+    if (!member.attached && (!first || !second || member.distance < second->distance) &&
+        (member.retry_at > now_ || !first))
+      consider(member.retry_at);
   return next;
 }
 
 std::vector<Follower::Attachment> Follower::attachments() const {
   std::vector<Attachment> all;
   for (const Member& member : members_)
-    if (member.line)
-      all.push_back(
-          {member.id, member.primary, member.heard, member.since, member.last_received_at, member.committed});
+    if (member.attached)
+      all.push_back({member.id, member.primary, member.responded, member.attached_at, member.last_received_at,
+                     member.committed});
   std::stable_sort(all.begin(), all.end(),
                    [](const Attachment& a, const Attachment& b) { return a.primary > b.primary; });
   return all;
--- a/control/follower.hpp
+++ b/control/follower.hpp
@@ -32,15 +32,9 @@
 
 namespace cometshift {
 
-enum class LeaveReason {
-  silent,
-  blank,
-  behind,
-  lost,
-  nearer,
-  invalid
-}; // why a control member is no longer followed so
-std::string_view to_text(LeaveReason why);
+// Why a control member is no longer followed, or no longer as the primary.
+enum class LeaveReason { unresponsive, no_state, stale, disconnected, closer_member, invalid };
+std::string_view to_text(LeaveReason reason);
 
 class FollowerActions {
  public:
@@ -54,13 +48,13 @@
   virtual void unfollow(MemberId to, AttachmentNumber number) = 0;
   // To the server itself. Why it can't take that entry; empty: it can.
   virtual std::string check(const Entry& entry) = 0;
-  virtual void refused(const Entry& entry, std::string_view why) = 0;
+  virtual void refused(const Entry& entry, std::string_view reason) = 0;
   // The state is of that version now. `changed`: what is in force otherwise than before, by key; deleted
   // ones say so. Told where something changed, and after each renewal. Scopes that are followed no more don't
   // count as changed.
   virtual void applied(Version version, const std::vector<const Entry*>& changed) = 0;
   // A line was left, or a nearer one made the primary; for the log.
-  virtual void left(MemberId control, LeaveReason why) = 0;
+  virtual void left(MemberId control, LeaveReason reason) = 0;
 };
 
 class Follower {
@@ -84,8 +78,8 @@
   //   later has the greater numbers. A hint, for the directory
   // - and those of entries.hpp
   Follower(Nanos now, Incarnation self, const Location& place, const std::vector<Control>& controls,
-           std::vector<std::string> scopes, const Settings& figures, std::uint64_t seed,
-           FollowerActions& orders);
+           std::vector<std::string> scopes, const Settings& settings, std::uint64_t seed,
+           FollowerActions& actions);
   Follower(const Follower&) = delete;
   Follower& operator=(const Follower&) = delete;
 
@@ -93,15 +87,16 @@
   std::string_view set_scopes(Nanos now, std::vector<std::string> scopes);
 
   // ---- what control members say, as FeedActions; `to`: this life
-  void delta(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Version since, Version upto,
-             Version last, Nanos age, const std::vector<Entry>& entries);
-  void renewal(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Version at,
+  void delta(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number, Version since,
+             Version upto, Version last, Nanos age, const std::vector<Entry>& entries);
+  void renewal(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number, Version at,
                const std::vector<std::uint16_t>& scopes, Version since, Version upto, Version last,
                const std::vector<Entry>& entries);
-  void beat(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Version committed, Nanos age);
-  void rest(Nanos now, MemberId from, Incarnation to, AttachmentNumber number, Nanos rest);
-  void elsewhere(Nanos now, MemberId from, Incarnation to, AttachmentNumber number);
-  void again(Nanos now, MemberId from, Incarnation to, AttachmentNumber number);
+  void beat(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number, Version committed,
+            Nanos age);
+  void rest(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number, Nanos rest);
+  void elsewhere(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number);
+  void again(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number);
   void disconnected(Nanos now,
                     MemberId control); // the link knows that it is gone; sooner than by its silence
 
@@ -109,10 +104,10 @@
   // What is in force of a key; nullptr: nothing.
   const Entry* find(std::string_view key) const;
   void for_each_in(std::string_view scope, const std::function<bool(const Entry&)>& each) const;
-  Version version() const { return at_.taken; }
+  Version version() const { return position_.taken; }
   // Since a control member last said that this state is the newest; -1: never, in this life.
-  Nanos age(Nanos now) const { return current_at_ < 0 ? -1 : now - current_at_; }
-  const Position& position() const { return at_; }
+  Nanos age(Nanos now) const { return confirmed_at_ < 0 ? -1 : now - confirmed_at_; }
+  const Position& position() const { return position_; }
 
   // ---- time
   Nanos next_wake() const; // -1: none
@@ -126,23 +121,23 @@
   };
   std::vector<Attachment> attachments() const; // the primary first
   struct Counts {
-    std::uint64_t deltas = 0, parts = 0, renewals = 0, refused = 0, gaps = 0, older = 0, invalid = 0,
+    std::uint64_t deltas = 0, parts = 0, renewals = 0, refused = 0, gaps = 0, outdated = 0, invalid = 0,
                   misaddressed = 0, moves = 0; // misaddressed: words of another life or attachment
   };
   const Counts& counts() const { return counts_; }
-  std::size_t keys_refused() const { return in_force_.size(); } // whose newest entry is not in force
+  std::size_t keys_refused() const { return retained_.size(); } // whose newest entry is not in force
 
  private:
   struct Member {
     MemberId id{};
-    int nearness = 0;        // 0: same zone, 1: same region, 2: another
-    std::uint32_t order = 0; // among equals, by chance
-    Nanos rests_until = 0;
-    int tries = 0; // that came to nothing, in a row
+    int distance = 0;            // 0: same zone, 1: same region, 2: another
+    std::uint32_t tie_break = 0; // among equals, by chance
+    Nanos retry_at = 0;
+    int failures = 0; // that came to nothing, in a row
     // As a line:
-    bool line = false, primary = false, heard = false;
+    bool attached = false, primary = false, responded = false;
     AttachmentNumber number{};
-    Nanos since = 0, well_since = 0, last_received_at = 0, next_have = 0, settle = 0;
+    Nanos attached_at = 0, healthy_since = 0, last_received_at = 0, next_have_at = 0, settle_time = 0;
     Nanos ahead_since = -1; // it has told a version that is not here
     Version committed{};
   };
@@ -153,36 +148,37 @@
     std::size_t bytes = 0;
   };
 
-  Member* heard(Nanos now, MemberId from, Incarnation to, AttachmentNumber number);
+  Member* match_attachment(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number);
   Member* primary();
   Member* secondary();
-  Member* next_best(Nanos now);
-  void choose(Nanos now);
+  Member* best_candidate(Nanos now);
+  void choose_members(Nanos now);
   void attach(Nanos now, Member& member, bool as_primary);
-  void leave(Nanos now, Member& member, LeaveReason why);
-  Nanos behind_at(const Member& second) const;
-  void answer(Nanos now, Member& member);
-  void told(Nanos now, Member& member, Version committed, Nanos age);
+  void detach(Nanos now, Member& member, LeaveReason reason);
+  Nanos stale_at(const Member& second) const;
+  void send_have(Nanos now, Member& member);
+  void record_committed(Nanos now, Member& member, Version committed, Nanos age);
   bool stage(const std::vector<Entry>& entries, Version since, Version upto, bool renewed);
-  void take_stage();
-  void drop_stage();
-  std::vector<FollowedScope> held() const;
+  void apply_stage();
+  void discard_stage();
+  std::vector<FollowedScope> followed_scopes() const;
 
   FollowerActions& actions_;
   Incarnation self_;
-  Pcg chance_;
-  Settings figures_;
-  Nanos beat_, silent_, behind_, settle_, rest_least_, rest_most_, compare_;
-  std::size_t most_entries_, most_bytes_;
+  Pcg random_;
+  Settings settings_;
+  Nanos beat_interval_, silence_timeout_, stale_timeout_, settle_time_, min_backoff_, max_backoff_,
+      compare_interval_;
+  std::size_t max_entries_, max_bytes_;
   std::vector<Member> members_; // nearest first
   std::vector<std::string> scopes_;
-  std::set<std::string, std::less<>> held_; // scopes of which the state has all up to `taken`
-  std::unique_ptr<Entries> state_;          // as given, those that were refused too
-  std::map<std::string, std::optional<Entry>, std::less<>> in_force_; // of keys whose newest was refused
-  Position at_;
+  std::set<std::string, std::less<>> complete_scopes_; // scopes of which the state has all up to `taken`
+  std::unique_ptr<Entries> state_;                     // as given, those that were refused too
+  std::map<std::string, std::optional<Entry>, std::less<>> retained_; // of keys whose newest was refused
+  Position position_;
   Stage stage_;
-  std::uint64_t numbers_ = 0;
-  Nanos current_at_ = -1, progress_at_, next_compare_ = 0, now_;
+  std::uint64_t last_number_ = 0;
+  Nanos confirmed_at_ = -1, progress_at_, next_compare_at_ = 0, now_;
   Counts counts_;
 };
 
--- a/control/following.hpp
+++ b/control/following.hpp
@@ -25,12 +25,12 @@
   bool held = false;        // false: it is new to the follower, of which `taken` says nothing
 };
 
-constexpr std::size_t max_scopes = 64;         // that one follows: their names fit into one word
-constexpr std::size_t most_scope_bytes = 4096; // names in all
-constexpr std::size_t entry_overhead = 64;     // bytes that an entry costs beside key and value, at the most
-constexpr std::size_t message_overhead = 128;  // and a word beside its entries
+constexpr std::size_t max_scopes = 64;        // that one follows: their names fit into one word
+constexpr std::size_t max_scope_bytes = 4096; // names in all
+constexpr std::size_t entry_overhead = 64;    // bytes that an entry costs beside key and value, at the most
+constexpr std::size_t message_overhead = 128; // and a word beside its entries
 constexpr std::size_t beat_bytes = message_overhead; // a word without entries
-inline std::size_t bytes_of(const Entry& entry) {
+inline std::size_t max_encoded_size(const Entry& entry) {
   return entry.key.size() + entry.value.size() + entry_overhead;
 }
 
--- a/control/replica.hpp
+++ b/control/replica.hpp
@@ -46,14 +46,14 @@
 
 namespace cometshift {
 
-using PutNumber = Id<struct PutNoTag, std::uint64_t>; // of a put, rising in one incarnation; 0: none
+using PutNumber = Id<struct PutNumberTag, std::uint64_t>; // of a put, rising in one incarnation; 0: none
 
 // Of the scope that operators can't write to: the roster is an entry too, so that all members get it.
 constexpr std::string_view control_scope = "control", roster_key = "control/roster";
 
 // Which lives of the voters count.
 struct Roster {
-  std::map<MemberId, Incarnation> lives;
+  std::map<MemberId, Incarnation> incarnations;
   Token since{}; // the order was begun anew under this token, after a first start or a loss
   bool operator==(const Roster&) const = default;
 };
@@ -119,19 +119,20 @@
   virtual ~ReplicaActions() = default;
   // ---- to be said to another control member. `of`: to this incarnation of it only.
   virtual void prepare(MemberId to, Token token, std::uint32_t round) = 0;
-  virtual void promise(MemberId to, Incarnation of, Token token, std::uint32_t round,
-                       const LogStatus& standing) = 0;
-  virtual void refuse(MemberId to, Incarnation of, Token token, Token seen) = 0; // a greater one is promised
+  virtual void promise(MemberId to, Incarnation incarnation, Token token, std::uint32_t round,
+                       const LogStatus& status) = 0;
+  virtual void refuse(MemberId to, Incarnation incarnation, Token token,
+                      Token seen) = 0; // a greater one is promised
   virtual void append(MemberId to, const Append& append) = 0;
   // `matched`: all up to there is as the writer has it; with `gap`: go back to there.
-  virtual void appended(MemberId to, Incarnation of, Token token, std::uint64_t mark, Version matched,
-                        bool gap) = 0;
+  virtual void appended(MemberId to, Incarnation incarnation, Token token, std::uint64_t sequence,
+                        Version matched, bool gap) = 0;
   // Tell me your state and log after `cursor`, of which I have `base`, in the order begun under `since`.
   virtual void fetch(MemberId to, Token token, Version base, Version cursor, Token since) = 0;
-  virtual void chunk(MemberId to, Incarnation of, const Chunk& chunk) = 0;
-  virtual void pass(MemberId to, Incarnation of, Token token, const ForwardedPut& put) = 0;
-  virtual void answer(MemberId to, Incarnation of, Token token, PutNumber put, PutOutcome end,
-                      Version version, std::string_view why) = 0;
+  virtual void chunk(MemberId to, Incarnation incarnation, const Chunk& chunk) = 0;
+  virtual void pass(MemberId to, Incarnation incarnation, Token token, const ForwardedPut& put) = 0;
+  virtual void answer(MemberId to, Incarnation incarnation, Token token, PutNumber put, PutOutcome end,
+                      Version version, std::string_view reason) = 0;
 
   // ---- to this member's own parts
   // Why the caller can't take such an entry; empty: it can. Asked of the writer before it writes.
@@ -139,7 +140,7 @@
   // `entries()` has it now; in the order of versions.
   virtual void committed(const Record& record) = 0;
   virtual void replaced() = 0; // `entries()` is another, of a later version, by a transfer
-  virtual void ended(PutNumber put, PutOutcome end, Version version, std::string_view why) = 0;
+  virtual void ended(PutNumber put, PutOutcome end, Version version, std::string_view reason) = 0;
   // This member is the writer in office. `after_loss`: begun anew by the word of all voters; what only lost
   // lives held is gone.
   virtual void began(Token token, bool after_loss) = 0;
@@ -164,7 +165,7 @@
   // - control.record_overhead: that a record costs there beside key and value; 0 unless told
   // - control.most_batches: under way to one member
   Replica(Nanos now, MemberId self, Incarnation incarnation, std::set<MemberId> members,
-          std::set<MemberId> voters, const Settings& figures, ReplicaActions& orders);
+          std::set<MemberId> voters, const Settings& settings, ReplicaActions& actions);
   Replica(const Replica&) = delete;
   Replica& operator=(const Replica&) = delete;
 
@@ -176,19 +177,22 @@
   PutNumber put(Nanos now, std::string key, std::string value, bool deleted, std::optional<Version> expected);
 
   // ---- what other control members say, each with its number and incarnation; `to`: to which of this one's
-  void prepared(Nanos now, MemberId from, Incarnation of, Token token, std::uint32_t round);
-  void promised(Nanos now, MemberId from, Incarnation of, Incarnation to, Token token, std::uint32_t round,
-                const LogStatus& standing);
-  void refused(Nanos now, MemberId from, Incarnation of, Incarnation to, Token token, Token seen);
-  void appending(Nanos now, MemberId from, Incarnation of, const Append& append);
-  void appended(Nanos now, MemberId from, Incarnation of, Incarnation to, Token token, std::uint64_t mark,
-                Version matched, bool gap);
-  void fetched(Nanos now, MemberId from, Incarnation of, Token token, Version base, Version cursor,
+  void prepared(Nanos now, MemberId from, Incarnation incarnation, Token token, std::uint32_t round);
+  void promised(Nanos now, MemberId from, Incarnation incarnation, Incarnation to_incarnation, Token token,
+                std::uint32_t round, const LogStatus& status);
+  void refused(Nanos now, MemberId from, Incarnation incarnation, Incarnation to_incarnation, Token token,
+               Token seen);
+  void appending(Nanos now, MemberId from, Incarnation incarnation, const Append& append);
+  void appended(Nanos now, MemberId from, Incarnation incarnation, Incarnation to_incarnation, Token token,
+                std::uint64_t sequence, Version matched, bool gap);
+  void fetched(Nanos now, MemberId from, Incarnation incarnation, Token token, Version base, Version cursor,
                Token since);
-  void chunked(Nanos now, MemberId from, Incarnation of, Incarnation to, const Chunk& chunk);
-  void passed(Nanos now, MemberId from, Incarnation of, Incarnation to, Token token, const ForwardedPut& put);
-  void answered(Nanos now, MemberId from, Incarnation of, Incarnation to, Token token, PutNumber put,
-                PutOutcome end, Version version, std::string_view why);
+  void chunked(Nanos now, MemberId from, Incarnation incarnation, Incarnation to_incarnation,
+               const Chunk& chunk);
+  void passed(Nanos now, MemberId from, Incarnation incarnation, Incarnation to_incarnation, Token token,
+              const ForwardedPut& put);
+  void answered(Nanos now, MemberId from, Incarnation incarnation, Incarnation to_incarnation, Token token,
+                PutNumber put, PutOutcome end, Version version, std::string_view reason);
 
   // ---- time
   Nanos next_wake() const; // -1: none
@@ -200,47 +204,47 @@
   // Not blank: a voter whose life counts in the newest roster that it knows as committed, or another member
   // that holds a state.
   bool ready() const;
-  bool is_writer(Nanos now) const { return phase_ == Phase::office && now < until_; }
+  bool is_writer(Nanos now) const { return phase_ == Phase::writing && now < lease_until_; }
 
   struct Status {
-    bool ready = false, office = false, establishing = false, fetching = false;
+    bool ready = false, writing = false, establishing = false, fetching = false;
     MemberId writer{}; // 0: none is known
     Token token{};     // of that writer
     Nanos last_received_at = -1;
     Version last{}, committed{};
     Roster roster;
     std::size_t puts = 0, pending = 0; // under way; in the log and not committed
-    std::uint64_t puts_so_far = 0;
+    std::uint64_t total_puts = 0;
     std::map<MemberId, Version> matched; // in office: how far each other is
   };
   Status status() const;
-  std::uint64_t invalid() const { return senseless_; }
+  std::uint64_t invalid() const { return invalid_; }
   // Committed entries that this member had no room for: its bounds are smaller than the writer's.
-  std::uint64_t no_room() const { return no_room_; }
+  std::uint64_t entries_without_room() const { return entries_without_room_; }
 
  private:
-  enum class Phase { none, asking, fetching, office };
+  enum class Phase { none, preparing, fetching, writing };
   struct Writer { // whose token was promised last
     MemberId member{};
-    Incarnation of{};
+    Incarnation incarnation{};
     Nanos last_received_at = -1; // in office
   };
   struct Answer { // to a prepare
-    Incarnation of{};
-    LogStatus standing;
+    Incarnation incarnation{};
+    LogStatus status;
   };
-  struct Fellow { // another member, to a writer in office
-    Incarnation of{};
-    bool known = false;                        // `of` has been heard
-    std::uint64_t known_from = 0;              // the first mark that was sent after that
-    bool alive = false;                        // that life has answered one from there on
-    bool lagging = false;                      // it cannot be levelled by the log: it has to fetch
-    Version matched{}, sent{}, base{}, told{}; // base: it went back to there; told: as committed
-    std::uint64_t mark = 0, echoed = 0,
-                  back_at = 0; // back_at: marks up to it were sent before `sent` went back
-    std::uint64_t window = 0;  // batches that may be under way
-    int gaps = 0;              // in a row
-    Nanos next_beat = 0, again = -1;
+  struct Peer { // another member, to a writer in office
+    Incarnation incarnation{};
+    bool incarnation_known = false;                      // `of` has been heard
+    std::uint64_t first_known_sequence = 0;              // the first mark that was sent after that
+    bool confirmed = false;                              // that life has answered one from there on
+    bool lagging = false;                                // it cannot be levelled by the log: it has to fetch
+    Version matched{}, sent{}, base{}, sent_committed{}; // base: it went back to there; told: as committed
+    std::uint64_t last_sequence = 0, acked_sequence = 0,
+                  rewind_sequence = 0; // back_at: marks up to it were sent before `sent` went back
+    std::uint64_t window = 0;          // batches that may be under way
+    int consecutive_gaps = 0;          // in a row
+    Nanos next_beat = 0, resend_at = -1;
   };
   struct Session { // of one life of a member that passes puts on
     PutNumber oldest{};
@@ -248,80 +252,81 @@
       bool ended = false;
       PutOutcome end = PutOutcome::unknown;
       Version version{};
-      std::string why;
+      std::string reason;
     };
     std::map<PutNumber, Result> results;
     Nanos last_received_at = 0;
   };
   struct Put { // of this member
     ForwardedPut put;
-    Token token{};         // passed on under it; 0: it is known that no writer has written it
-    bool doubtful = false; // a transfer may have hidden its end
-    Nanos again = 0, deadline = 0;
+    Token token{};               // passed on under it; 0: it is known that no writer has written it
+    bool outcome_hidden = false; // a transfer may have hidden its end
+    Nanos retry_at = 0, deadline = 0;
   };
   struct Fetch {
     bool under_way = false;
     MemberId from{};
-    Incarnation of{};
-    bool known = false; // `of` is
+    Incarnation incarnation{};
+    bool incarnation_known = false; // `of` is
     Version base{}, cursor{}, floor{}, committed{};
     bool first = true;
-    std::map<Version, Chunk> early;                     // by where they begin
+    std::map<Version, Chunk> out_of_order;              // by where they begin
     std::map<Version, Record> records;                  // taken so far
     std::map<std::string, Version, std::less<>> newest; // of each key among these
-    std::size_t bytes = 0, taken = 0;                   // taken: chunks since they were asked for
-    Nanos again = 0, deadline = 0;
+    std::size_t bytes = 0, chunks_received = 0;         // taken: chunks since they were asked for
+    Nanos retry_at = 0, deadline = 0;
   };
 
   // The log
   Version last() const { return log_.empty() ? log_from_ : log_.back().entry.version; }
-  std::size_t behind(Version version) const; // index of the first record after it
+  std::size_t index_after(Version version) const; // index of the first record after it
   bool in_log(Version version) const;
-  void push(Record record);
+  void append_record(Record record);
   void commit(Nanos now, Version to);
-  void learn_roster();
+  void update_roster();
   void trim();
   using Rosters = std::vector<std::pair<Version, Roster>>;
   Rosters rosters() const; // the newest committed one and all behind it
-  LogStatus log_standing() const;
-  const Entry* newest(std::string_view key) const; // pending ones too
+  LogStatus log_status() const;
+  const Entry* newest_entry(std::string_view key) const; // pending ones too
 
   // The writer
-  void ask(Nanos now);
-  void evaluate(Nanos now);
-  void begin(Nanos now);
+  void start_round(Nanos now);
+  void evaluate_promises(Nanos now);
+  void begin_term(Nanos now);
   void step_down();
   void supersede(Token seen);
   Version write(Nanos now, Record record);
-  std::string why_refused(const Entry& entry, const std::optional<Version>& expected);
+  std::string put_rejection_reason(const Entry& entry, const std::optional<Version>& expected);
   void write_roster(Nanos now, Roster roster);
-  void join(Nanos now);
-  void settle(Nanos now);
-  void send(Nanos now, MemberId to, Fellow& fellow, bool beat);
-  void take_put(Nanos now, MemberId from, Incarnation of, const ForwardedPut& put);
+  void admit_voters(Nanos now);
+  void advance_commit(Nanos now);
+  void send(Nanos now, MemberId to, Peer& peer, bool beat);
+  void accept_put(Nanos now, MemberId from, Incarnation incarnation, const ForwardedPut& put);
 
   // The others
   void begin_fetch(Nanos now, MemberId from, Version base);
-  void ask_chunks(Nanos now);
-  bool take_chunk(const Chunk& chunk); // false: all from the beginning again
-  void adopt(Nanos now, Version committed);
-  bool heed(Nanos now, MemberId from, Incarnation of, Token token); // false: a greater token is promised
-  void pass_on(Nanos now, PutNumber number);
-  void end_put(PutNumber number, PutOutcome end, Version version, std::string_view why);
+  void request_chunks(Nanos now);
+  bool stage_chunk(const Chunk& chunk); // false: all from the beginning again
+  void apply_fetch(Nanos now, Version committed);
+  bool accept_token(Nanos now, MemberId from, Incarnation incarnation,
+                    Token token); // false: a greater token is promised
+  void forward_put(Nanos now, PutNumber number);
+  void finish_put(PutNumber number, PutOutcome end, Version version, std::string_view reason);
   PutNumber oldest_put() const;
 
   ReplicaActions& actions_;
   MemberId self_;
   Incarnation incarnation_;
   std::set<MemberId> members_, voters_;
-  Nanos beat_, again_, batch_, grace_, patience_, put_timeout_;
-  std::size_t most_puts_, most_log_, most_pending_, most_batch_, overhead_, most_batches_, most_entries_,
-      most_bytes_;
+  Nanos beat_interval_, retry_interval_, batch_delay_, nonvoter_grace_, fetch_timeout_, put_timeout_;
+  std::size_t max_puts_, max_log_records_, max_pending_records_, max_batch_bytes_, record_overhead_,
+      max_batches_, max_entries_, max_bytes_;
 
   Entries entries_;
   Version committed_{};
   Roster roster_;          // the newest that is committed
-  bool level_ = false;     // a writer in office has told all that it had committed, in this life
+  bool caught_up_ = false; // a writer in office has told all that it had committed, in this life
   std::deque<Record> log_; // committed ones first, then pending ones
   Version log_from_{};     // what stands before the first
   std::size_t pending_bytes_ = 0;
@@ -330,23 +335,23 @@
 
   Phase phase_ = Phase::none;
   Token token_{};
-  Nanos until_ = 0;
+  Nanos lease_until_ = 0;
   std::uint32_t round_ = 0;
-  Nanos asked_at_ = 0, ask_again_ = 0;
+  Nanos preparing_since_ = 0, prepare_again_at_ = 0;
   std::map<MemberId, Answer> answers_;
-  std::map<MemberId, Incarnation> lives_before_; // of the round before
-  bool by_all_ = false;
+  std::map<MemberId, Incarnation> previous_round_incarnations_; // of the round before
+  bool by_all_voters_ = false;
   MemberId source_{};
-  LogStatus chosen_;
+  LogStatus chosen_log_;
   Version known_committed_{};
-  std::map<MemberId, Fellow> fellows_;
+  std::map<MemberId, Peer> peers_;
   std::map<std::pair<MemberId, Incarnation>, Session> sessions_;
   Nanos send_at_ = -1;
 
   Fetch fetch_;
   std::map<PutNumber, Put> puts_;
   std::uint64_t put_count_ = 0;
-  std::uint64_t senseless_ = 0, no_room_ = 0;
+  std::uint64_t invalid_ = 0, entries_without_room_ = 0;
 };
 
 } // namespace cometshift
--- a/tests/control_entries.cpp
+++ b/tests/control_entries.cpp
@@ -32,7 +32,7 @@
 }
 void since(const Entries& e, Version after, Version to, const std::vector<std::string>& scopes) {
   std::printf(" ");
-  e.since(after, to, scopes, [](const Entry& one) {
+  e.for_each_since(after, to, scopes, [](const Entry& one) {
     std::printf(" %llu.%llu %s%s%s", static_cast<unsigned long long>(one.version.token.raw),
                 static_cast<unsigned long long>(one.version.number), one.key.c_str(),
                 one.deleted ? " deleted" : "=", one.value.c_str());
@@ -42,7 +42,7 @@
 }
 void taken(Entries& e, const Entry& entry) {
   const std::string why(e.rejection_reason(entry));
-  std::printf("  %s: %s%s%s\n", entry.key.c_str(), e.take(entry) ? "taken" : "not taken",
+  std::printf("  %s: %s%s%s\n", entry.key.c_str(), e.apply(entry) ? "taken" : "not taken",
               why.empty() ? "" : ", ", why.c_str());
 }
 
@@ -87,7 +87,7 @@
   since(e, {}, {Token{9}, 0}, {"a", "b", "a", "none"});
   since(e, {}, {Token{9}, 0}, {""});
   say("a version whose last entry is of scopes that are not held here");
-  e.reached({Token{7}, 1});
+  e.advance_to({Token{7}, 1});
   show(e);
   say("scopes, and what they hold by key");
   taken(e, made("a/a", "1", 8, 1));
@@ -99,11 +99,11 @@
   say("digests: equal where the same is held, whatever came before and in which order; deletions play no "
       "part");
   Entries one(figures()), other(figures());
-  one.take(made("a/x", "1", 1, 1)), one.take(made("a/y", "2", 1, 2)), one.take(made("a/z", "3", 1, 3));
-  one.take(deletion("a/z", 1, 4));
-  other.take(made("a/y", "2", 1, 2)), other.take(made("a/x", "1", 1, 1));
+  one.apply(made("a/x", "1", 1, 1)), one.apply(made("a/y", "2", 1, 2)), one.apply(made("a/z", "3", 1, 3));
+  one.apply(deletion("a/z", 1, 4));
+  other.apply(made("a/y", "2", 1, 2)), other.apply(made("a/x", "1", 1, 1));
   std::printf("  %s", one.digest("a") == other.digest("a") ? "equal" : "NOT EQUAL");
-  other.take(made("a/x", "1", 1, 5));
+  other.apply(made("a/x", "1", 1, 5));
   std::printf(", %s where a version differs", one.digest("a") != other.digest("a") ? "another" : "EQUAL");
   std::printf(", %llu of a scope that is not held\n", static_cast<unsigned long long>(one.digest("none")));
   one.clear();
--- a/tests/control_feed.cpp
+++ b/tests/control_feed.cpp
@@ -74,7 +74,7 @@
   Entries state{figures()};
   Feed feed{0, state, figures(), 1, out};
   void commit(const Entry& entry) {
-    state.take(entry);
+    state.apply(entry);
     feed.committed(out.now, entry);
   }
   void to(Nanos time) {
@@ -396,7 +396,7 @@
 
   void begin(std::initializer_list<Entry> entries) {
     state.clear();
-    for (const Entry& entry : entries) state.take(entry);
+    for (const Entry& entry : entries) state.apply(entry);
     feed = std::make_unique<Feed>(now, state, figures(), 1, *this);
     feed->activate(now);
   }
@@ -418,7 +418,7 @@
   s.run(10 * second);
   if (s.follower.version() != v(3)) return "an older state is taken";
   const Entry newer = put("b/y", 1, "new", 9);
-  s.state.take(newer);
+  s.state.apply(newer);
   s.feed->committed(s.now, newer);
   s.run(20 * second);
   if (s.follower.version() != v(1, 9) || s.follower.find("a/z")) return "what was lost stays";
@@ -458,7 +458,7 @@
     ++seeds;
     commits += one.commits, taken += one.taken, lives += one.lives;
     feed.parts += one.feed.parts, feed.repeats += one.feed.repeats, feed.renewals += one.feed.renewals;
-    follower.gaps += one.follower.gaps, follower.older += one.follower.older;
+    follower.gaps += one.follower.gaps, follower.outdated += one.follower.outdated;
     follower.misaddressed += one.follower.misaddressed, follower.moves += one.follower.moves;
     follower.refused += one.follower.refused, follower.invalid += one.follower.invalid;
     most_renewals = std::max(most_renewals, one.most_renewals);
@@ -483,7 +483,7 @@
               n(sum.feed.repeats), n(sum.feed.renewals), sum.most_renewals);
   std::printf(
       "  not taken: gaps %llu, older %llu, foreign %llu, senseless %llu; entries refused %llu, moves %llu\n",
-      n(sum.follower.gaps), n(sum.follower.older), n(sum.follower.misaddressed), n(sum.follower.invalid),
+      n(sum.follower.gaps), n(sum.follower.outdated), n(sum.follower.misaddressed), n(sum.follower.invalid),
       n(sum.follower.refused), n(sum.follower.moves));
   std::printf("  all level %lld ms after the last fault at the latest\n",
               static_cast<long long>(sum.level_after / ms));
@@ -547,7 +547,7 @@
   std::uint64_t number = 0;
   const auto commit = [&](Nanos now, const char* key) {
     const Entry entry = put(key, ++number, "x");
-    state.take(entry);
+    state.apply(entry);
     feed.committed(now, entry);
     feed.due(now);
   };
--- a/tests/fleet_of_followers.hpp
+++ b/tests/fleet_of_followers.hpp
@@ -90,7 +90,7 @@
     }
     void count(MemberId to, const std::vector<const Entry*>& entries) {
       std::size_t bytes = message_overhead;
-      for (const Entry* entry : entries) bytes += bytes_of(*entry);
+      for (const Entry* entry : entries) bytes += max_encoded_size(*entry);
       fleet.spent(*this, to, bytes);
     }
     void delta(MemberId to, Incarnation of, AttachmentNumber n, Version from, Version upto, Version last,
@@ -318,7 +318,7 @@
   void catch_up(Control& c) {
     if (c.feed->is_inactive()) return;
     for (; c.position < c.arrived; ++c.position) {
-      c.state->take(log_[c.position]);
+      c.state->apply(log_[c.position]);
       c.feed->committed(now, log_[c.position]);
     }
     turned(c);
@@ -354,9 +354,9 @@
     for (const auto& [scope, keys] : histories_)
       for (const auto& [key, places] : keys)
         if (const std::size_t place = newest(places, c.position); place > 0 && !log_[place - 1].deleted)
-          c.state->take(log_[place - 1]);
+          c.state->apply(log_[place - 1]);
     if (c.position > 0) {
-      c.state->reached(log_[c.position - 1].version);
+      c.state->advance_to(log_[c.position - 1].version);
       c.state->raise_floor(log_[c.position - 1].version);
     }
     c.feed->activate(now);
--- a/tests/fleet_of_replicas.hpp
+++ b/tests/fleet_of_replicas.hpp
@@ -467,7 +467,7 @@
   PutId put_at(Member& one, const std::string& key, std::string value, std::optional<Version> expected,
                bool deleted = false) {
     // It may end within the call: the referee has to know it before.
-    const PutId id{one.self, one.incarnation(), PutNumber{one.replica->status().puts_so_far + 1}};
+    const PutId id{one.self, one.incarnation(), PutNumber{one.replica->status().total_puts + 1}};
     puts_[id] = {key, expected, std::nullopt, {}, {}};
     if (one.replica->put(one.clock(), key, std::move(value), deleted, expected).raw == 0)
       puts_.erase(id);
@@ -503,7 +503,7 @@
         return void(one.told = version);
       }
       take(record);
-      reference_.take(record.entry);
+      reference_.apply(record.entry);
       head_ = version;
       known = order_of_.insert_or_assign(version, Link{one.told, digest_of(reference_), era_}).first;
     }
@@ -569,8 +569,8 @@
     ++era_;
     era_from_ = token;
     reference_ = Entries(figures());
-    one.replica->entries().since({}, one.replica->committed(), {}, [&](const Entry& entry) {
-      reference_.take(entry);
+    one.replica->entries().for_each_since({}, one.replica->committed(), {}, [&](const Entry& entry) {
+      reference_.apply(entry);
       return true;
     });
     head_ = one.told = one.replica->committed();
@@ -593,7 +593,7 @@
       if (one->replica->committed() != first->replica->committed() ||
           digest_of(one->replica->entries()) != digest_of(first->replica->entries()))
         wrong("members " + name_of(*one) + " and " + name_of(*first) + " are not level in the end");
-      if (one->replica->no_room() > 0) wrong("no room for what was committed");
+      if (one->replica->entries_without_room() > 0) wrong("no room for what was committed");
       if (one->replica->status().puts > 0) wrong("puts that never end");
     }
     for (const PutId& id : last_puts_)
