--- a/control/entries.cpp
+++ b/control/entries.cpp
@@ -55,7 +55,7 @@
 }
 
 bool Entries::apply(Entry entry) {
-  // Against two entries under one version, too: a table would point at what is gone.
+  // A second entry under a stored version is rejected too: an index would keep a pointer to a removed entry.
   if (entry.version == Version{} || by_version_.contains(entry.version) || !rejection_reason(entry).empty())
     return false;
   const auto held = by_key_.find(entry.key);
@@ -113,7 +113,7 @@
     return;
   }
   using Iterator = std::map<Version, const Entry*>::const_iterator;
-  std::vector<std::pair<Iterator, Iterator>> heads; // a heap, the oldest on top
+  std::vector<std::pair<Iterator, Iterator>> heads; // a min-heap: the oldest version on top
   const auto newer = [](const auto& a, const auto& b) { return a.first->first > b.first->first; };
   for (const std::string& name : std::set<std::string>(scopes.begin(), scopes.end())) {
     const auto scope = by_scope_.find(name);
--- a/control/entries.hpp
+++ b/control/entries.hpp
@@ -1,16 +1,19 @@
-// Versioned entries of configuration, in the one order that all members see: what a control member holds and
-// hands out, and what a server has taken. Holds only; no I/O, no clock.
+// A bounded, versioned key-value store of configuration entries. All members see the same total order of
+// writes; a control member keeps the committed state in it and distributes it, a server keeps what it has
+// received. Pure data structure: no I/O and no clock.
 //
-// A version is the place of a write in that order: the fencing token of the lease under which it was written,
-// then a count under it. Of each key only the newest entry is held; a deletion is an entry too, and is
-// forgotten, oldest first, where more than `control.most_deleted` are held.
+// A version is the position of a write in the total order: the fencing token of the lease under which it was
+// written, then a sequence number under that token. Only the newest entry of each key is kept. A deletion is
+// kept as an entry too (a tombstone); when there are more than `control.most_deleted` of them, the oldest are
+// dropped.
 //
-// A key is SCOPE/NAME, the scope being all before the last '/'. A server follows some scopes, and may leave
-// out the others: to it, all entries of its scopes up to a version are its state of that version.
+// A key is SCOPE/NAME, where the scope is everything before the last '/'. A server follows a subset of the
+// scopes: all entries of these scopes up to a version are its state at that version.
 //
-// Bounds: figures control.most_entries, .most_bytes (keys and values in all), .most_key, .most_value (bytes),
-// .most_deleted. Errors: the constructor throws std::invalid_argument with the name of a figure that is
-// missing or senseless; what can't be taken is told by `rejection_reason`, and changes nothing.
+// Limits: the settings control.most_entries, .most_bytes (keys and values together), .most_key and
+// .most_value (bytes) and .most_deleted. Errors: the constructor throws std::invalid_argument with the name
+// of a setting that is missing or invalid. `rejection_reason` says why an entry cannot be stored; nothing
+// changes then.
 #pragma once
 
 #include "leases.hpp"
@@ -24,53 +27,57 @@
 
 namespace cometshift {
 
+// The position of a write in the total order.
 struct Version {
   Token token{};
   std::uint64_t number = 0; // from 1 under each token
   constexpr auto operator<=>(const Version&) const = default;
 };
 
+// A key with its value, or a tombstone of a deleted key.
 struct Entry {
   std::string key, value;
   Version version{};
-  MemberId writer{}; // where it was put
+  MemberId writer{}; // the member that received the put
   bool deleted = false;
   bool operator==(const Entry&) const = default;
 };
 
-std::string_view scope_of(std::string_view key); // empty: the key has no '/'
+std::string_view scope_of(std::string_view key); // empty if the key has no '/'
 
 class Entries {
  public:
   explicit Entries(const Settings& settings);
 
-  // Why such an entry has no room or makes no sense; empty: it can be taken.
+  // Why the entry is invalid or exceeds a limit; empty if it can be stored.
   std::string_view rejection_reason(const Entry& entry) const;
-  // The newest of its key wins; false: what is held is as new, or there is no room. `last` goes up to it.
+  // Stores an entry that is newer than the stored one of its key, and raises `last` to its version. Returns
+  // false if the stored entry is as new or newer, or if the entry is rejected.
   bool apply(Entry entry);
-  // All up to `version` is held now, though the last of it is of scopes that are not: `last` goes up to it.
+  // Raises `last` to `version`: the store is complete up to there, though the newest entries may belong to
+  // scopes that are not kept here.
   void advance_to(Version version);
-  // What is held was told by one who forgot deletions up to this version: the floor is at least there.
+  // Raises `floor` to at least `version`: the source of these entries had dropped tombstones up to it.
   void raise_floor(Version version);
-  void clear(); // everything, as after a start
+  void clear(); // back to the state after construction
 
   Version last() const { return last_; }
-  // Deltas from before this version can't be told: deletions of before were forgotten.
+  // Tombstones up to this version may have been dropped, so no complete delta starts from an older version.
   Version floor() const { return floor_; }
-  const Entry* find(std::string_view key) const; // deletions too; nullptr: none
-  // Entries with a version over `after` and up to `to`, deletions too, in their order; of these scopes, or of
-  // all where none is named. Stops where `each` returns false.
+  const Entry* find(std::string_view key) const; // tombstones included; nullptr if there is none
+  // Visits the entries with a version above `after` and up to `to`, tombstones included, in order of version;
+  // only those of `scopes`, or all if it is empty. Stops when `each` returns false.
   void for_each_since(Version after, Version to, const std::vector<std::string>& scopes,
                       const std::function<bool(const Entry&)>& each) const;
-  // Of one scope, by key; deletions are left out.
+  // Visits the entries of one scope in order of key, without tombstones. Stops when `each` returns false.
   void for_each_in(std::string_view scope, const std::function<bool(const Entry&)>& each) const;
-  std::vector<std::string> scopes() const;
-  // XXH3 over keys and versions of what a scope holds, deletions left out: equal where two hold the same;
-  // kept up with each entry, so that asking costs nothing. 0: it holds nothing.
+  std::vector<std::string> scopes() const; // that have at least one entry which is not a tombstone
+  // An XXH3 digest of the keys and versions in a scope, without tombstones: equal for stores with the same
+  // entries. It is updated with each entry, so reading it is cheap. 0 if the scope is empty.
   std::uint64_t digest(std::string_view scope) const;
 
-  std::size_t count() const { return by_key_.size() - deletions_.size(); }
-  std::size_t bytes() const { return bytes_; } // of keys and values, deletions left out
+  std::size_t count() const { return by_key_.size() - deletions_.size(); } // without tombstones
+  std::size_t bytes() const { return bytes_; } // of keys and values, without tombstones
 
  private:
   std::size_t max_entries_, max_bytes_, max_key_bytes_, max_value_bytes_, max_deletions_;
@@ -78,13 +85,13 @@
   std::map<Version, const Entry*> by_version_;
   struct Scope {
     std::map<Version, const Entry*> by_version;
-    std::size_t live = 0;     // deletions left out
-    std::uint64_t digest = 0; // the sum of theirs, so that it doesn't matter in which order they came
+    std::size_t live = 0;     // entries that are not tombstones
+    std::uint64_t digest = 0; // the sum of the digests of live entries, so it does not depend on their order
   };
-  void remove_from_indexes(const Entry& entry); // of all tables but the one by key
+  void remove_from_indexes(const Entry& entry); // from all indexes except by_key_
 
   std::map<std::string, Scope, std::less<>> by_scope_;
-  std::set<Version> deletions_; // deletions
+  std::set<Version> deletions_; // the versions of the tombstones
   std::size_t bytes_ = 0;
   Version last_{}, floor_{};
 };
--- a/control/feed.cpp
+++ b/control/feed.cpp
@@ -10,12 +10,13 @@
 
 constexpr double second = 1e9; // ns
 constexpr double ms = 1e6;     // ns
-constexpr int max_timeout_doublings =
-    4;                         // of the time for an answer: a slow follower isn't sent the same ever again
-constexpr int max_repeats = 3; // of a part of a renewal, before another gets its place
-constexpr double renewal_time_weight =
-    0.2; // of the last renewal in the mean time that those in line are told
-constexpr double min_beats_per_interval = 4; // so many beats fit into the credit of one beat's time
+// The time-out of a part doubles with each repeat, up to this many times, so that a slow follower is not
+// flooded with copies of the same part.
+constexpr int max_timeout_doublings = 4;
+// Repeats of a part of a renewal before the renewal is interrupted and its place given to another follower.
+constexpr int max_repeats = 3;
+constexpr double renewal_time_weight = 0.2;  // of the latest renewal in the moving average of their durations
+constexpr double min_beats_per_interval = 4; // heartbeats that the rate of a follower must allow per interval
 
 bool is_valid(const std::vector<FollowedScope>& scopes) {
   std::size_t bytes = 0;
@@ -41,7 +42,7 @@
   return tokens >= bytes ? now : now + 1 + static_cast<Nanos>(std::ceil((bytes - tokens) / rate * second));
 }
 
-// What a follower was given counts against its credit also after it went and came again.
+// Bytes already sent to a follower count against its token bucket even after it has left and come back.
 Feed::Bucket Feed::restore_bucket(Nanos now, MemberId id) {
   while (!departed_order_.empty() && departed_order_.front().first <= now) {
     const auto at = departed_.find(departed_order_.front().second);
@@ -103,7 +104,7 @@
     ++counts_.visited;
     Follower& follower = followers_.at(id);
     follower.dirty = true;
-    // Else it is looked at when its answer or its credit comes.
+    // Otherwise it is served when its acknowledgement arrives or its credit is available.
     if (!follower.in_flight && follower.credit_ticket == 0 && follower.renewal_ticket == 0)
       schedule(id, follower, now);
   }
@@ -118,7 +119,7 @@
   if (inactive_) return actions_.elsewhere(from, incarnation, number), nullptr;
   const auto at = followers_.find(from);
   if (at != followers_.end() && at->second.incarnation == incarnation) {
-    if (number < at->second.number) return nullptr; // late: of an attachment before
+    if (number < at->second.number) return nullptr; // a late message of an earlier attachment
     if (number == at->second.number) {
       at->second.last_received_at = now;
       return &at->second;
@@ -133,7 +134,7 @@
   if (number.raw == 0 || !is_valid(scopes) || !is_valid(at)) return void(++counts_.invalid);
   if (inactive_) return actions_.elsewhere(from, incarnation, number);
   if (const auto old = followers_.find(from); old != followers_.end()) {
-    if (old->second.incarnation == incarnation && number <= old->second.number) return; // late, or twice
+    if (old->second.incarnation == incarnation && number <= old->second.number) return; // late or duplicate
     drop(from, old->second, now);
   }
   if (followers_.size() >= max_followers_) {
@@ -163,7 +164,8 @@
   if (!is_valid(at)) return void(++counts_.invalid);
   Follower* const follower = find_follower(now, from, incarnation, number);
   if (!follower || !follower->primary) return;
-  // Against what an older word said; and what is staged is still to be taken.
+  // A lower position than the last reported one means that entries have to be sent again. Staged entries
+  // still need the final part that applies them.
   if (at.staged < follower->position.staged || at.staged > at.taken) follower->dirty = true;
   follower->position = at;
   if (follower->in_flight && part_acked(*follower)) {
@@ -185,7 +187,7 @@
   }
 }
 
-// Has it what the part under way was to bring?
+// Whether the reported position acknowledges the part in flight.
 bool Feed::part_acked(const Follower& follower) const {
   const Position& at = follower.position;
   if (!follower.renewing) return at.staged >= follower.expected.staged && at.taken >= follower.expected.taken;
@@ -194,7 +196,8 @@
          at.renewed >= follower.expected.renewed;
 }
 
-// What one holds at `at` and what is here agree, where nothing of its scopes came after.
+// Requests a renewal if the follower's digests at `at` differ from the digests here. They are comparable only
+// if no entry of its scopes is newer than `at`.
 void Feed::check_digests(Nanos now, MemberId id, Follower& follower, Version at) {
   if (follower.renewal_pending || at > state_.last() || at < state_.floor()) return;
   bool newer = false;
@@ -223,7 +226,7 @@
 
 void Feed::unfollow(Nanos now, MemberId from, Incarnation incarnation, AttachmentNumber number) {
   const auto at = followers_.find(from);
-  // Also of an attachment whose word never came here.
+  // Also ends an older attachment: the follow message of `number` itself may never have arrived here.
   if (at != followers_.end() && at->second.incarnation == incarnation && at->second.number <= number)
     drop(from, at->second, now);
 }
@@ -240,7 +243,7 @@
   if (follower.credit_ticket != 0) credit_queue_.erase(follower.credit_ticket);
   end_renewal(now, follower, false);
   follower.bucket.fill(now);
-  // Without room for it, nothing is remembered: who comes again has its whole burst.
+  // If there is no room, the bucket is not kept, and a follower that comes back starts with a full one.
   if (departed_.size() < max_followers_ && departed_order_.size() < 2 * max_followers_) {
     departed_[id] = follower.bucket;
     departed_order_.emplace_back(now + refill_time_, id);
@@ -250,12 +253,13 @@
 
 // ---- renewals
 
-// False: it has to follow anew.
+// Returns false if the follower was dropped and has to attach again.
 bool Feed::request_renewal(Nanos now, MemberId id, Follower& follower) {
   if (follower.renewal_pending) return true;
   if (follower.digests_at != follower.position.taken) {
-    // What it told of is not what it holds now. An entry that came and was deleted since leaves no trace in a
-    // digest, so older ones prove nothing.
+    // The reported digests are of an older state than the one that the follower has now. An entry that was
+    // added and deleted in between leaves no trace in a digest, so equal digests of an older state prove
+    // nothing.
     actions_.again(id, follower.incarnation, follower.number);
     drop(id, follower, now);
     return false;
@@ -283,7 +287,7 @@
   follower.renewal_pending = follower.renewing = false;
 }
 
-// The scopes of which it holds nothing or something else.
+// Selects the scopes that the follower lacks or whose digest differs.
 void Feed::begin_renewal(Nanos now, Follower& follower) {
   follower.renewing_since = now;
   follower.renewal_at = state_.last();
@@ -313,7 +317,8 @@
   }
 }
 
-// By its place, if those before it take as long as others did; by chance, so that not all ask at once.
+// The estimated waiting time: from the follower's place in the queue and the mean duration of renewals, with
+// jitter so that followers do not come back at the same moment.
 Nanos Feed::rest_time(const Follower& follower) {
   const std::uint64_t before =
       renewal_queue_.empty() ? 0 : follower.renewal_ticket - renewal_queue_.begin()->first;
@@ -334,7 +339,8 @@
   return answer_timeout_ << std::min(follower.repeats, max_timeout_doublings);
 }
 
-// False: not now; it is looked at again when there is credit.
+// Charges a part to both token buckets. Returns false if the credit does not suffice; the follower is served
+// again when it does.
 bool Feed::spend_credit(Nanos now, MemberId id, Follower& follower, std::size_t bytes) {
   const double cost = static_cast<double>(bytes);
   follower.bucket.fill(now);
@@ -360,8 +366,8 @@
   return true;
 }
 
-// Beats don't wait for the credit of all, only count: against a control member that seems silent while it
-// gives out much.
+// Heartbeats are charged to the total bucket but do not wait for it: otherwise a control member that
+// distributes a lot would appear unresponsive.
 bool Feed::spend_beat_credit(Nanos now, Follower& follower) {
   follower.bucket.fill(now);
   if (follower.bucket.tokens < static_cast<double>(beat_bytes)) {
@@ -378,7 +384,8 @@
 }
 
 void Feed::send_renewal(Nanos now, MemberId id, Follower& follower) {
-  // Deletions since its begin are needed behind it; and it must not go back.
+  // Restarts the renewal if tombstones since its version have been dropped, because the delta that follows it
+  // needs them, or if the follower is already past its version.
   if (state_.floor() > follower.renewal_at || follower.position.taken > follower.renewal_at)
     begin_renewal(now, follower);
   const Version at = follower.renewal_at;
@@ -427,7 +434,7 @@
     return true;
   });
   if (entries.empty() && from == follower.position.taken && !follower.final_part_due)
-    return void(follower.dirty = false); // it has all: beats tell it so
+    return void(follower.dirty = false); // up to date: a heartbeat confirms it
   if (!spend_credit(now, id, follower, bytes + message_overhead)) return;
   follower.dirty = !complete;
   follower.expected = {};
@@ -436,14 +443,14 @@
   actions_.delta(id, follower.incarnation, follower.number, from, upto, state_.last(), age(now), entries);
 }
 
-// It can't go on by a delta: deletions are forgotten, or there is a scope of which it holds nothing.
+// A delta is not enough: tombstones that the follower needs have been dropped, or it has nothing of a scope.
 bool Feed::delta_impossible(const Follower& follower) const {
   if (follower.position.staged < state_.floor()) return true;
   return !follower.renewed && std::any_of(follower.scopes.begin(), follower.scopes.end(),
                                           [](const FollowedScope& one) { return !one.held; });
 }
 
-// Whatever is due for one follower, and when it is to be looked at again.
+// Sends what is due to one follower and schedules its next turn.
 void Feed::serve(Nanos now, MemberId id, Follower& follower) {
   ++counts_.visited;
   if (now - follower.last_received_at >= silence_timeout_) {
@@ -461,7 +468,7 @@
     }
   }
   follower.credit_at = -1;
-  // Who is ahead gets nothing; nor is there anything before the first entry.
+  // There is nothing to send to a follower that is ahead of this state, or before the first entry.
   const bool nothing_to_send = state_.last() == Version{} || follower.position.staged > state_.last();
   if (follower.primary && !nothing_to_send && !follower.in_flight && follower.credit_ticket == 0) {
     if (!follower.renewal_pending && follower.dirty && delta_impossible(follower) &&
@@ -472,7 +479,7 @@
     else if (!follower.renewal_pending && follower.dirty)
       send_delta(now, id, follower);
   }
-  // With a place free it is admitted at the end of this turn.
+  // If a renewal slot is free, the renewal starts at the end of this turn instead (start_renewals).
   if (follower.renewal_ticket != 0 && now >= follower.rest_until && active_renewals_ >= max_renewals_) {
     const Nanos rest = rest_time(follower);
     if (spend_beat_credit(now, follower)) actions_.rest(id, follower.incarnation, follower.number, rest);
--- a/control/follower.cpp
+++ b/control/follower.cpp
@@ -11,10 +11,12 @@
 namespace {
 
 constexpr double ms = 1e6;                      // ns
-constexpr std::size_t max_control_members = 64; // named in a file; a fleet sets aside ten
-constexpr int max_backoff_doublings = 16;       // of a rest
-constexpr double first_compare_beats = 4; // beats after an attachment, by chance, until digests are told
-constexpr Nanos max_rest_honored = 60'000'000'000; // ns: who tells of more at once is looked at again by then
+constexpr std::size_t max_control_members = 64; // listed in the operator file; a fleet has ten
+constexpr int max_backoff_doublings = 16;
+// Digests are first sent at a random time after the attachment, up to this many heartbeats after the first
+// one.
+constexpr double first_compare_beats = 4;
+constexpr Nanos max_rest_honored = 60'000'000'000; // ns; limits a longer wait that a control member announces
 
 std::string_view invalid_scopes_reason(const std::vector<std::string>& scopes) {
   std::size_t bytes = 0;
@@ -88,7 +90,7 @@
   });
 }
 
-// ---- lines
+// ---- attachments
 
 Follower::Member* Follower::primary() {
   const auto at = std::find_if(members_.begin(), members_.end(),
@@ -122,7 +124,8 @@
   actions_.follow(member.id, member.number, as_primary, position_, followed_scopes());
 }
 
-// Rests grow until it was well for a while (`due`): against going back and forth.
+// The backoff grows until the member has been healthy for control.settle (see `due`), which prevents
+// flapping.
 void Follower::detach(Nanos now, Member& member, LeaveReason reason) {
   actions_.unfollow(member.id, member.number);
   member.attached = member.primary = false;
@@ -134,7 +137,7 @@
   actions_.left(member.id, reason);
 }
 
-// The best that isn't a line and doesn't rest.
+// The first in order of preference that is neither attached nor in backoff.
 Follower::Member* Follower::best_candidate(Nanos now) {
   const auto at = std::find_if(members_.begin(), members_.end(),
                                [now](const Member& one) { return !one.attached && one.retry_at <= now; });
@@ -154,7 +157,7 @@
   }
   Member* const first = primary();
   Member* second = secondary();
-  // A nearer one may be asked again: it is tried, while the primary gives.
+  // A closer member may be retried: it is attached as the secondary while the primary keeps sending.
   if (Member* const best = best_candidate(now);
       best && first->responded && second->responded && best->distance < second->distance) {
     actions_.unfollow(second->id, second->number);
@@ -185,7 +188,8 @@
   return &*at;
 }
 
-// What a control member says that it has. One that is behind says nothing of how new this state is.
+// Notes the version that a control member reports. A member that is behind this server cannot confirm that
+// the state here is current.
 void Follower::record_committed(Nanos now, Member& member, Version committed, Nanos age) {
   member.committed = committed;
   if (committed > position_.taken) {
@@ -214,7 +218,7 @@
   Member* const member = match_attachment(now, from, to_incarnation, number);
   if (!member || !member->primary) return;
   if (rest < 0) return void(++counts_.invalid);
-  // It will be its turn: no reason to leave, up to a bound.
+  // The renewal is only delayed, so the primary does not count as stale, up to a limit.
   progress_at_ = std::max(progress_at_, now + std::min(rest, max_rest_honored));
 }
 
@@ -238,7 +242,7 @@
   choose_members(now);
 }
 
-// ---- what is given
+// ---- received entries
 
 bool Follower::stage(const std::vector<Entry>& entries, Version since, Version upto, bool renewed) {
   for (const Entry& entry : entries) {
@@ -258,7 +262,7 @@
       at->second = entry;
     }
   }
-  // Deletions that are staged count too: room for as many again.
+  // Tombstones are staged too, so the staging area may hold twice the limits of the state.
   if (stage_.entries.size() <= 2 * max_entries_ && stage_.bytes <= 2 * max_bytes_) return true;
   discard_stage();
   return false;
@@ -277,15 +281,16 @@
   if (!member) return;
   if (!member->primary) return void(++counts_.misaddressed);
   if (since > position_.staged) {
-    ++counts_.gaps; // what came between is not here
+    ++counts_.gaps; // entries in between are missing
     return send_have(now, *member);
   }
-  // Or of a state before one that a part here was read from: then some that it held are not staged.
+  // Also rejects a part from an older state than earlier parts were read from: entries of that state may be
+  // missing from the stage.
   if (upto < position_.staged || last < stage_.read_at) {
     ++counts_.outdated;
     return send_have(now, *member);
   }
-  if (position_.renewing != Version{}) discard_stage(); // it goes on from what is taken
+  if (position_.renewing != Version{}) discard_stage(); // the delta continues from `taken`
   const Position before = position_;
   const bool has_update = !entries.empty() || position_.staged != position_.taken || !stage_.replaced.empty();
   const bool covers = std::all_of(scopes_.begin(), scopes_.end(), [this](const std::string& scope) {
@@ -347,7 +352,7 @@
   ++counts_.parts;
   if (upto > position_.renewed || upto == at) progress_at_ = std::max(progress_at_, now);
   position_.renewed = std::max(position_.renewed, upto);
-  if (position_.renewed == at) { // from here on by deltas; taken with the next that is whole
+  if (position_.renewed == at) { // complete; applied with the next complete delta
     position_.staged = at;
     position_.renewing = position_.renewed = {};
     ++position_.renewals;
@@ -356,12 +361,12 @@
   send_have(now, *member);
 }
 
-// All of it, at once. Entries that are refused are held as given, so that digests agree; what was in force
-// for their keys stays so.
+// Applies everything that is staged in one step. Refused entries are stored as received, so that digests
+// agree with the control member's, and the previous entry of their key stays in force.
 void Follower::apply_stage() {
   const Version upto = position_.staged;
   std::vector<std::string> removed_keys; // by a renewal
-  std::vector<Entry> removed;            // what was in force of those
+  std::vector<Entry> removed;            // their entries that were in force
   std::map<std::string, std::optional<Entry>, std::less<>> previous;
   if (!stage_.replaced.empty()) {
     auto new_state = std::make_unique<Entries>(settings_);
@@ -374,12 +379,12 @@
           removed_keys.push_back(entry.key);
           if (const Entry* const in_force = find(entry.key)) removed.push_back(*in_force);
         } else if (at->second.version == entry.version) {
-          new_state->apply(entry); // as it was, in force or refused
+          new_state->apply(entry); // unchanged, whether in force or refused
         }
         return true;
       });
     }
-    // Of keys that are replaced, what is in force now is looked for below.
+    // The entries in force before the replacement; looked up below.
     for (const std::string& scope : stage_.replaced)
       for_each_in(scope, [&](const Entry& entry) {
         previous.emplace(entry.key, entry);
@@ -389,11 +394,11 @@
   }
   std::vector<const Entry*> order;
   for (const auto& [key, entry] : stage_.entries) order.push_back(&entry);
-  // Deletions first: they make room.
+  // Tombstones first, because they make room.
   std::sort(order.begin(), order.end(), [](const Entry* a, const Entry* b) {
     return std::make_pair(!a->deleted, a->version) < std::make_pair(!b->deleted, b->version);
   });
-  std::vector<std::string_view> keys; // changed
+  std::vector<std::string_view> keys; // whose value in force has changed
   for (const Entry* const entry : order) {
     const Entry* const stored = state_->find(entry->key);
     if (stored && stored->version >= entry->version) continue;
@@ -430,7 +435,7 @@
   std::vector<const Entry*> changed;
   for (const std::string_view key : keys) changed.push_back(&stage_.entries.find(key)->second);
   for (const Entry& entry : removed) changed.push_back(&entry);
-  const Stage applied_stage = std::exchange(stage_, {}); // until the order returns
+  const Stage applied_stage = std::exchange(stage_, {}); // kept until the action returns
   if (renewed || !changed.empty()) actions_.applied(upto, changed);
 }
 
@@ -490,7 +495,7 @@
     }
     if (member.responded && now - member.healthy_since >= settle_time_) member.failures = 0;
   }
-  // The primary gives nothing, and the other has more.
+  // The primary sends nothing while the secondary has more.
   if (Member* const first = primary()) {
     Member* const second = secondary();
     if (second && stale_at(*second) >= 0 && now >= stale_at(*second)) detach(now, *first, LeaveReason::stale);
@@ -511,7 +516,8 @@
   }
 }
 
-// When a secondary that is ahead is the better one; -1: it isn't ahead.
+// When the primary counts as stale because the secondary has been ahead for control.behind; -1 if it is not
+// ahead.
 Nanos Follower::stale_at(const Member& second) const {
   if (!second.responded || second.ahead_since < 0) return -1;
   return std::max(second.ahead_since, progress_at_) + stale_timeout_;
--- a/control/follower.hpp
+++ b/control/follower.hpp
@@ -1,27 +1,31 @@
-// A server's side of control: which two control members it follows, and the state that it has from them.
-// Decides only: no I/O, no clock, one time with each call; what is to be said goes out by `FollowerActions`.
-// feed.hpp has what the other side gives, docs/control.md the ways weighed.
+// The server's side of configuration distribution: chooses the two control members that the server attaches
+// to, and keeps the state that it receives from them. A pure state machine: no I/O and no clock; each call
+// carries the time, and messages go out through `FollowerActions`. feed.hpp describes what the other side
+// sends, docs/control.md compares the designs that were considered.
 //
-// Never an older state after a newer one, whoever gives it: a delta is taken only if it goes on from what is
-// here, a renewal only if it is not of before it, and both only as a whole. Who is behind gives nothing that
-// is taken. Words of another life or attachment are passed over, so late and doubled ones do no harm. What is
-// staged ends with its attachment, as another control member may be behind the state that it was read from.
+// The state never goes back to an older version, whichever member sends it. A delta is accepted only if it
+// continues from the position here, a renewal only if it is not older than the state here, and both are
+// applied only when they are complete. A member that is behind this server therefore sends nothing that is
+// accepted. Messages to another incarnation or attachment are ignored, so late and duplicate messages do no
+// harm. The staging area is discarded when the attachment ends, because another control member may be behind
+// the state that the staged parts were read from.
 //
-// Two lines: the primary gives, the secondary tells its version only. Nearest first: same zone, same region,
-// the others; among equals by chance from the seed, so that all followers spread evenly. A control member
-// that is silent, blank, or has told nothing while the other is ahead is left, and rests, longer each time.
-// A nearer one that may be asked again is tried as the secondary, and is the primary once it was well for
-// `control.settle`.
+// There are two attachments: the primary sends updates, the secondary only reports its version. Members are
+// chosen by distance (same zone, same region, others), and at equal distance in random order from the seed,
+// so that the followers spread evenly. A control member that is unresponsive, has no state, or sends nothing
+// while the other one is ahead is left, and is retried after a backoff that doubles each time. When a closer
+// member may be retried, it is attached as the secondary first, and becomes the primary after it has been
+// healthy for `control.settle`.
 //
-// An entry that `check` refuses is told, counted, and leaves what was in force for its key; the version goes
-// on. (After a start there is nothing that was in force: such a key is absent until it is written anew.)
-// With no control member heard, the last state stays, and `age` says how old it is.
+// An entry that `check` refuses is reported and counted. The previous value of its key stays in force, and
+// the version advances. (After a restart there is no previous value: the key is absent until it is written
+// again.) If no control member responds, the last state stays in use, and `age` tells how old it is.
 //
-// Bounds: what is staged and what is held each as entries.hpp, scopes as following.hpp. Times: ns of the
-// caller's clock. Nothing that is ordered may call back within the order.
-// Errors: the constructor throws std::invalid_argument with the name of a figure that is missing or
-// senseless, or where scopes or control members are. What comes from others and makes no sense is counted and
-// changes nothing.
+// Limits: what is staged and what is stored are each limited as in entries.hpp, scopes as in following.hpp.
+// Times are in ns of the caller's clock. Actions must not call back into the follower.
+// Errors: the constructor throws std::invalid_argument with the name of a setting that is missing or invalid,
+// or if the scopes or control members are invalid. Invalid input from other members is counted and changes
+// nothing.
 #pragma once
 
 #include "following.hpp"
@@ -39,27 +43,28 @@
 class FollowerActions {
  public:
   virtual ~FollowerActions() = default;
-  // To a control member; feed.hpp takes these.
+  // ---- messages to a control member; received by the Feed (feed.hpp)
   virtual void follow(MemberId to, AttachmentNumber number, bool primary, const Position& at,
                       const std::vector<FollowedScope>& scopes) = 0;
   virtual void have(MemberId to, AttachmentNumber number, const Position& at) = 0;
   virtual void compare(MemberId to, AttachmentNumber number, Version at,
                        const std::vector<std::uint64_t>& digests) = 0;
   virtual void unfollow(MemberId to, AttachmentNumber number) = 0;
-  // To the server itself. Why it can't take that entry; empty: it can.
+  // ---- to the server itself
+  // Why the server cannot use the entry; empty if it can.
   virtual std::string check(const Entry& entry) = 0;
   virtual void refused(const Entry& entry, std::string_view reason) = 0;
-  // The state is of that version now. `changed`: what is in force otherwise than before, by key; deleted
-  // ones say so. Told where something changed, and after each renewal. Scopes that are followed no more don't
-  // count as changed.
+  // The state is at `version` now. `changed` has the keys whose value in force has changed, removed ones
+  // marked as deleted. Called if anything changed, and after each renewal. Dropping a scope from the followed
+  // ones is not reported as a change.
   virtual void applied(Version version, const std::vector<const Entry*>& changed) = 0;
-  // A line was left, or a nearer one made the primary; for the log.
+  // An attachment was ended, or a closer member became the primary; for the log.
   virtual void left(MemberId control, LeaveReason reason) = 0;
 };
 
 class Follower {
  public:
-  struct Control { // a control member, as the operator file names it
+  struct Control { // a control member, as listed in the operator file
     MemberId member{};
     std::string region, zone;
   };
@@ -67,15 +72,16 @@
     std::string region, zone;
   };
 
-  // `figures`, spans in ns:
-  // - control.beat: each control member followed is told at least so often how far this is
-  // - control.silent: a control member that is not heard so long is left; over two beats
-  // - control.behind: and one that gave nothing so long while the other was ahead
-  // - control.settle: a nearer one is well so long before it is the primary
-  // - control.rest_least, control.rest_most: until one that was left is tried again, doubled each time
-  // - control.compare: digests are told so often
-  // - control.first_number: where attachments begin to count, as Unix time in ms, so that of two lives the
-  //   later has the greater numbers. A hint, for the directory
+  // Settings; time spans in ns:
+  // - control.beat: the interval at which the position is sent to each attached control member
+  // - control.silent: a control member that has sent nothing for so long is left; more than two heartbeats
+  // - control.behind: a primary that has sent no progress for so long while the secondary is ahead is left
+  // - control.settle: how long a closer member has to be healthy before it becomes the primary
+  // - control.rest_least, control.rest_most: backoff before a member that was left is retried, doubled each
+  //   time
+  // - control.compare: the interval at which digests are sent
+  // - control.first_number: where attachment numbers begin, as Unix time in ms, so that a later incarnation
+  //   has greater numbers. Only a hint, for the directory
   // - and those of entries.hpp
   Follower(Nanos now, Incarnation self, const Location& place, const std::vector<Control>& controls,
            std::vector<std::string> scopes, const Settings& settings, std::uint64_t seed,
@@ -83,10 +89,11 @@
   Follower(const Follower&) = delete;
   Follower& operator=(const Follower&) = delete;
 
-  // Others from now on. Empty: done; else why not, and nothing has changed.
+  // Replaces the followed scopes. Returns an empty text, or why the scopes are invalid; nothing changes then.
   std::string_view set_scopes(Nanos now, std::vector<std::string> scopes);
 
-  // ---- what control members say, as FeedActions; `to`: this life
+  // ---- messages from control members, see FeedActions; `to_incarnation`: the incarnation of this server
+  // that the message is meant for
   void delta(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number, Version since,
              Version upto, Version last, Nanos age, const std::vector<Entry>& entries);
   void renewal(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number, Version at,
@@ -97,15 +104,16 @@
   void rest(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number, Nanos rest);
   void elsewhere(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number);
   void again(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number);
-  void disconnected(Nanos now,
-                    MemberId control); // the link knows that it is gone; sooner than by its silence
+  // The connection to a control member is lost. Detects this sooner than control.silent would.
+  void disconnected(Nanos now, MemberId control);
 
   // ---- the state
-  // What is in force of a key; nullptr: nothing.
+  // The entry that is in force for a key; nullptr if there is none.
   const Entry* find(std::string_view key) const;
+  // Visits the entries in force of one scope in order of key. Stops when `each` returns false.
   void for_each_in(std::string_view scope, const std::function<bool(const Entry&)>& each) const;
   Version version() const { return position_.taken; }
-  // Since a control member last said that this state is the newest; -1: never, in this life.
+  // The time since this state was last known to be the newest; -1 if never in this incarnation.
   Nanos age(Nanos now) const { return confirmed_at_ < 0 ? -1 : now - confirmed_at_; }
   const Position& position() const { return position_; }
 
@@ -117,34 +125,36 @@
     MemberId member{};
     bool primary = false, responded = false;
     Nanos since = 0, last_received_at = 0;
-    Version committed{}; // as it last told
+    Version committed{}; // as last reported by the member
   };
   std::vector<Attachment> attachments() const; // the primary first
   struct Counts {
+    // misaddressed: messages to another incarnation or attachment; moves: attachments left or swapped
     std::uint64_t deltas = 0, parts = 0, renewals = 0, refused = 0, gaps = 0, outdated = 0, invalid = 0,
-                  misaddressed = 0, moves = 0; // misaddressed: words of another life or attachment
+                  misaddressed = 0, moves = 0;
   };
   const Counts& counts() const { return counts_; }
-  std::size_t keys_refused() const { return retained_.size(); } // whose newest entry is not in force
+  std::size_t keys_refused() const { return retained_.size(); } // keys whose newest entry was refused
 
  private:
   struct Member {
     MemberId id{};
     int distance = 0;            // 0: same zone, 1: same region, 2: another
-    std::uint32_t tie_break = 0; // among equals, by chance
+    std::uint32_t tie_break = 0; // random order at equal distance
     Nanos retry_at = 0;
-    int failures = 0; // that came to nothing, in a row
-    // As a line:
+    int failures = 0; // consecutive attachments that were left, until one is healthy for control.settle
+    // While attached:
     bool attached = false, primary = false, responded = false;
     AttachmentNumber number{};
     Nanos attached_at = 0, healthy_since = 0, last_received_at = 0, next_have_at = 0, settle_time = 0;
-    Nanos ahead_since = -1; // it has told a version that is not here
+    Nanos ahead_since = -1; // since when it has reported a version that is newer than the state here
     Version committed{};
   };
   struct Stage {
     std::map<std::string, Entry, std::less<>> entries;
-    std::set<std::string, std::less<>> replaced; // scopes
-    Version read_at{}; // the newest state that parts were read from: entries that it had no more are not here
+    std::set<std::string, std::less<>> replaced; // scopes that the renewal replaces
+    // The newest state that any part was read from. Entries that it no longer had are not staged.
+    Version read_at{};
     std::size_t bytes = 0;
   };
 
@@ -170,11 +180,12 @@
   Nanos beat_interval_, silence_timeout_, stale_timeout_, settle_time_, min_backoff_, max_backoff_,
       compare_interval_;
   std::size_t max_entries_, max_bytes_;
-  std::vector<Member> members_; // nearest first
+  std::vector<Member> members_; // closest first
   std::vector<std::string> scopes_;
-  std::set<std::string, std::less<>> complete_scopes_; // scopes of which the state has all up to `taken`
-  std::unique_ptr<Entries> state_;                     // as given, those that were refused too
-  std::map<std::string, std::optional<Entry>, std::less<>> retained_; // of keys whose newest was refused
+  std::set<std::string, std::less<>> complete_scopes_; // scopes whose state is complete up to `taken`
+  std::unique_ptr<Entries> state_;                     // as received, including refused entries
+  // The entry in force (or none) for keys whose newest entry was refused.
+  std::map<std::string, std::optional<Entry>, std::less<>> retained_;
   Position position_;
   Stage stage_;
   std::uint64_t last_number_ = 0;
--- a/control/replica.cpp
+++ b/control/replica.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-constexpr std::size_t max_members = 64;   // control members: each writer speaks to all
-constexpr std::size_t max_voters = 7;     // as of leases: three may be lost of seven
-constexpr std::size_t max_sessions = 256; // lives of members that pass puts on, in one term
-// Terms in a row of which none commits anything: each leaves a roster, and to bound these by less would leave
-// no way on. Terms of a second: 18 hours.
+constexpr std::size_t max_members = 64;   // control members; the writer sends to all of them
+constexpr std::size_t max_voters = 7;     // as for leases: three of seven may fail
+constexpr std::size_t max_sessions = 256; // incarnations of members that forward puts, in one term
+// Consecutive terms that commit nothing. Each leaves a roster in the log, so a smaller limit on the log would
+// block all progress. With terms of one second this is 18 hours.
 constexpr std::size_t max_uncommitted_terms = 65'536;
-constexpr Nanos session_retention = 600'000'000'000;  // ns: no word is under way for so long
-constexpr std::size_t max_results_per_session = 4096; // of a session: over what a member has under way
-constexpr std::size_t max_fetch_factor = 2; // times the bound of bytes: of a state that is being fetched
+constexpr Nanos session_retention = 600'000'000'000;  // ns; no message is in flight for so long
+constexpr std::size_t max_results_per_session = 4096; // more than a member has in progress
+// Limit on a state that is being fetched, as a multiple of the limit on bytes.
+constexpr std::size_t max_fetch_factor = 2;
 
 std::size_t size_of(const Entry& entry) { return entry.key.size() + entry.value.size(); }
 std::size_t size_of(const Record& record) { return size_of(record.entry); }
@@ -25,11 +26,11 @@
 
 using Rosters = std::vector<std::pair<Version, Roster>>;
 
-// Where all was begun anew: what was in force before is not any more.
+// Whether this roster begins a new history, after which earlier rosters are no longer in force.
 bool starts_new_history(Version version, const Roster& roster) {
   return version.number == 1 && version.token == roster.since;
 }
-// Those that may be in force where all up to `committed` is.
+// The rosters that may be in force when everything up to `committed` is committed.
 Rosters effective_rosters(const Rosters& all, Version committed) {
   Rosters left;
   for (const auto& [version, roster] : all) {
@@ -38,8 +39,8 @@
   }
   return left;
 }
-// A life counts where each of them names it: against one that a roster which is not committed takes out or
-// in.
+// An incarnation counts only if all rosters that may be in force name it, because an uncommitted roster may
+// remove or add it.
 bool counts_as_voter(const Rosters& effective_rosters, MemberId voter, Incarnation incarnation) {
   if (effective_rosters.empty()) return false;
   return std::all_of(effective_rosters.begin(), effective_rosters.end(), [&](const auto& one) {
@@ -160,7 +161,7 @@
   return all;
 }
 
-// Of equal rosters in a row the first says it all: terms that came to nothing each leave one.
+// Of consecutive equal rosters only the first is reported; each term that commits nothing leaves one.
 LogStatus Replica::log_status() const {
   LogStatus status{last(), committed_, {}};
   for (auto& one : rosters())
@@ -193,7 +194,8 @@
     actions_.committed(record);
     if (record.put.raw != 0 && record.entry.writer == self_ && record.writer_incarnation == incarnation_)
       finish_put(record.put, PutOutcome::done, version, {});
-    // What a writer before had written and this log has not by now will never be in it.
+    // A put that an earlier writer may have written and that this log does not contain by now can never
+    // appear in it, so it is safe to forward it again.
     for (auto& [number, put] : puts_)
       if (put.token.raw != 0 && put.token < version.token && !put.outcome_hidden)
         put.token = Token{}, put.retry_at = now;
@@ -214,7 +216,8 @@
 
 // ---- promises
 
-// Word of a member that has, or wants, this token: is it the greatest yet, or still that one's?
+// Handles the token of a member that has it or asks for a promise: accepts it if it is greater than all
+// before, or if it is the promised one from the same incarnation.
 bool Replica::accept_token(Nanos now, MemberId from, Incarnation incarnation, Token token) {
   if (token < promised_ ||
       (token == promised_ && (writer_.member != from || writer_.incarnation != incarnation))) {
@@ -275,7 +278,7 @@
 
 void Replica::supersede(Token seen) {
   step_down();
-  // Against a token that two lives have had: the next has to be over it.
+  // The next token has to be greater than this one, in case two incarnations have held the same token.
   actions_.superseded(token_, std::max(seen, Token{token_.raw + 1}));
 }
 
@@ -286,7 +289,7 @@
   supersede(seen);
 }
 
-// A round: all members are asked, and only answers of this round count.
+// Asks all members for a promise. Only answers to this round count.
 void Replica::start_round(Nanos now) {
   ++round_;
   answers_.clear();
@@ -328,8 +331,9 @@
   const bool enough = effective_voters >= majority_of(voters_.size());
   if (!enough) {
     if (voters_heard < voters_.size()) return;
-    // Against voters that answered, started anew and were brought up by a writer before: all have to have
-    // lived, with their promises, at one moment, between the two rounds.
+    // Two rounds with the same incarnations: all voters were running, with their promises, at one moment
+    // between the rounds. After one round only, a voter could have answered, restarted, and been brought up
+    // to date by an earlier writer.
     if (incarnations != previous_round_incarnations_) {
       previous_round_incarnations_ = incarnations;
       return start_round(now);
@@ -344,7 +348,7 @@
   begin_fetch(now, best, committed_);
 }
 
-// With the log that was chosen: it is this member's own by now.
+// Becomes the writer, from the chosen log, which is this member's own log by now.
 void Replica::begin_term(Nanos now) {
   const auto answers = answers_;
   const Version before = last();
@@ -396,7 +400,8 @@
   write(now, std::move(record));
 }
 
-// Lives of voters that are up to this term and don't count yet; one roster after the other.
+// Adds incarnations of voters that have reached this term and do not count yet. Only one roster is
+// uncommitted at a time.
 void Replica::admit_voters(Nanos now) {
   const Rosters effective = rosters();
   if (effective.size() != 1 || effective.front().first > committed_) return;
@@ -413,8 +418,8 @@
   if (next != effective.front().second) write_roster(now, std::move(next));
 }
 
-// What a majority of the lives that count hold is committed, from this term's first record on: an older one
-// alone could still be outdone by another log.
+// Commits what a majority of the counting incarnations hold, but only from this term's first record on:
+// records of older terms alone could still be replaced by another log.
 void Replica::advance_commit(Nanos now) {
   for (;;) {
     const Rosters effective = effective_rosters(rosters(), committed_);
@@ -445,7 +450,8 @@
     return;
   Peer& peer = peers_[from];
   if (sequence > peer.last_sequence || (!gap && matched > last())) return void(++invalid_);
-  if (!peer.incarnation_known || peer.incarnation != incarnation) { // what the life before held is gone
+  if (!peer.incarnation_known ||
+      peer.incarnation != incarnation) { // what the earlier incarnation held is lost
     peer.incarnation = incarnation;
     peer.incarnation_known = true;
     peer.confirmed = false;
@@ -460,19 +466,20 @@
   if (sequence >= peer.first_known_sequence) peer.confirmed = true;
   peer.window = max_batches_;
   if (gap) {
-    if (sequence <= peer.rewind_sequence) return; // said before it was sent again
+    if (sequence <= peer.rewind_sequence) return; // answers an append from before the rewind
     peer.rewind_sequence = peer.acked_sequence = peer.last_sequence;
     peer.lagging = matched < log_from_;
     ++peer.consecutive_gaps;
     if (!peer.lagging) {
-      // To there, or to what comes before: it will see that what it has is not in this log.
+      // Rewinds to that version, or to the one before it in this log; the member then finds that its record
+      // is not in this log.
       const std::size_t next = index_after(matched);
       const Version rewind_to = next == 0 ? log_from_ : log_[next - 1].entry.version;
       if (rewind_to > peer.base) peer.consecutive_gaps = 1;
       peer.sent = peer.base = rewind_to;
     }
     if (peer.consecutive_gaps == 1) return send(now, from, peer, false);
-    peer.resend_at = now + retry_interval_; // against two that say the same to each other as fast as they can
+    peer.resend_at = now + retry_interval_; // so that the two do not repeat the same exchange without a pause
     return;
   }
   peer.consecutive_gaps = 0;
@@ -485,7 +492,7 @@
 }
 
 void Replica::send(Nanos now, MemberId to, Peer& peer, bool beat) {
-  if (peer.sent < log_from_) peer.lagging = true; // the log has gone on without it
+  if (peer.sent < log_from_) peer.lagging = true; // the records that it needs have been trimmed
   if (peer.lagging) peer.sent = last(), peer.resend_at = -1;
   Append append;
   append.token = token_;
@@ -558,7 +565,7 @@
   session.last_received_at = now;
   session.oldest = std::max(session.oldest, put.oldest);
   session.results.erase(session.results.begin(), session.results.lower_bound(session.oldest));
-  if (put.number < session.oldest) return; // ended there: against one that comes late and is written again
+  if (put.number < session.oldest) return; // already has an outcome: a late copy must not be written again
   if (const auto known = session.results.find(put.number); known != session.results.end()) {
     const Session::Result& result = known->second;
     if (result.ended && from != self_)
@@ -570,12 +577,12 @@
   record.entry = {put.key, put.value, {}, from, put.deleted};
   record.writer_incarnation = incarnation;
   record.put = put.number;
-  // A refusal is kept as well: the same put may not be written later.
+  // A refusal is kept as well, so that a copy of the same put is not written later.
   Session::Result& result = session.results[put.number];
   result.reason = put_rejection_reason(record.entry, put.expected);
   if (result.reason.empty()) {
     write(now, std::move(record));
-    return advance_commit(now); // it may be alone
+    return advance_commit(now); // commits at once if this is the only voter
   }
   result.ended = true;
   result.end = PutOutcome::refused;
@@ -605,11 +612,11 @@
 void Replica::forward_put(Nanos now, PutNumber number) {
   Put& put = puts_.at(number);
   put.retry_at = now + retry_interval_;
-  if (writer_.last_received_at < 0) return; // none in office is known
+  if (writer_.last_received_at < 0) return; // no writer is known
   if (put.token.raw != 0 && put.token != promised_) {
     if (put.outcome_hidden)
       finish_put(number, PutOutcome::unknown, {}, "its writer is gone, and with it the answer");
-    return; // the log will tell
+    return; // the outcome will be seen in the log
   }
   put.put.oldest = oldest_put();
   if (writer_.member != self_) {
@@ -617,7 +624,7 @@
     actions_.pass(writer_.member, writer_.incarnation, promised_, put.put);
   } else if (is_writer(now)) {
     put.token = token_;
-    const ForwardedPut copy = put.put; // it may end within
+    const ForwardedPut copy = put.put; // it may end within the call
     accept_put(now, self_, incarnation_, copy);
   }
 }
@@ -649,14 +656,15 @@
   const auto answer = [&](Version matched, bool gap) {
     actions_.appended(from, incarnation, append.token, append.sequence, matched, gap);
   };
-  std::size_t next = 0; // the first that is not committed here
+  std::size_t next = 0; // the first record that is not committed here
   if (append.previous < committed_) {
     while (next < records.size() && records[next].entry.version <= committed_) ++next;
     const bool overlaps = next > 0 && records[next - 1].entry.version == committed_;
     if (!overlaps && next == records.size()) return answer(committed_, true);
     if (!overlaps) {
-      // What this member has as committed is not in that log: it was lost where a majority was. Nothing is
-      // given up for that before the writer has committed more; until then there is no answer.
+      // What this member has committed is not in the writer's log: it was lost together with a majority of
+      // the voters. It is given up only when the writer has committed more; until then the append is not
+      // answered.
       if (append.committed > committed_ && !fetch_.under_way) begin_fetch(now, from, {});
       return;
     }
@@ -668,7 +676,7 @@
   Version matched = next > 0 ? records[next - 1].entry.version : append.previous;
   for (std::size_t at = index_after(matched); next < records.size(); ++next, ++at) {
     if (at < log_.size() && log_[at].entry.version != records[next].entry.version)
-      while (log_.size() > at) { // of writers before, and never committed
+      while (log_.size() > at) { // records of earlier writers, never committed
         pending_bytes_ -= size_of(log_.back());
         log_.pop_back();
       }
@@ -689,7 +697,7 @@
   return at != roster_.incarnations.end() && at->second == incarnation_;
 }
 
-// ---- transfers of a state
+// ---- state transfer
 
 void Replica::begin_fetch(Nanos now, MemberId from, Version base) {
   fetch_ = {};
@@ -712,7 +720,8 @@
   if (token < promised_) return actions_.refuse(from, incarnation, token, promised_);
   const bool is_writer_here = writer_.member == self_ && is_writer(now);
   const bool asked_by_writer =
-      writer_.member == from && writer_.incarnation == incarnation; // it begins with this log
+      writer_.member == from &&
+      writer_.incarnation == incarnation; // it is about to begin its term with this log
   if (token != promised_ || (!is_writer_here && !asked_by_writer)) return;
   Chunk chunk;
   chunk.token = token;
@@ -773,7 +782,8 @@
   fetch_.deadline = now + fetch_timeout_;
   Chunk next = chunk;
   for (;;) {
-    // Against an older piece behind a newer one, which has left out what was overwritten between.
+    // Skips a chunk from an older state than one already taken: the newer chunk has left out entries that were
+    // overwritten in between, so the two do not fit together.
     if (next.committed >= fetch_.committed) {
       if (!stage_chunk(next)) return begin_fetch(now, from, fetch_.base);
       if (next.last) return apply_fetch(now, next.committed);
@@ -788,7 +798,8 @@
 
 bool Replica::stage_chunk(const Chunk& chunk) {
   fetch_.committed = chunk.committed;
-  // Against a deletion that came after what was told of its key, and is forgotten by now.
+  // The transfer cannot continue if tombstones beyond the cursor have been dropped since: a key that was
+  // transferred may have been deleted, and its tombstone would be missing.
   if (!fetch_.first && chunk.floor > fetch_.floor && chunk.floor > fetch_.cursor) return false;
   fetch_.first = false;
   fetch_.floor = std::max(fetch_.floor, chunk.floor);
@@ -810,20 +821,20 @@
   return fetch_.bytes <= max_fetch_factor * max_bytes_ + 2 * max_pending_records_ * max_batch_bytes_;
 }
 
-// All of it is there: taken in one go. A committed state is only ever replaced by a later one.
+// Applies a complete transfer in one step. A committed state is replaced by a later one only.
 void Replica::apply_fetch(Nanos now, Version committed) {
   const bool writer = phase_ == Phase::fetching;
   if (writer) committed = std::max(committed, known_committed_);
   Fetch fetched_state = std::move(fetch_);
   fetch_ = {};
   if (committed < committed_ || (!writer && committed == committed_)) return;
-  // Against giving up what came by the log meanwhile, and was acked.
+  // Records that arrived through the log in the meantime and were acknowledged must not be discarded.
   if (!writer && in_log(committed)) return commit(now, committed);
   std::map<std::string_view, const Record*> newest;
   for (const auto& [version, record] : fetched_state.records)
     if (version <= committed) newest[record.entry.key] = &record;
   if (fetched_state.base == Version{}) entries_.clear();
-  // Least room first, so that what fits in the end fits on the way.
+  // In order of growth, so that the limits hold at every step if they hold at the end.
   std::vector<const Entry*> order;
   for (const auto& [key, record] : newest) order.push_back(&record->entry);
   const auto growth = [&](const Entry* entry) {
@@ -879,7 +890,7 @@
   }
   if (fetch_.under_way && now >= fetch_.deadline) {
     fetch_ = {};
-    if (phase_ == Phase::fetching) { // it has gone: another has the most, perhaps
+    if (phase_ == Phase::fetching) { // the source is gone; another member may have the best log
       phase_ = Phase::preparing;
       previous_round_incarnations_.clear();
       start_round(now);
@@ -891,8 +902,7 @@
     const bool all = send_at_ >= 0 && now >= send_at_;
     if (all) send_at_ = -1;
     for (auto& [member, peer] : peers_) {
-      if (peer.resend_at >= 0 &&
-          now >= peer.resend_at) { // no answer: one batch at a time, until there is one
+      if (peer.resend_at >= 0 && now >= peer.resend_at) { // no answer: one batch at a time until there is one
         peer.sent = std::max(peer.matched, peer.base);
         peer.window = 1;
         peer.acked_sequence = peer.rewind_sequence = peer.last_sequence;
--- a/control/replica.hpp
+++ b/control/replica.hpp
@@ -1,32 +1,37 @@
-// One control member's part in the one order of writes: replication in memory, without a disk. The lease
-// "control" (leases.hpp) says who writes, its fencing token is the term. Decides only: no I/O, no clock, one
-// time with each call; what is to be said goes out by `ReplicaActions`. docs/control-order.md has the
-// argument in full, tests/control_replica.cpp plays it.
+// A control member's part in the replicated log of configuration writes, which is kept in memory, without a
+// disk. The holder of the lease "control" (leases.hpp) is the writer; the fencing token of the lease is the
+// term. A pure state machine: no I/O and no clock; each call carries the time, and messages go out through
+// `ReplicaActions`. docs/control-order.md has the safety argument in full, and tests/control_replica.cpp
+// tests it.
 //
-// Why there are never two orders, in short. (1) A version (token, number) is written once, by the holder of
-// that token, behind one predecessor: two logs that share a version are the same up to it. (2) A member that
-// promised a token takes nothing of smaller ones. (3) A write is committed when a majority of the voters hold
-// it, and one of the writer's own token. (4) A writer begins with the log of the greatest last version among
-// answers that have promises of a majority. Any two majorities share a voter, so that log has all that was
-// committed. (5) As voters forget at a start, a vote is that of one life, (member, incarnation), and which
-// lives count is itself written in that order, as the roster: a life counts where every roster that may be in
-// force names it. A new life gets there by a committed roster only, so by a majority of the others, when it
-// holds all up to it. A promise or an ack of a life that is over so never stands in for one that forgot.
-// None of this takes a clock; `until` of the lease only stops a writer that would come to nothing.
+// Safety: why there is only one order of writes, in short. (1) A version (token, number) is written once, by
+// the holder of that token, after exactly one predecessor: two logs that share a version are equal up to it
+// (log matching). (2) A member that has promised a token accepts nothing under smaller ones. (3) A write is
+// committed when a majority of the voters hold it together with a record under the writer's own token. (4) A
+// writer starts from the log with the greatest last version among promises from a majority. Any two
+// majorities share a voter, so that log contains everything that was committed. (5) Voters lose their state
+// when they restart, so a vote belongs to one incarnation (member, incarnation), and the incarnations that
+// count are themselves written to the log, as the roster: an incarnation counts only if every roster that may
+// be in force names it. A new incarnation is added only by a committed roster, so by a majority of the
+// others, and only when it holds everything up to that roster. A promise or an acknowledgement of an earlier
+// incarnation therefore never stands in for one that has lost its state. None of this depends on clocks;
+// `until` of the lease only stops a writer that could not commit anything any more.
 //
-// The way out where a majority of the voters were blank at once: all voters of the list have answered, twice
-// in the same lives, so that all that they still hold is seen at one moment; the writer begins with the most
-// that any control member that answered has, and a new roster. What only lost lives held is gone; `began`
-// tells it. That a writer from before does not go on beside it rests on the lease, so on clocks. A fleet's
-// first start is the same.
+// Recovery: if a majority of the voters has lost its state at once, the writer waits until all listed voters
+// have answered twice in the same incarnations, so that everything that they still hold existed at one
+// moment. It then starts from the log with the greatest last version of any control member that has answered,
+// with a new roster. What only lost incarnations held is gone, which `began` reports. That no earlier writer
+// continues beside it depends on the lease, and so on clocks. The first start of a fleet works in the same
+// way.
 //
-// Not supported: another list of voters while running. All control members have to be stopped and started
-// with the new list; then what they held is gone. (Two lists need joint majorities, as voters.hpp has them.)
+// Not supported: changing the list of voters at run time. All control members have to be stopped and started
+// with the new list, and what they held is lost. (A change between two lists needs joint majorities, as in
+// voters.hpp.)
 //
-// Bounds: figures below. Times and spans: ns, of one clock that never goes back. Ownership: a view or a
-// reference holds until the call returns. Nothing that is ordered may call back within the order.
-// Errors: the constructor throws std::invalid_argument with what is senseless; what comes from others and
-// makes no sense is counted and changes nothing. All control members need the same bounds of entries.
+// Limits: see the settings below. Times and time spans are in ns of one monotonic clock. A view or a
+// reference that is passed is valid until the call returns. Actions must not call back into the replica.
+// Errors: the constructor throws std::invalid_argument with what is invalid. Invalid input from other members
+// is counted and changes nothing. All control members need the same limits on entries.
 //
 // Sources: Oki and Liskov 1988, Liskov and Cowling 2012 (Viewstamped Replication, Revisited), Lamport 1998
 // (Paxos), Ongaro and Ousterhout 2014 (Raft: log matching, commit by the own term only), Michael et al. 2017
@@ -46,137 +51,149 @@
 
 namespace cometshift {
 
-using PutNumber = Id<struct PutNumberTag, std::uint64_t>; // of a put, rising in one incarnation; 0: none
+// Identifies a put; rises within an incarnation of the member that received it. 0: none.
+using PutNumber = Id<struct PutNumberTag, std::uint64_t>;
 
-// Of the scope that operators can't write to: the roster is an entry too, so that all members get it.
+// The scope that is reserved for the control members. The roster is an entry in it, so that it is replicated.
 constexpr std::string_view control_scope = "control", roster_key = "control/roster";
 
-// Which lives of the voters count.
+// The incarnations of the voters whose votes count.
 struct Roster {
   std::map<MemberId, Incarnation> incarnations;
-  Token since{}; // the order was begun anew under this token, after a first start or a loss
+  Token since{}; // the token under which the history began: at the first start, or after a loss
   bool operator==(const Roster&) const = default;
 };
 std::string format_roster(const Roster& roster);
-std::optional<Roster> parse_roster(std::string_view text); // nothing: not a roster
+std::optional<Roster> parse_roster(std::string_view text); // nullopt if it is not a roster
 
-// An entry on its way through the log, and whose put it was.
+// A log record: an entry, and the put that wrote it.
 struct Record {
   Entry entry;
   Incarnation writer_incarnation{}; // of entry.writer
-  PutNumber put{};                  // 0: the writer's own
+  PutNumber put{};                  // 0: written by the writer itself
   bool operator==(const Record&) const = default;
 };
 
-// What a member says of its log when it promises.
+// The log of a member, as reported with its promise.
 struct LogStatus {
   Version last{}, committed{};
-  // The newest committed roster, if there is one, and those behind it in the log.
+  // The newest committed roster, if there is one, and those after it in the log.
   std::vector<std::pair<Version, Roster>> rosters;
 };
 
+// Records for the log of another member.
 struct Append {
   Token token{};
-  std::uint64_t sequence = 0; // echoed by the answer; rising for each member
-  Version log_from{};         // what is older than that the writer can only tell by chunks
-  Version previous{};         // what stands before the first of the records
+  std::uint64_t sequence = 0; // rises per receiver; echoed in the answer
+  Version log_from{};         // where the writer's log starts; anything older is available by chunks only
+  Version previous{};         // the version before the first of the records
   Version committed{};
   std::vector<Record> records;
 };
 
-// A piece of a member's state and then of its log, in the order of versions. Of what is committed only the
-// newest of each key is told.
+// A piece of a state transfer: of a member's committed state (the newest entry of each key) and then of its
+// log, in order of version.
 struct Chunk {
   Token token{};
-  Version base{}; // what the receiver has: told from there; {}: from nothing
-  Version from{}; // entries after that
-  Version to{};   // up to there
+  Version base{}; // the version that the receiver has and the transfer starts from; {}: nothing
+  Version from{}; // contains entries after this version
+  Version to{};   // up to this one
   Version floor{}, committed{};
   bool last = false;        // `to` is the end of the log
-  bool unavailable = false; // from that base it can't be told
+  bool unavailable = false; // no transfer is possible from that base
   std::vector<Record> records;
 };
 
+// The outcome of a put.
 enum class PutOutcome {
-  done,    // at a version, for good
-  refused, // and never done
-  unknown  // it may be done, or come to be
+  done,    // committed at a version
+  refused, // not written, now or later
+  unknown  // may have been committed, or may still be
 };
 std::string_view to_text(PutOutcome end);
 
-// A put on its way from the member where it came to the writer.
+// A put that is forwarded to the writer by the member that received it.
 struct ForwardedPut {
   PutNumber number{};
-  PutNumber oldest{}; // smaller ones are ended there
+  PutNumber oldest{}; // the sender has the outcome of all smaller ones
   std::string key, value;
   bool deleted = false;
-  // Only if the newest entry of the key has this version; {}: only if there is none, or a deletion.
+  // Write only if the newest entry of the key has this version; {}: only if there is none, or a tombstone.
   std::optional<Version> expected;
 };
 
 class ReplicaActions {
  public:
   virtual ~ReplicaActions() = default;
-  // ---- to be said to another control member. `of`: to this incarnation of it only.
+  // ---- messages to another control member, named as in peers/control.proto. `incarnation`: of the receiver;
+  // other incarnations ignore the message.
   virtual void prepare(MemberId to, Token token, std::uint32_t round) = 0;
   virtual void promise(MemberId to, Incarnation incarnation, Token token, std::uint32_t round,
                        const LogStatus& status) = 0;
-  virtual void refuse(MemberId to, Incarnation incarnation, Token token,
-                      Token seen) = 0; // a greater one is promised
+  // A token `seen`, greater than `token`, is promised already.
+  virtual void refuse(MemberId to, Incarnation incarnation, Token token, Token seen) = 0;
   virtual void append(MemberId to, const Append& append) = 0;
-  // `matched`: all up to there is as the writer has it; with `gap`: go back to there.
+  // `matched`: the log is equal to the writer's up to there. With `gap`: the append did not connect, and the
+  // writer has to go back to there.
   virtual void appended(MemberId to, Incarnation incarnation, Token token, std::uint64_t sequence,
                         Version matched, bool gap) = 0;
-  // Tell me your state and log after `cursor`, of which I have `base`, in the order begun under `since`.
+  // Requests the receiver's state and log after `cursor`, as a transfer on top of `base`, in the history that
+  // began under `since`.
   virtual void fetch(MemberId to, Token token, Version base, Version cursor, Token since) = 0;
   virtual void chunk(MemberId to, Incarnation incarnation, const Chunk& chunk) = 0;
   virtual void pass(MemberId to, Incarnation incarnation, Token token, const ForwardedPut& put) = 0;
   virtual void answer(MemberId to, Incarnation incarnation, Token token, PutNumber put, PutOutcome end,
                       Version version, std::string_view reason) = 0;
 
-  // ---- to this member's own parts
-  // Why the caller can't take such an entry; empty: it can. Asked of the writer before it writes.
+  // ---- to this member itself
+  // Why the entry cannot be written; empty if it can. Called at the writer before it writes.
   virtual std::string rejection_reason(const Entry& entry) = 0;
-  // `entries()` has it now; in the order of versions.
+  // The record has been committed and is in `entries()`. Called in order of version.
   virtual void committed(const Record& record) = 0;
-  virtual void replaced() = 0; // `entries()` is another, of a later version, by a transfer
+  virtual void replaced() = 0; // a state transfer has replaced `entries()` by a later version
   virtual void ended(PutNumber put, PutOutcome end, Version version, std::string_view reason) = 0;
-  // This member is the writer in office. `after_loss`: begun anew by the word of all voters; what only lost
-  // lives held is gone.
+  // This member has become the writer. `after_loss`: it starts a new history after all voters have answered;
+  // what only lost incarnations held is gone.
   virtual void began(Token token, bool after_loss) = 0;
-  virtual void stepped_down(Token token) = 0; // after `began` only
-  // There is a greater token than this holder's: for Leases::refused_by_target.
+  virtual void stepped_down(Token token) = 0; // only after `began`
+  // Another member has promised a greater token than this holder's; to be passed to
+  // Leases::refused_by_target.
   virtual void superseded(Token token, Token seen) = 0;
 };
 
 class Replica {
  public:
-  // `members`: all control members; `voters`: an odd number of these, the same list everywhere. Figures,
-  // besides those of Entries; spans in ns:
-  // - control.beat: the writer says something to each member at least so often
-  // - control.again: what is not answered is said again after that
-  // - control.batch: writes wait so long for others to go with them; 0 is allowed
-  // - control.grace: members that don't vote are waited for so long where voters were lost
-  // - control.patience: a member whose state is fetched and that says nothing for so long is given up
-  // - control.put_timeout: a put that is not ended by then is unknown, or refused if it never left
-  // - control.most_puts: of this member, under way
-  // - control.most_log: records kept to level others with; control.most_pending: of these not committed
-  // - control.most_batch: bytes of keys and values in one append or chunk (one record goes whole)
-  // - control.record_overhead: that a record costs there beside key and value; 0 unless told
-  // - control.most_batches: under way to one member
+  // `members`: all control members; `voters`: an odd number of them, the same list at all members. Settings,
+  // besides those of Entries; time spans in ns:
+  // - control.beat: the longest time between two messages of the writer to a member
+  // - control.again: retransmission time-out
+  // - control.batch: how long a write waits to be batched with others; may be 0
+  // - control.grace: how long the recovery after a loss of voters waits for members that do not vote
+  // - control.patience: a state transfer is given up if its source has sent nothing for so long
+  // - control.put_timeout: after it the outcome of a put is unknown, or refused if the put was never
+  //   forwarded
+  // - control.most_puts: concurrent puts of this member
+  // - control.most_log: records kept for members that lag behind; control.most_pending: uncommitted ones
+  //   among them
+  // - control.most_batch: bytes of keys and values in one append or chunk (a single larger record is sent
+  //   whole)
+  // - control.record_overhead: encoded bytes of a record beyond key and value; 0 by default
+  // - control.most_batches: batches in flight to one member
   Replica(Nanos now, MemberId self, Incarnation incarnation, std::set<MemberId> members,
           std::set<MemberId> voters, const Settings& settings, ReplicaActions& actions);
   Replica(const Replica&) = delete;
   Replica& operator=(const Replica&) = delete;
 
-  // ---- what this member's Leases order of the lease "control"
+  // ---- from this member's Leases, for the lease "control"
   void lease_held(Nanos now, Token token, Nanos until);
   void lease_lost(Nanos now, Token token);
 
-  // ---- what is put at this member. Ends by `ended`, perhaps within the call; 0: no room, nothing follows.
+  // ---- puts at this member. The outcome is reported by `ended`, possibly within the call. Returns 0 if
+  // there are too many puts in progress; no outcome follows then.
   PutNumber put(Nanos now, std::string key, std::string value, bool deleted, std::optional<Version> expected);
 
-  // ---- what other control members say, each with its number and incarnation; `to`: to which of this one's
+  // ---- messages from other control members. `from`, `incarnation`: the sender; `to_incarnation`: the
+  // incarnation of this member that the message is meant for
   void prepared(Nanos now, MemberId from, Incarnation incarnation, Token token, std::uint32_t round);
   void promised(Nanos now, MemberId from, Incarnation incarnation, Incarnation to_incarnation, Token token,
                 std::uint32_t round, const LogStatus& status);
@@ -198,55 +215,55 @@
   Nanos next_wake() const; // -1: none
   void due(Nanos now);
 
-  // ---- what it knows
-  const Entries& entries() const { return entries_; } // committed; give it out only if `ready`
+  // ---- state
+  const Entries& entries() const { return entries_; } // committed entries; to be distributed only if `ready`
   Version committed() const { return committed_; }
-  // Not blank: a voter whose life counts in the newest roster that it knows as committed, or another member
-  // that holds a state.
+  // This member holds a valid state: it is a voter whose incarnation counts in the newest roster that it
+  // knows as committed, or a member that does not vote and has caught up with a writer.
   bool ready() const;
   bool is_writer(Nanos now) const { return phase_ == Phase::writing && now < lease_until_; }
 
   struct Status {
     bool ready = false, writing = false, establishing = false, fetching = false;
-    MemberId writer{}; // 0: none is known
-    Token token{};     // of that writer
+    MemberId writer{}; // 0: unknown
+    Token token{};     // of the writer
     Nanos last_received_at = -1;
     Version last{}, committed{};
     Roster roster;
-    std::size_t puts = 0, pending = 0; // under way; in the log and not committed
+    std::size_t puts = 0, pending = 0; // puts in progress; log records not committed
     std::uint64_t total_puts = 0;
-    std::map<MemberId, Version> matched; // in office: how far each other is
+    std::map<MemberId, Version> matched; // at the writer: how far each other member is
   };
   Status status() const;
   std::uint64_t invalid() const { return invalid_; }
-  // Committed entries that this member had no room for: its bounds are smaller than the writer's.
+  // Committed entries that exceeded the limits here: they are smaller than the writer's.
   std::uint64_t entries_without_room() const { return entries_without_room_; }
 
  private:
   enum class Phase { none, preparing, fetching, writing };
-  struct Writer { // whose token was promised last
+  struct Writer { // the member whose token was promised last
     MemberId member{};
     Incarnation incarnation{};
-    Nanos last_received_at = -1; // in office
+    Nanos last_received_at = -1; // as the writer; -1: it has not begun
   };
   struct Answer { // to a prepare
     Incarnation incarnation{};
     LogStatus status;
   };
-  struct Peer { // another member, to a writer in office
+  struct Peer { // another member, as seen by the writer
     Incarnation incarnation{};
-    bool incarnation_known = false;                      // `of` has been heard
-    std::uint64_t first_known_sequence = 0;              // the first mark that was sent after that
-    bool confirmed = false;                              // that life has answered one from there on
-    bool lagging = false;                                // it cannot be levelled by the log: it has to fetch
-    Version matched{}, sent{}, base{}, sent_committed{}; // base: it went back to there; told: as committed
-    std::uint64_t last_sequence = 0, acked_sequence = 0,
-                  rewind_sequence = 0; // back_at: marks up to it were sent before `sent` went back
-    std::uint64_t window = 0;          // batches that may be under way
-    int consecutive_gaps = 0;          // in a row
+    bool incarnation_known = false;         // a message of `incarnation` has been received
+    std::uint64_t first_known_sequence = 0; // the first append that was sent after that
+    bool confirmed = false;                 // this incarnation has answered one of those
+    bool lagging = false;                   // the log does not reach back far enough: it has to fetch
+    Version matched{}, sent{}, base{}, sent_committed{}; // base: where the last rewind went
+    // rewind_sequence: appends up to it were sent before `sent` was rewound
+    std::uint64_t last_sequence = 0, acked_sequence = 0, rewind_sequence = 0;
+    std::uint64_t window = 0; // batches that may be in flight
+    int consecutive_gaps = 0;
     Nanos next_beat = 0, resend_at = -1;
   };
-  struct Session { // of one life of a member that passes puts on
+  struct Session { // an incarnation of a member that forwards puts
     PutNumber oldest{};
     struct Result {
       bool ended = false;
@@ -259,25 +276,25 @@
   };
   struct Put { // of this member
     ForwardedPut put;
-    Token token{};               // passed on under it; 0: it is known that no writer has written it
-    bool outcome_hidden = false; // a transfer may have hidden its end
+    Token token{};               // forwarded under it; 0: known not to have been written by any writer
+    bool outcome_hidden = false; // a state transfer may have skipped the record that shows its outcome
     Nanos retry_at = 0, deadline = 0;
   };
   struct Fetch {
     bool under_way = false;
     MemberId from{};
     Incarnation incarnation{};
-    bool incarnation_known = false; // `of` is
+    bool incarnation_known = false;
     Version base{}, cursor{}, floor{}, committed{};
     bool first = true;
-    std::map<Version, Chunk> out_of_order;              // by where they begin
-    std::map<Version, Record> records;                  // taken so far
-    std::map<std::string, Version, std::less<>> newest; // of each key among these
-    std::size_t bytes = 0, chunks_received = 0;         // taken: chunks since they were asked for
+    std::map<Version, Chunk> out_of_order;              // by `from`
+    std::map<Version, Record> records;                  // received so far
+    std::map<std::string, Version, std::less<>> newest; // of each key in `records`
+    std::size_t bytes = 0, chunks_received = 0;         // chunks since the last request
     Nanos retry_at = 0, deadline = 0;
   };
 
-  // The log
+  // ---- the log
   Version last() const { return log_.empty() ? log_from_ : log_.back().entry.version; }
   std::size_t index_after(Version version) const; // index of the first record after it
   bool in_log(Version version) const;
@@ -286,11 +303,11 @@
   void update_roster();
   void trim();
   using Rosters = std::vector<std::pair<Version, Roster>>;
-  Rosters rosters() const; // the newest committed one and all behind it
+  Rosters rosters() const; // the newest committed one and all after it in the log
   LogStatus log_status() const;
-  const Entry* newest_entry(std::string_view key) const; // pending ones too
+  const Entry* newest_entry(std::string_view key) const; // pending entries included
 
-  // The writer
+  // ---- the writer
   void start_round(Nanos now);
   void evaluate_promises(Nanos now);
   void begin_term(Nanos now);
@@ -304,13 +321,13 @@
   void send(Nanos now, MemberId to, Peer& peer, bool beat);
   void accept_put(Nanos now, MemberId from, Incarnation incarnation, const ForwardedPut& put);
 
-  // The others
+  // ---- the other members
   void begin_fetch(Nanos now, MemberId from, Version base);
   void request_chunks(Nanos now);
-  bool stage_chunk(const Chunk& chunk); // false: all from the beginning again
+  bool stage_chunk(const Chunk& chunk); // false: the transfer has to start again
   void apply_fetch(Nanos now, Version committed);
-  bool accept_token(Nanos now, MemberId from, Incarnation incarnation,
-                    Token token); // false: a greater token is promised
+  // False if a greater token is promised.
+  bool accept_token(Nanos now, MemberId from, Incarnation incarnation, Token token);
   void forward_put(Nanos now, PutNumber number);
   void finish_put(PutNumber number, PutOutcome end, Version version, std::string_view reason);
   PutNumber oldest_put() const;
@@ -325,10 +342,10 @@
 
   Entries entries_;
   Version committed_{};
-  Roster roster_;          // the newest that is committed
-  bool caught_up_ = false; // a writer in office has told all that it had committed, in this life
-  std::deque<Record> log_; // committed ones first, then pending ones
-  Version log_from_{};     // what stands before the first
+  Roster roster_;          // the newest committed one
+  bool caught_up_ = false; // has received everything that a writer had committed, in this incarnation
+  std::deque<Record> log_; // committed records first, then pending ones
+  Version log_from_{};     // the version before the first record
   std::size_t pending_bytes_ = 0;
   Token promised_{};
   Writer writer_;
@@ -339,11 +356,11 @@
   std::uint32_t round_ = 0;
   Nanos preparing_since_ = 0, prepare_again_at_ = 0;
   std::map<MemberId, Answer> answers_;
-  std::map<MemberId, Incarnation> previous_round_incarnations_; // of the round before
+  std::map<MemberId, Incarnation> previous_round_incarnations_;
   bool by_all_voters_ = false;
   MemberId source_{};
   LogStatus chosen_log_;
-  Version known_committed_{};
+  Version known_committed_{}; // the greatest among the promises
   std::map<MemberId, Peer> peers_;
   std::map<std::pair<MemberId, Incarnation>, Session> sessions_;
   Nanos send_at_ = -1;
