--- a/tests/control_feed.cpp
+++ b/tests/control_feed.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-Settings figures() {
+Settings test_settings() {
   return {{"control.beat", 1e9},           {"control.silent", 3e9},         {"control.answer", 1e9},
           {"control.most_part", 400.0},    {"control.rate", 1000.0},        {"control.burst", 1000.0},
           {"control.total_rate", 1e5},     {"control.total_burst", 1e5},    {"control.most_key", 40.0},
@@ -18,19 +18,20 @@
           {"control.rest_most", 8e9},      {"control.compare", 60e9},       {"control.most_entries", 100.0},
           {"control.most_bytes", 10000.0}, {"control.most_deleted", 2.0}};
 }
-void say(const char* what) { std::printf("# %s\n", what); }
-std::string told(Version v) {
+void print_title(const char* what) { std::printf("# %s\n", what); }
+std::string describe(Version v) {
   return v == Version{} ? "none" : std::to_string(v.token.raw) + "." + std::to_string(v.number);
 }
-std::string told(const Position& at) {
-  std::string text = told(at.taken);
-  if (at.staged != at.taken) text += ", staged " + told(at.staged);
-  if (at.renewing != Version{}) text += ", renewing " + told(at.renewing) + " up to " + told(at.renewed);
+std::string describe(const Position& at) {
+  std::string text = describe(at.taken);
+  if (at.staged != at.taken) text += ", staged " + describe(at.staged);
+  if (at.renewing != Version{})
+    text += ", renewing " + describe(at.renewing) + " up to " + describe(at.renewed);
   return text;
 }
-std::string told(const Entry& entry) {
+std::string describe(const Entry& entry) {
   return " " + entry.key + (entry.deleted ? " gone" : "=" + entry.value.substr(0, 8)) + "@" +
-         told(entry.version);
+         describe(entry.version);
 }
 Version v(std::uint64_t number, std::uint64_t token = 7) { return {Token{token}, number}; }
 Entry put(const char* key, std::uint64_t number, const std::string& value, std::uint64_t token = 7) {
@@ -46,23 +47,24 @@
   }
   static std::string list(const std::vector<const Entry*>& entries) {
     std::string text;
-    for (const Entry* entry : entries) text += told(*entry);
+    for (const Entry* entry : entries) text += describe(*entry);
     return text;
   }
   void delta(MemberId to, Incarnation, AttachmentNumber n, Version from, Version upto, Version last, Nanos,
              const std::vector<const Entry*>& entries) override {
     line(to, n,
-         "delta " + told(from) + " to " + told(upto) + (upto == last ? ", whole:" : ":") + list(entries));
+         "delta " + describe(from) + " to " + describe(upto) + (upto == last ? ", whole:" : ":") +
+             list(entries));
   }
   void renewal(MemberId to, Incarnation, AttachmentNumber n, Version at,
                const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version,
                const std::vector<const Entry*>& entries) override {
     line(to, n,
-         "renewal at " + told(at) + " of " + std::to_string(scopes.size()) + " scopes, " + told(from) +
-             " to " + told(upto) + ":" + list(entries));
+         "renewal at " + describe(at) + " of " + std::to_string(scopes.size()) + " scopes, " +
+             describe(from) + " to " + describe(upto) + ":" + list(entries));
   }
   void beat(MemberId to, Incarnation, AttachmentNumber n, Version committed, Nanos age) override {
-    line(to, n, "beat at " + told(committed) + ", " + std::to_string(age / ms) + " ms old");
+    line(to, n, "beat at " + describe(committed) + ", " + std::to_string(age / ms) + " ms old");
   }
   void rest(MemberId to, Incarnation, AttachmentNumber n, Nanos) override { line(to, n, "rest"); }
   void elsewhere(MemberId to, Incarnation, AttachmentNumber n) override { line(to, n, "elsewhere"); }
@@ -71,8 +73,8 @@
 
 struct FeedDriver {
   PrintedFeed out;
-  Entries state{figures()};
-  Feed feed{0, state, figures(), 1, out};
+  Entries state{test_settings()};
+  Feed feed{0, state, test_settings(), 1, out};
   void commit(const Entry& entry) {
     state.apply(entry);
     feed.committed(out.now, entry);
@@ -97,9 +99,10 @@
   }
 };
 
-void steps_of_a_feed() {
+void feed_steps() {
   {
-    say("blank: nothing is given; brought up: a server that has nothing gets a renewal, then the delta "
+    print_title(
+        "blank: nothing is given; brought up: a server that has nothing gets a renewal, then the delta "
         "behind it");
     FeedDriver s;
     s.commit(put("a/x", 1, "1"));
@@ -110,7 +113,8 @@
     s.commit(put("a/y", 2, "2"));
     s.have(20, 2, {{}, v(1), {}, {}, 1});
     s.have(20, 2, {v(2), v(2), {}, {}, 1});
-    say("changes that come together go together, the newest of a key; what is of other scopes goes with a "
+    print_title(
+        "changes that come together go together, the newest of a key; what is of other scopes goes with a "
         "beat");
     s.commit(put("a/x", 3, "3"));
     s.commit(put("a/x", 4, "4"));
@@ -119,13 +123,14 @@
     s.have(20, 2, {v(5), v(5), {}, {}, 1});
     s.commit(put("b/x", 6, "6"));
     s.to(1200);
-    say("no answer: the same again, later each time; silent: dropped");
+    print_title("no answer: the same again, later each time; silent: dropped");
     s.commit(put("a/x", 7, "7"));
     s.to(5000);
     s.have(20, 2, {v(7), v(7), {}, {}, 1});
   }
   {
-    say("a long delta goes in parts, one under way at a time, within the credit; a commit between is in the "
+    print_title(
+        "a long delta goes in parts, one under way at a time, within the credit; a commit between is in the "
         "last");
     FeedDriver s;
     s.feed.activate(0);
@@ -139,7 +144,8 @@
     s.have(20, 1, {v(1), v(5), {}, {}, 0});
     s.to(900);
     s.have(20, 1, {v(8), v(8), {}, {}, 0});
-    say("deletions after its version are forgotten: a renewal; of the scopes alone whose digests differ");
+    print_title(
+        "deletions after its version are forgotten: a renewal; of the scopes alone whose digests differ");
     s.commit(gone("a/2", 9));
     s.commit(gone("a/3", 10));
     s.commit(gone("a/4", 11));
@@ -149,7 +155,7 @@
     s.to(5010);
   }
   {
-    say("one renewal at a time: the other waits in line, is told so, and goes when there is a place");
+    print_title("one renewal at a time: the other waits in line, is told so, and goes when there is a place");
     FeedDriver s;
     s.feed.activate(0);
     s.commit(put("a/x", 1, "1"));
@@ -158,12 +164,13 @@
     s.follow(22, 1, v(1), {{"a", s.state.digest("a"), true}}, false);
     s.follow(23, 1, {}, {{"a", 0, false}});
     s.have(20, 1, {{}, v(1), {}, {}, 1});
-    say("digests that differ at one version: a renewal; who is ahead gets nothing but the version here");
+    print_title(
+        "digests that differ at one version: a renewal; who is ahead gets nothing but the version here");
     s.have(21, 1, {v(1), v(1), {}, {}, 1});
     s.feed.compare(s.out.now, MemberId{20}, Incarnation{20}, AttachmentNumber{1}, v(1), {5});
     s.have(20, 1, {v(3), v(3), {}, {}, 1});
     s.to(1100);
-    say("blank again: all are sent elsewhere");
+    print_title("blank again: all are sent elsewhere");
     s.feed.deactivate(s.out.now);
   }
 }
@@ -178,31 +185,33 @@
   }
   void follow(MemberId to, AttachmentNumber n, bool primary, const Position& at,
               const std::vector<FollowedScope>& scopes) override {
-    std::string text = "follow " + name(to, n) + (primary ? " first" : " second") + " at " + told(at) + ":";
+    std::string text =
+        "follow " + name(to, n) + (primary ? " first" : " second") + " at " + describe(at) + ":";
     for (const FollowedScope& one : scopes) text += " " + one.scope + (one.held ? "" : " (new)");
     line(text);
   }
   void unfollow(MemberId to, AttachmentNumber n) override { line("unfollow " + name(to, n)); }
   bool quiet = false;
   void have(MemberId to, AttachmentNumber n, const Position& at) override {
-    if (!quiet) line("have " + name(to, n) + " " + told(at));
+    if (!quiet) line("have " + name(to, n) + " " + describe(at));
   }
   void compare(MemberId to, AttachmentNumber n, Version at,
                const std::vector<std::uint64_t>& digests) override {
     if (!quiet)
-      line("compare " + name(to, n) + " at " + told(at) + ", " + std::to_string(digests.size()) + " scopes");
+      line("compare " + name(to, n) + " at " + describe(at) + ", " + std::to_string(digests.size()) +
+           " scopes");
   }
   std::string check(const Entry& entry) override { return entry.value == "bad" ? "no such thing" : ""; }
-  void refused(const Entry& entry, std::string_view why) override {
-    line("refused" + told(entry) + ": " + std::string(why));
+  void refused(const Entry& entry, std::string_view reason) override {
+    line("refused" + describe(entry) + ": " + std::string(reason));
   }
   void applied(Version version, const std::vector<const Entry*>& changed) override {
-    std::string text = "taken " + told(version) + ":";
-    for (const Entry* entry : changed) text += told(*entry);
+    std::string text = "taken " + describe(version) + ":";
+    for (const Entry* entry : changed) text += describe(*entry);
     line(text);
   }
-  void left(MemberId control, LeaveReason why) override {
-    line("left " + std::to_string(control.raw) + ": " + std::string(to_text(why)));
+  void left(MemberId control, LeaveReason reason) override {
+    line("left " + std::to_string(control.raw) + ": " + std::string(to_text(reason)));
   }
 };
 
@@ -213,7 +222,7 @@
   explicit FollowerDriver(std::vector<Follower::Control> controls = {{MemberId{1}, "r", "a"},
                                                                      {MemberId{2}, "r", "b"},
                                                                      {MemberId{3}, "q", "c"}})
-      : follower(0, Incarnation{9}, {"r", "a"}, controls, {"a", "b"}, figures(), 1, out) {
+      : follower(0, Incarnation{9}, {"r", "a"}, controls, {"a", "b"}, test_settings(), 1, out) {
     follower.due(0);
   }
   void to(Nanos time) {
@@ -249,51 +258,54 @@
   }
 };
 
-void steps_of_a_follower() {
+void follower_steps() {
   {
-    say("nearest first; a renewal in two parts is staged, and taken with the delta behind it");
+    print_title("nearest first; a renewal in two parts is staged, and taken with the delta behind it");
     FollowerDriver s;
     s.renewal(1, 1, v(2), {0, 1}, {}, v(1), {put("a/x", 1, "1")});
     s.renewal(1, 1, v(2), {0, 1}, v(1), v(2), {put("b/y", 2, "2")});
     s.delta(1, 1, v(2), v(3), true, {put("a/x", 3, "3")});
-    say("a gap before it: not taken, and told; of the past, of another attachment, of the second line: not "
+    print_title(
+        "a gap before it: not taken, and told; of the past, of another attachment, of the second line: not "
         "taken");
     s.delta(1, 1, v(5), v(6), true, {put("a/x", 6, "6")});
     s.delta(1, 1, v(1), v(2), true, {put("a/x", 2, "old")});
     s.delta(1, 7, v(3), v(4), true, {put("a/x", 4, "4")});
     s.delta(2, 2, v(3), v(4), true, {put("a/x", 4, "4")});
     s.renewal(1, 1, v(2), {0, 1}, {}, v(2), {});
-    say("a long delta: nothing changes before its last part");
+    print_title("a long delta: nothing changes before its last part");
     s.delta(1, 1, v(3), v(4), false, {put("a/x", 4, "4")});
     std::printf("  in force: %s\n", s.follower.find("a/x")->value.c_str());
     s.delta(1, 1, v(4), v(6), true, {gone("b/y", 5), put("b/z", 6, "6")});
-    say("an entry that is refused leaves what was in force; the version goes on; so over a deletion");
+    print_title("an entry that is refused leaves what was in force; the version goes on; so over a deletion");
     s.delta(1, 1, v(6), v(8), true, {put("a/x", 7, "bad"), put("b/z", 8, "8")});
     std::printf("  in force: %s, keys refused %zu\n", s.follower.find("a/x")->value.c_str(),
                 s.follower.keys_refused());
     s.delta(1, 1, v(8), v(9), true, {gone("a/x", 9)});
     std::printf("  in force: %s, keys refused %zu\n", s.follower.find("a/x") ? "some" : "none",
                 s.follower.keys_refused());
-    say("a renewal of one scope takes what it leaves out; the other stays");
+    print_title("a renewal of one scope takes what it leaves out; the other stays");
     s.renewal(1, 1, v(10), {1}, {}, v(10), {put("b/w", 10, "10")});
     s.delta(1, 1, v(10), v(10), true, {});
-    say("entries of a scope that isn't followed: who says so is left; scopes that change: followed anew");
+    print_title(
+        "entries of a scope that isn't followed: who says so is left; scopes that change: followed anew");
     s.delta(1, 1, v(10), v(11), true, {put("c/x", 11, "11")});
     s.follower.set_scopes(s.out.now, {"b", "c"});
   }
   {
-    say("silent: left for the second, which is the first now; it keeps the last state and says how old it "
+    print_title(
+        "silent: left for the second, which is the first now; it keeps the last state and says how old it "
         "is");
     FollowerDriver s;
     s.begin();
     s.out.quiet = true;
     s.well(3000, {{2, 2}}, v(2));
     s.well(8000, {}, v(2));
-    std::printf("  has %s, %lld ms old\n", told(s.follower.version()).c_str(),
+    std::printf("  has %s, %lld ms old\n", describe(s.follower.version()).c_str(),
                 static_cast<long long>(s.follower.age(s.out.now) / ms));
   }
   {
-    say("a nearer one comes back: tried as the second, the first after it was well for long");
+    print_title("a nearer one comes back: tried as the second, the first after it was well for long");
     FollowerDriver s;
     s.begin();
     s.out.quiet = true;
@@ -301,7 +313,7 @@
     s.well(14000, {{2, 3}, {3, 4}, {1, 5}}, v(2));
   }
   {
-    say("the first gives nothing while the second is ahead: they change places");
+    print_title("the first gives nothing while the second is ahead: they change places");
     FollowerDriver s;
     s.begin();
     s.out.quiet = true;
@@ -311,7 +323,7 @@
       s.beat(1, 1, v(2));
       s.beat(2, 2, v(3));
     }
-    say("told to rest, it waits");
+    print_title("told to rest, it waits");
     s.out.now = 0;
     FollowerDriver r;
     r.out.quiet = true;
@@ -325,7 +337,7 @@
 
 // ---- fleets
 
-Plan kind_of(std::uint64_t seed) {
+Plan plan_of(std::uint64_t seed) {
   Plan plan;
   plan.seed = seed;
   plan.controls = 3 + static_cast<unsigned>(seed % 8);
@@ -333,11 +345,11 @@
   plan.zones = 2 + static_cast<unsigned>(seed % 4);
   plan.length = 20 * second;
   plan.quiet_after = 8 * second;
-  if (seed % 3 == 0) plan.restarts = 2, plan.blanks = 1;
-  if (seed % 4 == 0) plan.breaks = 40;
+  if (seed % 3 == 0) plan.control_restarts = 2, plan.deactivations = 1;
+  if (seed % 4 == 0) plan.link_breaks = 40;
   if (seed % 5 == 0) plan.lag = 0.6;
   if (seed % 5 == 1) plan.bursts = 1;
-  if (seed % 6 == 0) plan.starts = 8, plan.zones_lost = 0.4;
+  if (seed % 6 == 0) plan.server_restarts = 8, plan.zone_restarts = 0.4;
   if (seed % 7 == 0) plan.deleted = 0.5;
   plan.most_whole = 1 + seed % 4;
   return plan;
@@ -345,48 +357,49 @@
 
 // All control members lost what they had, and began anew from less: the versions that a server has from
 // before are of no order any more, and only digests tell.
-struct Lost final : FeedActions, FollowerActions {
+struct DirectPair final : FeedActions, FollowerActions {
   Nanos now = 0;
-  Entries state{figures()};
+  Entries state{test_settings()};
   std::unique_ptr<Feed> feed;
-  Follower follower{0,          Incarnation{9}, {"r", "a"}, {{MemberId{1}, "r", "a"}},
-                    {"a", "b"}, figures(),      1,          *this};
-  std::vector<std::function<void()>> letters;
+  Follower follower{0,          Incarnation{9},  {"r", "a"}, {{MemberId{1}, "r", "a"}},
+                    {"a", "b"}, test_settings(), 1,          *this};
+  std::vector<std::function<void()>> messages;
   AttachmentNumber number{}; // of the last attachment
   void delta(MemberId, Incarnation of, AttachmentNumber n, Version from, Version upto, Version last,
              Nanos age, const std::vector<const Entry*>& entries) override {
     std::vector<Entry> all;
     for (const Entry* entry : entries) all.push_back(*entry);
-    letters.push_back([=, this] { follower.delta(now, MemberId{1}, of, n, from, upto, last, age, all); });
+    messages.push_back([=, this] { follower.delta(now, MemberId{1}, of, n, from, upto, last, age, all); });
   }
   void renewal(MemberId, Incarnation of, AttachmentNumber n, Version at,
                const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version last,
                const std::vector<const Entry*>& entries) override {
     std::vector<Entry> all;
     for (const Entry* entry : entries) all.push_back(*entry);
-    letters.push_back(
+    messages.push_back(
         [=, this] { follower.renewal(now, MemberId{1}, of, n, at, scopes, from, upto, last, all); });
   }
   void beat(MemberId, Incarnation of, AttachmentNumber n, Version committed, Nanos age) override {
-    letters.push_back([=, this] { follower.beat(now, MemberId{1}, of, n, committed, age); });
+    messages.push_back([=, this] { follower.beat(now, MemberId{1}, of, n, committed, age); });
   }
   void rest(MemberId, Incarnation, AttachmentNumber, Nanos) override {}
   void elsewhere(MemberId, Incarnation of, AttachmentNumber n) override {
-    letters.push_back([=, this] { follower.elsewhere(now, MemberId{1}, of, n); });
+    messages.push_back([=, this] { follower.elsewhere(now, MemberId{1}, of, n); });
   }
   void again(MemberId, Incarnation of, AttachmentNumber n) override {
-    letters.push_back([=, this] { follower.again(now, MemberId{1}, of, n); });
+    messages.push_back([=, this] { follower.again(now, MemberId{1}, of, n); });
   }
   void follow(MemberId, AttachmentNumber n, bool primary, const Position& at,
               const std::vector<FollowedScope>& scopes) override {
     number = n;
-    letters.push_back([=, this] { feed->follow(now, MemberId{20}, Incarnation{9}, n, primary, at, scopes); });
+    messages.push_back(
+        [=, this] { feed->follow(now, MemberId{20}, Incarnation{9}, n, primary, at, scopes); });
   }
   void have(MemberId, AttachmentNumber n, const Position& at) override {
-    letters.push_back([=, this] { feed->have(now, MemberId{20}, Incarnation{9}, n, at); });
+    messages.push_back([=, this] { feed->have(now, MemberId{20}, Incarnation{9}, n, at); });
   }
   void compare(MemberId, AttachmentNumber n, Version at, const std::vector<std::uint64_t>& digests) override {
-    letters.push_back([=, this] { feed->compare(now, MemberId{20}, Incarnation{9}, n, at, digests); });
+    messages.push_back([=, this] { feed->compare(now, MemberId{20}, Incarnation{9}, n, at, digests); });
   }
   void unfollow(MemberId, AttachmentNumber) override {}
   std::string check(const Entry&) override { return {}; }
@@ -397,7 +410,7 @@
   void begin(std::initializer_list<Entry> entries) {
     state.clear();
     for (const Entry& entry : entries) state.apply(entry);
-    feed = std::make_unique<Feed>(now, state, figures(), 1, *this);
+    feed = std::make_unique<Feed>(now, state, test_settings(), 1, *this);
     feed->activate(now);
   }
   void run(Nanos length) {
@@ -405,12 +418,12 @@
       feed->confirm_current(now);
       follower.due(now);
       feed->due(now);
-      for (const auto& one : std::exchange(letters, {})) one();
+      for (const auto& one : std::exchange(messages, {})) one();
     }
   }
 };
-std::string lost_history() {
-  Lost s;
+std::string check_lost_history() {
+  DirectPair s;
   s.begin({put("a/x", 1, "1"), put("b/y", 2, "2"), put("a/z", 3, "lost")});
   s.run(5 * second);
   if (s.follower.version() != v(3)) return "the first state is not taken";
@@ -426,8 +439,8 @@
 }
 
 // What no feed here says, but a server must not take.
-std::string refusals() {
-  Lost s;
+std::string check_rejections() {
+  DirectPair s;
   const MemberId from{1};
   s.begin({put("a/x", 1, "1"), put("b/y", 2, "2")});
   s.run(5 * second);
@@ -447,37 +460,37 @@
   return f.version() == v(4) && f.find("a/x")->value == "3" ? "" : "a whole delta is not taken";
 }
 
-struct Sum {
-  std::uint64_t seeds = 0, wrong = 0, commits = 0, taken = 0, lives = 0;
+struct Totals {
+  std::uint64_t seeds = 0, wrong = 0, commits = 0, taken = 0, server_starts = 0;
   Feed::Counts feed;
   Follower::Counts follower;
   std::size_t most_renewals = 0;
-  Nanos level_after = 0;
+  Nanos converged_after = 0;
   std::string first;
   void add(const Plan& plan, const Verdict& one) {
     ++seeds;
-    commits += one.commits, taken += one.taken, lives += one.lives;
+    commits += one.commits, taken += one.taken, server_starts += one.server_starts;
     feed.parts += one.feed.parts, feed.repeats += one.feed.repeats, feed.renewals += one.feed.renewals;
     follower.gaps += one.follower.gaps, follower.outdated += one.follower.outdated;
     follower.misaddressed += one.follower.misaddressed, follower.moves += one.follower.moves;
     follower.refused += one.follower.refused, follower.invalid += one.follower.invalid;
     most_renewals = std::max(most_renewals, one.most_renewals);
-    level_after = std::max(level_after, one.level_after);
+    converged_after = std::max(converged_after, one.converged_after);
     if (one.first.empty()) return;
     ++wrong;
     if (first.empty()) first = "seed " + std::to_string(plan.seed) + ", " + one.first;
   }
 };
 
-int many(std::uint64_t seeds, bool stop) {
-  Sum sum;
-  for (const std::string& what : {lost_history(), refusals()})
+int run_seeds(std::uint64_t seeds, bool stop) {
+  Totals sum;
+  for (const std::string& what : {check_lost_history(), check_rejections()})
     if (!what.empty() && ++sum.wrong == 1) sum.first = what;
   for (std::uint64_t seed = 1; seed <= seeds && !(stop && sum.wrong > 0); ++seed)
-    sum.add(kind_of(seed), FleetOfFollowers(kind_of(seed)).play());
+    sum.add(plan_of(seed), FleetOfFollowers(plan_of(seed)).play());
   const auto n = [](std::uint64_t count) { return static_cast<unsigned long long>(count); };
   std::printf("%llu seeds, wrong %llu: %llu commits, %llu lives of servers, %llu states taken\n",
-              n(sum.seeds), n(sum.wrong), n(sum.commits), n(sum.lives), n(sum.taken));
+              n(sum.seeds), n(sum.wrong), n(sum.commits), n(sum.server_starts), n(sum.taken));
   if (!sum.first.empty()) std::printf("  first: %s\n", sum.first.c_str());
   std::printf("  parts %llu, repeated %llu, renewals %llu, at most %zu at once\n", n(sum.feed.parts),
               n(sum.feed.repeats), n(sum.feed.renewals), sum.most_renewals);
@@ -486,16 +499,17 @@
       n(sum.follower.gaps), n(sum.follower.outdated), n(sum.follower.misaddressed), n(sum.follower.invalid),
       n(sum.follower.refused), n(sum.follower.moves));
   std::printf("  all level %lld ms after the last fault at the latest\n",
-              static_cast<long long>(sum.level_after / ms));
+              static_cast<long long>(sum.converged_after / ms));
   return sum.wrong > 0 ? 1 : 0;
 }
 
-int calm() {
+int run_without_faults() {
   Plan plan;
   plan.controls = 10, plan.servers = 60, plan.zones = 5, plan.delay = 150 * ms;
   plan.commits = 4, plan.bursts = 0.2, plan.deleted = plan.bad = 0;
-  plan.breaks = plan.cuts = plan.restarts = plan.blanks = plan.stops = plan.mutes = plan.starts = 0;
-  plan.rescopes = plan.zones_lost = plan.lag = 0;
+  plan.link_breaks = plan.cuts = plan.control_restarts = plan.deactivations = plan.pauses =
+      plan.muted_periods = plan.server_restarts = 0;
+  plan.scope_changes = plan.zone_restarts = plan.lag = 0;
   plan.quiet_after = 30 * second, plan.length = 40 * second, plan.small_parts = false;
   Verdict v = FleetOfFollowers(plan).play();
   std::sort(v.gaps.begin(), v.gaps.end());
@@ -506,23 +520,24 @@
   return v.gaps.back() > 4 * second ? 1 : 0;
 }
 
-int returning() {
+int run_zone_restarts() {
   Plan plan;
   plan.controls = 4, plan.servers = 60, plan.zones = 2, plan.most_whole = 4;
-  plan.breaks = plan.cuts = plan.restarts = plan.blanks = plan.stops = plan.mutes = plan.starts = 0;
-  plan.rescopes = plan.lag = 0;
-  plan.zones_lost = 0.3, plan.faults_last = 0;
+  plan.link_breaks = plan.cuts = plan.control_restarts = plan.deactivations = plan.pauses =
+      plan.muted_periods = plan.server_restarts = 0;
+  plan.scope_changes = plan.lag = 0;
+  plan.zone_restarts = 0.3, plan.faults_last = 0;
   const Verdict v = FleetOfFollowers(plan).play();
   std::printf("  %llu renewals, at most %zu at once, all level %lld ms after the last fault%s%s\n",
               static_cast<unsigned long long>(v.feed.renewals), v.most_renewals,
-              static_cast<long long>(v.level_after / ms),
+              static_cast<long long>(v.converged_after / ms),
               v.first.empty() ? "" : ", wrong: ", v.first.c_str());
   return v.first.empty() ? 0 : 1;
 }
 
 // ---- cost
 
-struct Silent final : FeedActions {
+struct RecordedDeltas final : FeedActions {
   std::vector<std::pair<MemberId, Version>> deltas;
   void delta(MemberId to, Incarnation, AttachmentNumber, Version, Version upto, Version, Nanos,
              const std::vector<const Entry*>&) override {
@@ -537,13 +552,13 @@
 };
 
 // What is looked at for a change of a scope with so many followers out of all, up to its answers.
-double cost(unsigned all, unsigned of_scope) {
-  Settings given = figures();
-  given["control.most_followers"] = static_cast<double>(all);
-  given["control.total_rate"] = given["control.total_burst"] = 1e12;
-  Silent out;
-  Entries state(given);
-  Feed feed(0, state, given, 1, out);
+double visits_per_change(unsigned all, unsigned of_scope) {
+  Settings settings = test_settings();
+  settings["control.most_followers"] = static_cast<double>(all);
+  settings["control.total_rate"] = settings["control.total_burst"] = 1e12;
+  RecordedDeltas out;
+  Entries state(settings);
+  Feed feed(0, state, settings, 1, out);
   std::uint64_t number = 0;
   const auto commit = [&](Nanos now, const char* key) {
     const Entry entry = put(key, ++number, "x");
@@ -569,7 +584,7 @@
   return static_cast<double>(feed.counts().visited - before) / 5;
 }
 
-int costs() {
+int check_costs() {
   const auto exponent = [](const std::vector<std::pair<double, double>>& points) {
     double x = 0, y = 0, xx = 0, xy = 0;
     for (const auto& [a, b] : points)
@@ -578,8 +593,10 @@
     return (n * xy - x * y) / (n * xx - x * x);
   };
   std::vector<std::pair<double, double>> in_all, in_scope;
-  for (const unsigned all : {100u, 300u, 1000u, 3000u, 10000u}) in_all.emplace_back(all, cost(all, 20));
-  for (const unsigned some : {10u, 30u, 100u, 300u, 1000u}) in_scope.emplace_back(some, cost(2000, some));
+  for (const unsigned all : {100u, 300u, 1000u, 3000u, 10000u})
+    in_all.emplace_back(all, visits_per_change(all, 20));
+  for (const unsigned some : {10u, 30u, 100u, 300u, 1000u})
+    in_scope.emplace_back(some, visits_per_change(2000, some));
   std::printf("  looked at for a change of a scope with 20 followers, of 100 to 10,000 in all:");
   for (const auto& [all, looked] : in_all) std::printf(" %.0f", looked);
   const double a = exponent(in_all), b = exponent(in_scope);
@@ -592,16 +609,17 @@
 } // namespace
 
 int main(int argc, char** argv) {
-  if (argc > 1) return many(std::strtoull(argv[1], nullptr, 10), argc > 2 && !std::strcmp(argv[2], "stop"));
-  steps_of_a_feed();
-  steps_of_a_follower();
-  say("fleets with faults");
-  int wrong = many(300, false);
-  say("without faults, bursts of 100 changes among them");
-  wrong += calm();
-  say("half of the servers start anew at once, now and then");
-  wrong += returning();
-  say("what a change costs");
-  wrong += costs();
+  if (argc > 1)
+    return run_seeds(std::strtoull(argv[1], nullptr, 10), argc > 2 && !std::strcmp(argv[2], "stop"));
+  feed_steps();
+  follower_steps();
+  print_title("fleets with faults");
+  int wrong = run_seeds(300, false);
+  print_title("without faults, bursts of 100 changes among them");
+  wrong += run_without_faults();
+  print_title("half of the servers start anew at once, now and then");
+  wrong += run_zone_restarts();
+  print_title("what a change costs");
+  wrong += check_costs();
   return wrong;
 }
--- a/tests/control_replica.cpp
+++ b/tests/control_replica.cpp
@@ -14,69 +14,70 @@
   return v == Version{} ? "nothing" : std::to_string(v.token.raw) + "." + std::to_string(v.number);
 }
 
-class Desk {
-  struct Seat final : ReplicaActions {
-    Desk& desk;
+class ManualNetwork {
+  struct Node final : ReplicaActions {
+    ManualNetwork& network;
     MemberId self;
-    std::uint64_t life = 0;
+    std::uint64_t start_count = 0;
     std::unique_ptr<Replica> replica;
-    Seat(Desk& d, MemberId id) : desk(d), self(id) {}
-    Incarnation incarnation() const { return Incarnation{self.raw * 10 + life}; }
+    Node(ManualNetwork& d, MemberId id) : network(d), self(id) {}
+    Incarnation incarnation() const { return Incarnation{self.raw * 10 + start_count}; }
 
-    void say(MemberId to, std::string words, std::function<void(Replica&, Nanos)> what) {
-      desk.words_.push_back({self, to, std::move(words), std::move(what)});
+    void send(MemberId to, std::string text, std::function<void(Replica&, Nanos)> what) {
+      network.messages_.push_back({self, to, std::move(text), std::move(what)});
     }
     void prepare(MemberId to, Token t, std::uint32_t round) override {
-      say(to, "prepare " + std::to_string(t.raw) + ", round " + std::to_string(round),
-          [=, from = self, of = incarnation()](Replica& r, Nanos n) { r.prepared(n, from, of, t, round); });
+      send(to, "prepare " + std::to_string(t.raw) + ", round " + std::to_string(round),
+           [=, from = self, of = incarnation()](Replica& r, Nanos n) { r.prepared(n, from, of, t, round); });
     }
     void promise(MemberId to, Incarnation of, Token t, std::uint32_t round, const LogStatus& s) override {
-      say(to,
-          "promise " + std::to_string(t.raw) + ", log to " + name_of(s.last) + ", committed " +
-              name_of(s.committed),
-          [=, from = self, me = incarnation()](Replica& r, Nanos n) {
-            r.promised(n, from, me, of, t, round, s);
-          });
+      send(to,
+           "promise " + std::to_string(t.raw) + ", log to " + name_of(s.last) + ", committed " +
+               name_of(s.committed),
+           [=, from = self, me = incarnation()](Replica& r, Nanos n) {
+             r.promised(n, from, me, of, t, round, s);
+           });
     }
     void refuse(MemberId to, Incarnation of, Token t, Token seen) override {
-      say(to, "refuse " + std::to_string(t.raw) + ", promised " + std::to_string(seen.raw),
+      send(
+          to, "refuse " + std::to_string(t.raw) + ", promised " + std::to_string(seen.raw),
           [=, from = self, me = incarnation()](Replica& r, Nanos n) { r.refused(n, from, me, of, t, seen); });
     }
     void append(MemberId to, const Append& a) override {
-      std::string words = "append behind " + name_of(a.previous) + ":";
+      std::string text = "append behind " + name_of(a.previous) + ":";
       for (const Record& one : a.records)
-        words += " " + name_of(one.entry.version) + " " + one.entry.key + "=" + one.entry.value + ";";
-      say(to, words + " committed " + name_of(a.committed),
-          [=, from = self, of = incarnation()](Replica& r, Nanos n) { r.appending(n, from, of, a); });
+        text += " " + name_of(one.entry.version) + " " + one.entry.key + "=" + one.entry.value + ";";
+      send(to, text + " committed " + name_of(a.committed),
+           [=, from = self, of = incarnation()](Replica& r, Nanos n) { r.appending(n, from, of, a); });
     }
     void appended(MemberId to, Incarnation of, Token t, std::uint64_t mark, Version v, bool gap) override {
-      say(to, (gap ? "gap, go back to " : "have up to ") + name_of(v),
-          [=, from = self, me = incarnation()](Replica& r, Nanos n) {
-            r.appended(n, from, me, of, t, mark, v, gap);
-          });
+      send(to, (gap ? "gap, go back to " : "have up to ") + name_of(v),
+           [=, from = self, me = incarnation()](Replica& r, Nanos n) {
+             r.appended(n, from, me, of, t, mark, v, gap);
+           });
     }
     void fetch(MemberId to, Token t, Version base, Version cursor, Token since) override {
-      say(to, "fetch from " + name_of(cursor) + " on " + name_of(base),
-          [=, from = self, of = incarnation()](Replica& r, Nanos n) {
-            r.fetched(n, from, of, t, base, cursor, since);
-          });
+      send(to, "fetch from " + name_of(cursor) + " on " + name_of(base),
+           [=, from = self, of = incarnation()](Replica& r, Nanos n) {
+             r.fetched(n, from, of, t, base, cursor, since);
+           });
     }
     void chunk(MemberId to, Incarnation of, const Chunk& c) override {
-      say(to,
-          "chunk " + name_of(c.from) + " to " + name_of(c.to) + ", " + std::to_string(c.records.size()) +
-              " records, committed " + name_of(c.committed) + (c.last ? ", last" : ""),
-          [=, from = self, me = incarnation()](Replica& r, Nanos n) { r.chunked(n, from, me, of, c); });
+      send(to,
+           "chunk " + name_of(c.from) + " to " + name_of(c.to) + ", " + std::to_string(c.records.size()) +
+               " records, committed " + name_of(c.committed) + (c.last ? ", last" : ""),
+           [=, from = self, me = incarnation()](Replica& r, Nanos n) { r.chunked(n, from, me, of, c); });
     }
     void pass(MemberId to, Incarnation of, Token t, const ForwardedPut& p) override {
-      say(to, "put " + p.key + "=" + p.value + " passed on",
-          [=, from = self, me = incarnation()](Replica& r, Nanos n) { r.passed(n, from, me, of, t, p); });
+      send(to, "put " + p.key + "=" + p.value + " passed on",
+           [=, from = self, me = incarnation()](Replica& r, Nanos n) { r.passed(n, from, me, of, t, p); });
     }
     void answer(MemberId to, Incarnation of, Token t, PutNumber p, PutOutcome end, Version v,
-                std::string_view why) override {
-      say(to, "put " + std::string(to_text(end)) + " " + name_of(v),
-          [=, from = self, me = incarnation(), why = std::string(why)](Replica& r, Nanos n) {
-            r.answered(n, from, me, of, t, p, end, v, why);
-          });
+                std::string_view reason) override {
+      send(to, "put " + std::string(to_text(end)) + " " + name_of(v),
+           [=, from = self, me = incarnation(), reason = std::string(reason)](Replica& r, Nanos n) {
+             r.answered(n, from, me, of, t, p, end, v, reason);
+           });
     }
     std::string rejection_reason(const Entry& entry) override {
       return entry.value == "bad" ? "it is bad" : "";
@@ -88,9 +89,9 @@
     void replaced() override {
       std::printf("  %u has another state, of %s\n", self.raw, name_of(replica->committed()).c_str());
     }
-    void ended(PutNumber, PutOutcome end, Version v, std::string_view why) override {
+    void ended(PutNumber, PutOutcome end, Version v, std::string_view reason) override {
       std::printf("  put at %u %s %s%s%s\n", self.raw, std::string(to_text(end)).c_str(), name_of(v).c_str(),
-                  why.empty() ? "" : ": ", std::string(why).c_str());
+                  reason.empty() ? "" : ": ", std::string(reason).c_str());
     }
     void began(Token t, bool after_loss) override {
       std::printf("  %u in office under %llu%s\n", self.raw, static_cast<unsigned long long>(t.raw),
@@ -104,19 +105,19 @@
                   static_cast<unsigned long long>(seen.raw));
     }
   };
-  struct Word {
+  struct Message {
     MemberId from, to;
-    std::string words;
+    std::string text;
     std::function<void(Replica&, Nanos)> what;
   };
-  std::vector<std::unique_ptr<Seat>> seats_;
-  std::deque<Word> words_;
+  std::vector<std::unique_ptr<Node>> nodes_;
+  std::deque<Message> messages_;
   std::set<std::uint32_t> cut_; // hear nothing and aren't heard
   bool quiet_ = false;
 
  public:
   Nanos now = 0;
-  static Settings figures() {
+  static Settings settings() {
     return {{"control.most_entries", 100.0}, {"control.most_bytes", 10000.0}, {"control.most_key", 100.0},
             {"control.most_value", 100.0},   {"control.most_deleted", 4.0},   {"control.beat", 1e9},
             {"control.again", 1e9},          {"control.batch", 0.0},          {"control.grace", 1e9},
@@ -124,127 +125,127 @@
             {"control.most_log", 3.0},       {"control.most_pending", 8.0},   {"control.most_batch", 100.0},
             {"control.most_batches", 4.0}};
   }
-  Desk() {
+  ManualNetwork() {
     for (std::uint32_t m = 1; m <= 4; ++m) {
-      seats_.push_back(std::make_unique<Seat>(*this, MemberId{m}));
+      nodes_.push_back(std::make_unique<Node>(*this, MemberId{m}));
       start(m);
     }
   }
-  Replica& operator[](std::uint32_t m) { return *seats_[m - 1]->replica; }
+  Replica& operator[](std::uint32_t m) { return *nodes_[m - 1]->replica; }
   void start(std::uint32_t m) {
-    Seat& seat = *seats_[m - 1];
-    ++seat.life;
-    seat.replica =
-        std::make_unique<Replica>(now, seat.self, seat.incarnation(),
-                                  std::set<MemberId>{MemberId{1}, MemberId{2}, MemberId{3}, MemberId{4}},
-                                  std::set<MemberId>{MemberId{1}, MemberId{2}, MemberId{3}}, figures(), seat);
+    Node& node = *nodes_[m - 1];
+    ++node.start_count;
+    node.replica = std::make_unique<Replica>(
+        now, node.self, node.incarnation(),
+        std::set<MemberId>{MemberId{1}, MemberId{2}, MemberId{3}, MemberId{4}},
+        std::set<MemberId>{MemberId{1}, MemberId{2}, MemberId{3}}, settings(), node);
   }
   void cut(std::set<std::uint32_t> members) { cut_ = std::move(members); }
-  void hush(bool quiet) { quiet_ = quiet; }
+  void set_quiet(bool quiet) { quiet_ = quiet; }
   // Carries what is said, and what is said to that, and lets time pass where nothing is left, up to `rounds`.
-  void carry(int words = 1000) {
-    for (int count = 0; count < words; ++count) {
-      for (auto& seat : seats_)
-        if (const Nanos next = seat->replica->next_wake(); next >= 0 && next <= now) seat->replica->due(now);
-      if (words_.empty()) return;
-      const Word word = std::move(words_.front());
-      words_.pop_front();
-      const bool lost = cut_.contains(word.from.raw) || cut_.contains(word.to.raw);
+  void deliver(int max_messages = 1000) {
+    for (int count = 0; count < max_messages; ++count) {
+      for (auto& node : nodes_)
+        if (const Nanos next = node->replica->next_wake(); next >= 0 && next <= now) node->replica->due(now);
+      if (messages_.empty()) return;
+      const Message message = std::move(messages_.front());
+      messages_.pop_front();
+      const bool lost = cut_.contains(message.from.raw) || cut_.contains(message.to.raw);
       if (!quiet_)
-        std::printf("  %u to %u: %s%s\n", word.from.raw, word.to.raw, word.words.c_str(),
+        std::printf("  %u to %u: %s%s\n", message.from.raw, message.to.raw, message.text.c_str(),
                     lost ? " (lost)" : "");
-      if (!lost) word.what(*seats_[word.to.raw - 1]->replica, now);
+      if (!lost) message.what(*nodes_[message.to.raw - 1]->replica, now);
     }
   }
-  void pass(Nanos span) {
+  void advance(Nanos span) {
     now += span;
-    for (auto& seat : seats_) seat->replica->due(now);
+    for (auto& node : nodes_) node->replica->due(now);
   }
   void show() {
     std::printf("  now");
-    for (auto& seat : seats_)
-      std::printf("%s %u: %s, committed %s, log to %s", seat->self.raw > 1 ? ";" : "", seat->self.raw,
-                  seat->replica->ready() ? "ready" : "blank", name_of(seat->replica->committed()).c_str(),
-                  name_of(seat->replica->status().last).c_str());
+    for (auto& node : nodes_)
+      std::printf("%s %u: %s, committed %s, log to %s", node->self.raw > 1 ? ";" : "", node->self.raw,
+                  node->replica->ready() ? "ready" : "blank", name_of(node->replica->committed()).c_str(),
+                  name_of(node->replica->status().last).c_str());
     std::printf("\n");
   }
 };
 
 void small_cases() {
   const auto say = [](const char* what) { std::printf("# %s\n", what); };
-  const auto put = [](Desk& d, std::uint32_t m, const char* key, const char* value,
+  const auto put = [](ManualNetwork& d, std::uint32_t m, const char* key, const char* value,
                       std::optional<Version> expected = {}) { d[m].put(d.now, key, value, false, expected); };
-  Desk d;
+  ManualNetwork d;
   say("first start: all voters are blank; all have answered twice before the first writer begins");
   d[1].lease_held(0, Token{10}, 60 * second);
-  d.carry();
+  d.deliver();
   d.show();
   say("a write, put at 4: passed on, written, committed by two of three, told as done");
   put(d, 4, "s/a", "1");
-  d.carry();
+  d.deliver();
   d.show();
   say("refused: by the caller's check, by what was changed meanwhile, by its scope");
-  d.hush(true);
+  d.set_quiet(true);
   put(d, 1, "s/b", "bad");
   put(d, 1, "s/a", "2", Version{});
   put(d, 1, "control/roster", "x");
-  d.carry();
-  d.hush(false);
+  d.deliver();
+  d.set_quiet(false);
   say("the writer dies between an ack and its commit: the next one finds the write and commits it");
   put(d, 1, "s/a", "3");
   d.cut({3, 4});
-  d.carry(1); // to 2, and no further: its ack finds nobody
+  d.deliver(1); // to 2, and no further: its ack finds nobody
   d.cut({1});
   d.start(1);
   d[2].lease_held(d.now, Token{20}, 120 * second);
-  d.carry();
+  d.deliver();
   d.show();
   say("who asks under a smaller token is refused");
   d.cut({});
   d[1].lease_held(d.now, Token{15}, 60 * second);
-  d.carry();
+  d.deliver();
   say("a blank member joins: all that it lacks, then a roster that names its life");
-  d.pass(second);
-  d.carry();
-  d.pass(second);
-  d.carry();
+  d.advance(second);
+  d.deliver();
+  d.advance(second);
+  d.deliver();
   d.show();
   say("a minority is cut off with the writer: its put is not committed, and another writes");
   d.cut({2});
   put(d, 2, "s/a", "lost");
-  d.carry();
+  d.deliver();
   d[3].lease_held(d.now, Token{30}, 300 * second);
-  d.carry();
+  d.deliver();
   put(d, 3, "s/a", "kept");
-  d.carry();
+  d.deliver();
   say("back again: what it had not committed is given up; the log tells that it was, so the put is passed "
       "on");
   d[2].lease_lost(d.now, Token{20});
   d.cut({});
-  d.pass(second);
-  d.carry();
+  d.advance(second);
+  d.deliver();
   d.show();
   say("loss of all voters: all answer, blank; the member that doesn't vote still holds the state");
   d.start(1), d.start(2), d.start(3);
   d[1].lease_held(d.now, Token{40}, 600 * second);
-  d.carry();
-  d.pass(second);
-  d.hush(true);
-  d.carry();
-  d.pass(second);
-  d.carry();
+  d.deliver();
+  d.advance(second);
+  d.set_quiet(true);
+  d.deliver();
+  d.advance(second);
+  d.deliver();
   d.show();
 }
 
 // ---- fleets
 
-struct Sum {
-  std::uint64_t seeds = 0, spared = 0;
+struct Totals {
+  std::uint64_t seeds = 0, majority_kept = 0;
   Verdict all;
 };
-void add(Sum& sum, const Verdict& v, std::uint64_t kind, std::uint64_t seed) {
+void add(Totals& sum, const Verdict& v, std::uint64_t kind, std::uint64_t seed) {
   ++sum.seeds;
-  sum.spared += v.spared;
+  sum.majority_kept += v.majority_kept;
   sum.all.commits += v.commits, sum.all.puts += v.puts, sum.all.done += v.done;
   sum.all.refused += v.refused, sum.all.unknown += v.unknown, sum.all.terms += v.terms;
   sum.all.losses += v.losses, sum.all.transfers += v.transfers, sum.all.starts += v.starts;
@@ -252,17 +253,17 @@
   if (sum.all.first.empty() && !v.first.empty())
     sum.all.first = "kind " + std::to_string(kind) + ", seed " + std::to_string(seed) + ", " + v.first;
 }
-void print(const char* what, const Sum& s) {
+void print(const char* what, const Totals& s) {
   const auto n = [](std::uint64_t value) { return static_cast<unsigned long long>(value); };
   std::printf("%s: %llu seeds, %llu starts, %llu terms, %llu commits, %llu transfers, wrong %d\n", what,
               n(s.seeds), n(s.all.starts), n(s.all.terms), n(s.all.commits), n(s.all.transfers), s.all.wrong);
-  std::printf("  a majority of the voters never blank at once: %llu seeds\n", n(s.spared));
+  std::printf("  a majority of the voters never blank at once: %llu seeds\n", n(s.majority_kept));
   std::printf("  puts %llu: done %llu, refused %llu, unknown %llu\n", n(s.all.puts), n(s.all.done),
               n(s.all.refused), n(s.all.unknown));
   if (!s.all.first.empty()) std::printf("  first: %s\n", s.all.first.c_str());
 }
 
-constexpr std::uint64_t kinds = 10;
+constexpr std::uint64_t plan_kinds = 10;
 Plan kind_of(std::uint64_t kind) {
   Plan plan;
   plan.voters = kind % 3 == 2 ? 5 : 3;
@@ -274,11 +275,11 @@
   plan.writer_crashes = kind % 3 == 1 ? 0.7 : 0.1;
   plan.cuts = kind % 4 == 3 ? 1 : 0.3;
   plan.pauses = kind % 5 == 1 ? 1.5 : 0.3;
-  plan.late = kind % 3 == 0 ? 0.1 : 0.02;
+  plan.delayed = kind % 3 == 0 ? 0.1 : 0.02;
   return plan;
 }
-Sum many(const Plan& given, std::uint64_t kind, std::uint64_t from, std::uint64_t seeds, bool stop) {
-  Sum sum;
+Totals run_plan(const Plan& given, std::uint64_t kind, std::uint64_t from, std::uint64_t seeds, bool stop) {
+  Totals sum;
   Plan plan = given;
   for (plan.seed = from; plan.seed < from + seeds; ++plan.seed) {
     add(sum, FleetOfReplicas(plan).play(), kind, plan.seed);
@@ -286,46 +287,46 @@
   }
   return sum;
 }
-Sum troubled(std::uint64_t seeds, bool stop) {
-  Sum all;
+Totals run_plan_kinds(std::uint64_t seeds, bool stop) {
+  Totals all;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    Plan plan = kind_of(seed % kinds);
+    Plan plan = kind_of(seed % plan_kinds);
     plan.seed = seed;
-    add(all, FleetOfReplicas(plan).play(), seed % kinds, seed);
+    add(all, FleetOfReplicas(plan).play(), seed % plan_kinds, seed);
     if (stop && all.all.wrong > 0) break;
   }
   return all;
 }
 // Clocks far beyond the bound, so that two write at once: tokens and majorities hold without time.
-Plan clockless() {
+Plan plan_with_wrong_clocks() {
   Plan plan = kind_of(1);
   plan.drift = 0.05;
-  plan.clocks_off = 10;
+  plan.clock_error_factor = 10;
   plan.pauses = 2;
   return plan;
 }
 // No lease at all: any member is told that it holds, and writes on beside others.
-Plan by_chance() {
+Plan plan_with_random_holders() {
   Plan plan = kind_of(0);
-  plan.by_chance = 400 * ms;
-  plan.late = 0.05;
+  plan.random_holding = 400 * ms;
+  plan.delayed = 0.05;
   return plan;
 }
 // The same, with members that forget again and again, and words of their lives before.
-Plan forgetful() {
-  Plan plan = by_chance();
-  plan.by_chance = 150 * ms;
+Plan plan_with_forgetful_members() {
+  Plan plan = plan_with_random_holders();
+  plan.random_holding = 150 * ms;
   plan.voters = 3;
   plan.members = 4;
-  plan.quick = true;
+  plan.quick_restart = true;
   plan.crashes = 6;
-  plan.late = 0.15;
+  plan.delayed = 0.15;
   plan.pauses = 0;
   plan.cuts = 1;
   return plan;
 }
 // Voters, or all, are lost at once, now and then.
-Plan losing() {
+Plan plan_with_lost_voters() {
   Plan plan = kind_of(2);
   plan.spare_majority = false;
   plan.losses = 0.2;
@@ -334,47 +335,50 @@
 
 } // namespace
 
-int main(int count, char** words) {
-  const auto said = [&](const char* word) {
-    return std::any_of(words + 1, words + count,
+int main(int count, char** arguments) {
+  const auto has_argument = [&](const char* word) {
+    return std::any_of(arguments + 1, arguments + count,
                        [&](const char* one) { return std::string_view(one) == word; });
   };
   if (count > 1) {
     // The sharpest first, so that a fault is found soon.
-    const std::uint64_t seeds = std::strtoull(words[1], nullptr, 10);
-    const bool stop = said("stop");
+    const std::uint64_t seeds = std::strtoull(arguments[1], nullptr, 10);
+    const bool stop = has_argument("stop");
     int wrong = 0;
-    const auto play = [&](const char* what, const std::function<Sum()>& sum) {
+    const auto play = [&](const char* what, const std::function<Totals()>& sum) {
       if (stop && wrong > 0) return;
-      const Sum s = sum();
+      const Totals s = sum();
       print(what, s);
       wrong += s.all.wrong;
     };
-    play("members that forget, holders by chance", [&] { return many(forgetful(), 104, 1, seeds, stop); });
-    if (said("forgetful")) return wrong == 0 ? 0 : 1;
-    play("troubled", [&] { return troubled(seeds, stop); });
-    play("holders by chance", [&] { return many(by_chance(), 102, 1, seeds / 2, stop); });
-    play("clocks beyond the bound", [&] { return many(clockless(), 100, 1, seeds / 5, stop); });
-    play("voters lost at once", [&] { return many(losing(), 101, 1, seeds, stop); });
+    play("members that forget, holders by chance",
+         [&] { return run_plan(plan_with_forgetful_members(), 104, 1, seeds, stop); });
+    if (has_argument("forgetful")) return wrong == 0 ? 0 : 1;
+    play("troubled", [&] { return run_plan_kinds(seeds, stop); });
+    play("holders by chance", [&] { return run_plan(plan_with_random_holders(), 102, 1, seeds / 2, stop); });
+    play("clocks beyond the bound",
+         [&] { return run_plan(plan_with_wrong_clocks(), 100, 1, seeds / 5, stop); });
+    play("voters lost at once", [&] { return run_plan(plan_with_lost_voters(), 101, 1, seeds, stop); });
     return wrong == 0 ? 0 : 1;
   }
   small_cases();
   std::printf("# fleets\n");
-  const Sum all = troubled(80, false);
+  const Totals all = run_plan_kinds(80, false);
   print("troubled", all);
-  const Sum off = many(clockless(), 100, 1, 10, false);
+  const Totals off = run_plan(plan_with_wrong_clocks(), 100, 1, 10, false);
   print("clocks ten times beyond the bound: two write at once", off);
-  const Sum lost = many(losing(), 101, 1, 10, false);
+  const Totals lost = run_plan(plan_with_lost_voters(), 101, 1, 10, false);
   print("voters lost at once", lost);
-  const Sum free = many(by_chance(), 102, 1, 20, false);
+  const Totals free = run_plan(plan_with_random_holders(), 102, 1, 20, false);
   print("holders by chance, many at once", free);
-  const Sum forgot = many(forgetful(), 104, 1, 40, false);
+  const Totals forgot = run_plan(plan_with_forgetful_members(), 104, 1, 40, false);
   print("the same, of members that forget again and again", forgot);
-  const Sum barren = many(forgetful(), 104, 2521, 1, false); // each leaves a roster that is not committed
+  const Totals barren = run_plan(plan_with_forgetful_members(), 104, 2521, 1,
+                                 false); // each leaves a roster that is not committed
   print("many terms in a row that commit nothing", barren);
   Plan twice = kind_of(0);
-  twice.same_incarnation = true;
-  const Sum same = many(twice, 103, 1, 20, true);
+  twice.reuse_incarnation = true;
+  const Totals same = run_plan(twice, 103, 1, 20, true);
   std::printf("lives that can't be told apart: %s\n",
               same.all.wrong > 0 ? "the referee sees it" : "NOT SEEN");
   const int wrong = all.all.wrong + off.all.wrong + lost.all.wrong + free.all.wrong + forgot.all.wrong +
--- a/tests/fleet_of_replicas.hpp
+++ b/tests/fleet_of_replicas.hpp
@@ -23,17 +23,17 @@
   unsigned members = 7, voters = 3, regions = 3;
   Nanos term = second;
   double drift = 0.01;
-  double clocks_off = 1;                           // part of it that clocks use; over 1 they break it
-  double lost = 0.05, doubled = 0.05, late = 0.02; // parts of the messages; late: by up to three terms
+  double clock_error_factor = 1;                         // part of it that clocks use; over 1 they break it
+  double lost = 0.05, duplicated = 0.05, delayed = 0.02; // parts of the messages; late: by up to three terms
   double crashes = 0.5, writer_crashes = 0.1, pauses = 0.3, cuts = 0.3; // a second, of the whole fleet
-  double losses = 0;             // a second: all voters, or most of them, at once
-  bool spare_majority = true;    // no crash that leaves less than a majority of the voters not blank
-  bool same_incarnation = false; // a member that starts anew is taken for the one before: not to be
+  double losses = 0;              // a second: all voters, or most of them, at once
+  bool spare_majority = true;     // no crash that leaves less than a majority of the voters not blank
+  bool reuse_incarnation = false; // a member that starts anew is taken for the one before: not to be
   // Once so long on average any member is told that it holds, until long after, and nobody that it does not
   // any more: many write at once. 0: the leases tell.
-  Nanos by_chance = 0;
-  bool quick = false; // who stops is back at once
-  double puts = 20;   // a second
+  Nanos random_holding = 0;
+  bool quick_restart = false; // who stops is back at once
+  double puts = 20;           // a second
   Nanos quiet_after = 10 * second, length = 22 * second;
 };
 
@@ -41,31 +41,35 @@
   std::uint64_t commits = 0, puts = 0, done = 0, refused = 0, unknown = 0, terms = 0, losses = 0,
                 transfers = 0, starts = 0;
   int wrong = 0;
-  bool spared = true; // a majority of the voters was never blank at once
-  std::string first;  // what went wrong first
+  bool majority_kept = true; // a majority of the voters was never blank at once
+  std::string first;         // what went wrong first
 };
 
 class FleetOfReplicas {
   struct Member final : LeaseActions, ReplicaActions {
     FleetOfReplicas& fleet;
     MemberId self;
-    std::uint64_t lives = 0;
+    std::uint64_t start_count = 0;
     std::unique_ptr<Voters> voters;
     std::unique_ptr<Leases> leases;
     std::unique_ptr<Replica> replica;
-    double rate = 1;
-    Nanos shows = 0, paused_until = 0, woken_for = -1;
+    double clock_rate = 1;
+    Nanos clock_offset = 0, paused_until = 0, scheduled_wake = -1;
     bool up = false;
-    std::vector<std::function<void()>> waiting; // what came while it stood still
-    std::vector<Token> refused_tokens;          // for the leases, once the order is over
-    Version told{};                             // what it has as committed, as the referee has heard
+    std::vector<std::function<void()>> deferred; // what came while it stood still
+    std::vector<Token> superseded_by;            // for the leases, once the order is over
+    Version last_committed{};                    // what it has as committed, as the referee has heard
 
     Member(FleetOfReplicas& f, MemberId id) : fleet(f), self(id) {}
     Incarnation incarnation() const {
-      return Incarnation{fleet.plan_.same_incarnation ? self.raw : self.raw * 1000 + lives};
+      return Incarnation{fleet.plan_.reuse_incarnation ? self.raw : self.raw * 1000 + start_count};
+    }
+    Nanos clock() const {
+      return clock_offset + static_cast<Nanos>(static_cast<double>(fleet.now) * clock_rate);
+    }
+    Nanos true_time(Nanos at) const {
+      return static_cast<Nanos>(static_cast<double>(at - clock_offset) / clock_rate) + 1;
     }
-    Nanos clock() const { return shows + static_cast<Nanos>(static_cast<double>(fleet.now) * rate); }
-    Nanos true_time(Nanos at) const { return static_cast<Nanos>(static_cast<double>(at - shows) / rate) + 1; }
     template <class What>
     void to_leases(MemberId to, What what) {
       fleet.send(self, to, [what](Member& m, Nanos at) { what(*m.leases, at); });
@@ -146,10 +150,10 @@
       });
     }
     void answer(MemberId to, Incarnation of, Token token, PutNumber put, PutOutcome end, Version version,
-                std::string_view why) override {
+                std::string_view reason) override {
       to_replica(to, [from = self, me = incarnation(), of, token, put, end, version,
-                      why = std::string(why)](Replica& at, Nanos now) {
-        at.answered(now, from, me, of, token, put, end, version, why);
+                      reason = std::string(reason)](Replica& at, Nanos now) {
+        at.answered(now, from, me, of, token, put, end, version, reason);
       });
     }
     std::string rejection_reason(const Entry& entry) override {
@@ -162,72 +166,72 @@
     }
     void began(Token token, bool after_loss) override { fleet.began(*this, token, after_loss); }
     void stepped_down(Token) override {}
-    void superseded(Token, Token seen) override { refused_tokens.push_back(seen); }
+    void superseded(Token, Token seen) override { superseded_by.push_back(seen); }
   };
 
   using PutId = std::tuple<MemberId, Incarnation, PutNumber>;
-  struct PutKnown {
+  struct PutState {
     std::string key;
     std::optional<Version> expected;
     std::optional<PutOutcome> end;
     Version done{}, written{};
   };
-  struct Link { // of the one order, as committed anywhere
+  struct CommittedVersion { // of the one order, as committed anywhere
     Version before{};
     std::uint64_t digest = 0;
-    std::size_t era = 0;
+    std::size_t history = 0;
   };
 
   Plan plan_;
-  Pcg chance_;
+  Pcg random_;
   Verdict verdict_;
   std::vector<std::unique_ptr<Member>> members_;
   std::set<MemberId> voter_ids_, all_ids_;
   std::set<std::pair<MemberId, MemberId>> cut_;
   std::map<Version, Record> written_;
-  std::map<Version, Link> order_of_;
+  std::map<Version, CommittedVersion> committed_order_;
   Entries reference_;
   Version head_{};
-  std::size_t era_ = 0; // losses that were begun anew after
-  Token era_from_{}, newest_{};
-  std::map<PutId, PutKnown> puts_;
+  std::size_t history_ = 0; // losses that were begun anew after
+  Token history_token_{}, newest_token_{};
+  std::map<PutId, PutState> puts_;
   std::vector<PutId> last_puts_;
   bool formed_ = false; // a majority of the voters has counted once
   using Event = std::pair<std::pair<Nanos, std::uint64_t>, std::function<void()>>;
-  struct Later {
+  struct LaterFirst {
     bool operator()(const Event& a, const Event& b) const { return a.first > b.first; }
   };
-  std::priority_queue<Event, std::vector<Event>, Later> queue_;
+  std::priority_queue<Event, std::vector<Event>, LaterFirst> event_queue_;
   std::uint64_t events_ = 0;
   std::uint64_t granted_ = 100;
 
  public:
   Nanos now = 0;
 
-  explicit FleetOfReplicas(const Plan& plan) : plan_(plan), chance_(plan.seed), reference_(figures()) {
+  explicit FleetOfReplicas(const Plan& plan) : plan_(plan), random_(plan.seed), reference_(settings()) {
     // Voters are in different regions: every so many-th member, as long as there are others.
     for (unsigned m = 1; m <= plan.members; ++m) all_ids_.insert(MemberId{m});
     for (unsigned v = 1; v <= plan.voters; ++v) voter_ids_.insert(MemberId{v});
     for (unsigned m = 1; m <= plan.members; ++m) {
       members_.push_back(std::make_unique<Member>(*this, MemberId{m}));
       Member& one = *members_.back();
-      one.rate =
-          1 + plan.drift * plan.clocks_off * (chance_.unit() < 0.5 ? -1 : 1) * (0.5 + chance_.unit() / 2);
-      one.shows = static_cast<Nanos>(chance_.unit() * 1e15);
-      begin(one);
+      one.clock_rate = 1 + plan.drift * plan.clock_error_factor * (random_.unit() < 0.5 ? -1 : 1) *
+                               (0.5 + random_.unit() / 2);
+      one.clock_offset = static_cast<Nanos>(random_.unit() * 1e15);
+      start(one);
     }
-    trouble(plan.crashes, [this] { crash(any()); });
-    trouble(plan.writer_crashes, [this] {
+    schedule_fault(plan.crashes, [this] { crash(random_member()); });
+    schedule_fault(plan.writer_crashes, [this] {
       for (auto& one : members_)
         if (one->up && one->replica->is_writer(one->clock())) return crash(*one);
     });
-    trouble(plan.losses, [this] { lose_most(); });
-    trouble(plan.pauses, [this] { pause(any(), part(3 * plan_.term)); });
-    trouble(plan.cuts, [this] { cut_some(); });
-    if (plan.by_chance > 0) hold_by_chance();
-    put_on();
+    schedule_fault(plan.losses, [this] { crash_majority(); });
+    schedule_fault(plan.pauses, [this] { pause(random_member(), random_up_to(3 * plan_.term)); });
+    schedule_fault(plan.cuts, [this] { partition_network(); });
+    if (plan.random_holding > 0) schedule_random_holding();
+    schedule_put();
     // Once all is quiet, a put at each member has to be done.
-    at(plan.quiet_after + (plan.length - plan.quiet_after) * 3 / 4, [this] {
+    schedule(plan.quiet_after + (plan.length - plan.quiet_after) * 3 / 4, [this] {
       for (auto& one : members_)
         if (one->up && one->paused_until <= now)
           last_puts_.push_back(put_at(*one, "last/" + name_of(*one), "v", {}));
@@ -235,19 +239,19 @@
   }
 
   Verdict play() {
-    while (!queue_.empty() && queue_.top().first.first <= plan_.length) {
-      const auto what = std::move(const_cast<Event&>(queue_.top()).second);
-      now = queue_.top().first.first;
-      queue_.pop();
+    while (!event_queue_.empty() && event_queue_.top().first.first <= plan_.length) {
+      const auto what = std::move(const_cast<Event&>(event_queue_.top()).second);
+      now = event_queue_.top().first.first;
+      event_queue_.pop();
       what();
-      look();
+      track_majority();
     }
-    close();
+    check_final_state();
     return verdict_;
   }
 
  private:
-  Settings figures() const {
+  Settings settings() const {
     return {{"control.most_entries", 60.0},
             {"control.most_bytes", 3000.0},
             {"control.most_key", 100.0},
@@ -272,26 +276,27 @@
                   static_cast<unsigned long long>(v.number));
     return text;
   }
-  Nanos part(Nanos of) { return static_cast<Nanos>(chance_.unit() * static_cast<double>(of)); }
-  Member& any() { return *members_[chance_.next() % members_.size()]; }
-  void at(Nanos when, std::function<void()> what) {
-    queue_.push({{std::max(when, now), events_++}, std::move(what)});
+  Nanos random_up_to(Nanos limit) { return static_cast<Nanos>(random_.unit() * static_cast<double>(limit)); }
+  Member& random_member() { return *members_[random_.next() % members_.size()]; }
+  void schedule(Nanos when, std::function<void()> what) {
+    event_queue_.push({{std::max(when, now), events_++}, std::move(what)});
   }
   bool faults() const { return now < plan_.quiet_after; }
-  void wrong(const std::string& what) {
+  void report_violation(const std::string& what) {
     ++verdict_.wrong;
     if (verdict_.first.empty()) verdict_.first = std::to_string(now / ms) + " ms: " + what;
   }
-  void trouble(double rate, std::function<void()> what) {
+  void schedule_fault(double rate, std::function<void()> what) {
     if (rate <= 0) return;
-    at(now + static_cast<Nanos>(2 * chance_.unit() / rate * static_cast<double>(second)), [this, rate, what] {
-      if (!faults()) return;
-      what();
-      trouble(rate, what);
-    });
+    schedule(now + static_cast<Nanos>(2 * random_.unit() / rate * static_cast<double>(second)),
+             [this, rate, what] {
+               if (!faults()) return;
+               what();
+               schedule_fault(rate, what);
+             });
   }
   std::size_t majority() const { return plan_.voters / 2 + 1; }
-  std::size_t not_blank() const {
+  std::size_t ready_voters() const {
     return static_cast<std::size_t>(std::count_if(members_.begin(), members_.end(), [&](const auto& one) {
       return voter_ids_.contains(one->self) && one->up && one->replica->ready();
     }));
@@ -299,14 +304,14 @@
 
   // ---- lives
 
-  void begin(Member& one) {
-    ++one.lives;
+  void start(Member& one) {
+    ++one.start_count;
     ++verdict_.starts;
     one.up = true;
-    one.waiting.clear();
-    one.refused_tokens.clear();
+    one.deferred.clear();
+    one.superseded_by.clear();
     one.paused_until = 0;
-    one.told = {};
+    one.last_committed = {};
     const double settle = static_cast<double>(plan_.term) * (1 + plan_.drift) / (1 - plan_.drift);
     one.voters = std::make_unique<Voters>(one.clock(), one.self, VoterList{Epoch{1}, voter_ids_, {}},
                                           static_cast<Nanos>(settle) + 1);
@@ -316,47 +321,49 @@
                           {"leases.first_token", static_cast<double>(now / ms)},
                           {"leases.most", 16.0}};
     one.leases = std::make_unique<Leases>(one.clock(), one.self, one.incarnation(), *one.voters, leases,
-                                          plan_.seed * 1000 + one.self.raw * 50 + one.lives, one);
+                                          plan_.seed * 1000 + one.self.raw * 50 + one.start_count, one);
     one.replica = std::make_unique<Replica>(one.clock(), one.self, one.incarnation(), all_ids_, voter_ids_,
-                                            figures(), one);
-    one.woken_for = -1;
-    if (plan_.by_chance == 0) one.leases->acquire(one.clock(), control_lease);
-    wake(one);
+                                            settings(), one);
+    one.scheduled_wake = -1;
+    if (plan_.random_holding == 0) one.leases->acquire(one.clock(), control_lease);
+    schedule_wake(one);
   }
-  void hold(Member& one, std::uint64_t back) {
+  void hold_lease(Member& one, std::uint64_t back) {
     granted_ += 3;
     one.replica->lease_held(one.clock(), Token{(granted_ - back) << 16 | one.self.raw},
                             one.clock() + 20 * second);
-    wake(one);
+    schedule_wake(one);
   }
-  void hold_by_chance() {
-    at(now + part(2 * plan_.by_chance), [this] {
+  void schedule_random_holding() {
+    schedule(now + random_up_to(2 * plan_.random_holding), [this] {
       // In the end one that stays, once all are back; before, at times a token that others have gone beyond.
-      if (!faults()) return at(plan_.quiet_after + 4 * plan_.term, [this] { hold(*members_.front(), 0); });
-      Member& one = any();
-      in(one, [this, &one] { hold(one, chance_.unit() < 0.1 ? 3 * (chance_.next() % 3) : 0); });
-      hold_by_chance();
+      if (!faults())
+        return schedule(plan_.quiet_after + 4 * plan_.term, [this] { hold_lease(*members_.front(), 0); });
+      Member& one = random_member();
+      run_or_defer(one,
+                   [this, &one] { hold_lease(one, random_.unit() < 0.1 ? 3 * (random_.next() % 3) : 0); });
+      schedule_random_holding();
     });
   }
-  void crash(Member& one, bool spared = true) {
+  void crash(Member& one, bool keep_majority = true) {
     if (!one.up) return;
-    if (spared && plan_.spare_majority && voter_ids_.contains(one.self) &&
-        not_blank() - (one.replica->ready() ? 1 : 0) < majority())
+    if (keep_majority && plan_.spare_majority && voter_ids_.contains(one.self) &&
+        ready_voters() - (one.replica->ready() ? 1 : 0) < majority())
       return;
     one.up = false;
     one.replica.reset();
     one.leases.reset();
-    const bool soon = plan_.quick || chance_.unit() < 0.5;
-    at(now + part(plan_.quick ? 20 * ms
-                  : soon      ? plan_.term / 4
-                              : 3 * plan_.term),
-       [this, &one] {
-         if (!one.up) begin(one);
-       });
+    const bool soon = plan_.quick_restart || random_.unit() < 0.5;
+    schedule(now + random_up_to(plan_.quick_restart ? 20 * ms
+                                : soon              ? plan_.term / 4
+                                                    : 3 * plan_.term),
+             [this, &one] {
+               if (!one.up) start(one);
+             });
   }
-  void lose_most() {
+  void crash_majority() {
     ++verdict_.losses;
-    const bool all = chance_.unit() < 0.3;
+    const bool all = random_.unit() < 0.3;
     std::size_t left = all ? plan_.members : majority();
     for (auto& one : members_)
       if (left > 0 && (all || voter_ids_.contains(one->self))) crash(*one, false), --left;
@@ -364,21 +371,21 @@
   void pause(Member& one, Nanos length) {
     if (!one.up || one.paused_until > now) return;
     one.paused_until = now + length;
-    at(one.paused_until, [&one, life = one.lives] {
-      if (!one.up || one.lives != life) return;
-      const auto came = std::move(one.waiting);
-      one.waiting.clear();
+    schedule(one.paused_until, [&one, start_count = one.start_count] {
+      if (!one.up || one.start_count != start_count) return;
+      const auto came = std::move(one.deferred);
+      one.deferred.clear();
       for (const auto& what : came) what();
     });
   }
   // A part hears nothing, or isn't heard, or both: any half, or a region.
-  void cut_some() {
-    const double way = chance_.unit();
-    const bool region = chance_.unit() < 0.5;
-    const unsigned which = chance_.next() % plan_.regions;
+  void partition_network() {
+    const double way = random_.unit();
+    const bool region = random_.unit() < 0.5;
+    const unsigned which = random_.next() % plan_.regions;
     std::set<MemberId> side;
     for (auto& one : members_)
-      if (region ? one->self.raw % plan_.regions == which : chance_.unit() < 0.5) side.insert(one->self);
+      if (region ? one->self.raw % plan_.regions == which : random_.unit() < 0.5) side.insert(one->self);
     std::set<std::pair<MemberId, MemberId>> mine;
     for (auto& a : members_)
       for (auto& b : members_) {
@@ -387,7 +394,7 @@
         if ((out && way < 0.7) || (in && way > 0.3)) mine.emplace(a->self, b->self);
       }
     cut_.insert(mine.begin(), mine.end());
-    at(now + part(4 * plan_.term), [this, mine] {
+    schedule(now + random_up_to(4 * plan_.term), [this, mine] {
       for (const auto& one : mine) cut_.erase(one);
     });
   }
@@ -396,72 +403,72 @@
 
   void send(MemberId from, MemberId to, std::function<void(Member&, Nanos)> what) {
     const bool troubled = faults();
-    const int copies = troubled && chance_.unit() < plan_.doubled ? 2 : 1;
+    const int copies = troubled && random_.unit() < plan_.duplicated ? 2 : 1;
     for (int c = 0; c < copies; ++c) {
-      if (troubled && chance_.unit() < plan_.lost) continue;
+      if (troubled && random_.unit() < plan_.lost) continue;
       const bool near = from.raw % plan_.regions == to.raw % plan_.regions;
-      Nanos takes = ms + part(near ? 2 * ms : 30 * ms);
-      if (troubled && chance_.unit() < plan_.late) takes = part(3 * plan_.term);
-      at(now + takes, [this, from, to, what] {
+      Nanos takes = ms + random_up_to(near ? 2 * ms : 30 * ms);
+      if (troubled && random_.unit() < plan_.delayed) takes = random_up_to(3 * plan_.term);
+      schedule(now + takes, [this, from, to, what] {
         if (cut_.contains({from, to})) return;
         Member& one = *members_[to.raw - 1];
-        in(one, [this, &one, what] {
+        run_or_defer(one, [this, &one, what] {
           what(one, one.clock());
-          wake(one);
+          schedule_wake(one);
         });
       });
     }
   }
-  void in(Member& one, std::function<void()> what) { // now, or when it goes on; in this life only
+  void run_or_defer(Member& one, std::function<void()> what) { // now, or when it goes on; in this life only
     if (!one.up) return;
     if (one.paused_until > now)
-      one.waiting.push_back(std::move(what));
+      one.deferred.push_back(std::move(what));
     else
       what();
   }
-  void wake(Member& one) {
-    while (!one.refused_tokens.empty()) {
-      const Token seen = one.refused_tokens.back();
-      one.refused_tokens.pop_back();
+  void schedule_wake(Member& one) {
+    while (!one.superseded_by.empty()) {
+      const Token seen = one.superseded_by.back();
+      one.superseded_by.pop_back();
       one.leases->refused_by_target(one.clock(), control_lease, seen);
     }
     Nanos next = one.leases->next_wake();
     if (const Nanos other = one.replica->next_wake(); other >= 0 && (next < 0 || other < next)) next = other;
-    if (next < 0 || next == one.woken_for) return;
-    one.woken_for = next;
-    at(one.true_time(next), [this, &one, next, life = one.lives] {
-      if (one.lives != life || one.woken_for != next) return;
-      in(one, [this, &one] {
-        one.woken_for = -1;
+    if (next < 0 || next == one.scheduled_wake) return;
+    one.scheduled_wake = next;
+    schedule(one.true_time(next), [this, &one, next, start_count = one.start_count] {
+      if (one.start_count != start_count || one.scheduled_wake != next) return;
+      run_or_defer(one, [this, &one] {
+        one.scheduled_wake = -1;
         one.leases->due(one.clock());
         one.replica->due(one.clock());
-        wake(one);
+        schedule_wake(one);
       });
     });
   }
 
   // ---- puts
 
-  void put_on() {
-    at(now + part(static_cast<Nanos>(2.0 / plan_.puts * static_cast<double>(second))), [this] {
+  void schedule_put() {
+    schedule(now + random_up_to(static_cast<Nanos>(2.0 / plan_.puts * static_cast<double>(second))), [this] {
       if (!faults()) return;
-      Member& one = any();
+      Member& one = random_member();
       if (one.up && one.paused_until <= now) {
-        const unsigned which = chance_.next() % 40;
+        const unsigned which = random_.next() % 40;
         const std::string key = "s" + std::to_string(which % 4) + "/k" + std::to_string(which);
-        const double kind = chance_.unit();
+        const double kind = random_.unit();
         std::optional<Version> expected;
-        if (chance_.unit() < 0.3) {
+        if (random_.unit() < 0.3) {
           const Entry* held = one.replica->entries().find(key);
           expected = held && !held->deleted ? held->version : Version{};
         }
         if (kind < 0.25)
           put_at(one, key, {}, expected, true);
         else
-          put_at(one, key, kind < 0.28 ? "bad" : std::string(chance_.next() % 100, 'v'), expected);
-        wake(one);
+          put_at(one, key, kind < 0.28 ? "bad" : std::string(random_.next() % 100, 'v'), expected);
+        schedule_wake(one);
       }
-      put_on();
+      schedule_put();
     });
   }
   PutId put_at(Member& one, const std::string& key, std::string value, std::optional<Version> expected,
@@ -473,7 +480,7 @@
       puts_.erase(id);
     else
       ++verdict_.puts;
-    wake(one);
+    schedule_wake(one);
     return id;
   }
 
@@ -481,7 +488,8 @@
 
   void written(const Record& record) {
     const auto [at, fresh] = written_.emplace(record.entry.version, record);
-    if (!fresh && at->second != record) wrong("two entries under " + name_of(record.entry.version));
+    if (!fresh && at->second != record)
+      report_violation("two entries under " + name_of(record.entry.version));
   }
   static std::uint64_t digest_of(const Entries& entries) {
     std::uint64_t sum = 0;
@@ -492,66 +500,73 @@
     ++verdict_.commits;
     written(record);
     const Version version = record.entry.version;
-    if (version <= one.told) wrong("member " + name_of(one) + " goes back to " + name_of(version));
-    auto known = order_of_.find(version);
-    if (known == order_of_.end() || known->second.era != era_) {
+    if (version <= one.last_committed)
+      report_violation("member " + name_of(one) + " goes back to " + name_of(version));
+    auto known = committed_order_.find(version);
+    if (known == committed_order_.end() || known->second.history != history_) {
       // Its first commit anywhere: behind all that was committed before, or behind where a loss has led.
-      if (one.told != head_) {
-        if (era_ == 0 || version.token >= era_from_)
-          wrong("member " + name_of(one) + " commits " + name_of(version) + " behind " + name_of(one.told) +
-                ", the order is at " + name_of(head_));
-        return void(one.told = version);
+      if (one.last_committed != head_) {
+        if (history_ == 0 || version.token >= history_token_)
+          report_violation("member " + name_of(one) + " commits " + name_of(version) + " behind " +
+                           name_of(one.last_committed) + ", the order is at " + name_of(head_));
+        return void(one.last_committed = version);
       }
-      take(record);
+      check_put(record);
       reference_.apply(record.entry);
       head_ = version;
-      known = order_of_.insert_or_assign(version, Link{one.told, digest_of(reference_), era_}).first;
+      known = committed_order_
+                  .insert_or_assign(version,
+                                    CommittedVersion{one.last_committed, digest_of(reference_), history_})
+                  .first;
     }
-    if (known->second.before != one.told)
-      wrong("member " + name_of(one) + " commits " + name_of(version) + " behind " + name_of(one.told) +
-            ", others behind " + name_of(known->second.before));
+    if (known->second.before != one.last_committed)
+      report_violation("member " + name_of(one) + " commits " + name_of(version) + " behind " +
+                       name_of(one.last_committed) + ", others behind " + name_of(known->second.before));
     else if (known->second.digest != digest_of(one.replica->entries()))
-      wrong("member " + name_of(one) + " has another state at " + name_of(version));
-    one.told = version;
+      report_violation("member " + name_of(one) + " has another state at " + name_of(version));
+    one.last_committed = version;
   }
-  void take(const Record& record) {
+  void check_put(const Record& record) {
     if (record.put.raw == 0) return;
     const auto put = puts_.find({record.entry.writer, record.writer_incarnation, record.put});
-    if (put == puts_.end()) return wrong("a put that nobody made");
-    PutKnown& p = put->second;
+    if (put == puts_.end()) return report_violation("a put that nobody made");
+    PutState& p = put->second;
     if (p.written != Version{})
-      wrong("a put twice, " + name_of(p.written) + " and " + name_of(record.entry.version));
+      report_violation("a put twice, " + name_of(p.written) + " and " + name_of(record.entry.version));
     p.written = record.entry.version;
     const Entry* held = reference_.find(record.entry.key);
     if (p.expected && (held && !held->deleted ? held->version != *p.expected : *p.expected != Version{}))
-      wrong("a put over what was changed meanwhile, " + name_of(p.written));
-    if (p.end == PutOutcome::refused) wrong("a put that was refused, " + name_of(record.entry.version));
+      report_violation("a put over what was changed meanwhile, " + name_of(p.written));
+    if (p.end == PutOutcome::refused)
+      report_violation("a put that was refused, " + name_of(record.entry.version));
   }
   void replaced(Member& one) {
     ++verdict_.transfers;
     const Version version = one.replica->committed();
-    if (version < one.told) wrong("member " + name_of(one) + " goes back to " + name_of(version));
-    const auto known = order_of_.find(version);
-    const bool news = known == order_of_.end();
+    if (version < one.last_committed)
+      report_violation("member " + name_of(one) + " goes back to " + name_of(version));
+    const auto known = committed_order_.find(version);
+    const bool unknown_version = known == committed_order_.end();
     // After a loss, of what was before only that it was told once is known.
-    const bool judged = era_ == 0 || version.token >= era_from_;
-    if (version != Version{} && judged && (news || known->second.digest != digest_of(one.replica->entries())))
-      wrong("member " + name_of(one) + " was transferred another state at " + name_of(version));
-    one.told = version;
+    const bool judged = history_ == 0 || version.token >= history_token_;
+    if (version != Version{} && judged &&
+        (unknown_version || known->second.digest != digest_of(one.replica->entries())))
+      report_violation("member " + name_of(one) + " was transferred another state at " + name_of(version));
+    one.last_committed = version;
   }
   void ended(Member& one, PutNumber number, PutOutcome end, Version version) {
     const auto put = puts_.find({one.self, one.incarnation(), number});
-    if (put == puts_.end() || put->second.end) return wrong("an answer to no put");
-    PutKnown& p = put->second;
+    if (put == puts_.end() || put->second.end) return report_violation("an answer to no put");
+    PutState& p = put->second;
     p.end = end;
     p.done = version;
     if (end == PutOutcome::done) {
       ++verdict_.done;
       if (p.written != version)
-        wrong("a put answered as done at " + name_of(version) + " that is not committed there");
+        report_violation("a put answered as done at " + name_of(version) + " that is not committed there");
     } else if (end == PutOutcome::refused) {
       ++verdict_.refused;
-      if (p.written != Version{}) wrong("a put that was committed, refused");
+      if (p.written != Version{}) report_violation("a put that was committed, refused");
     } else {
       ++verdict_.unknown;
     }
@@ -559,46 +574,47 @@
   void began(Member& one, Token token, bool after_loss) {
     ++verdict_.terms;
     // One that begins late, under a token that another has gone beyond, comes to nothing.
-    if (token < newest_) return;
-    newest_ = token;
+    if (token < newest_token_) return;
+    newest_token_ = token;
     if (!after_loss || head_ == Version{}) return;
     // Before a majority has heard that it counts, a loss is not seen as one.
-    if (!formed_) verdict_.spared = false;
-    if (verdict_.spared) return wrong("begun anew though a majority held");
+    if (!formed_) verdict_.majority_kept = false;
+    if (verdict_.majority_kept) return report_violation("begun anew though a majority held");
     // From here on: what this writer has.
-    ++era_;
-    era_from_ = token;
-    reference_ = Entries(figures());
+    ++history_;
+    history_token_ = token;
+    reference_ = Entries(settings());
     one.replica->entries().for_each_since({}, one.replica->committed(), {}, [&](const Entry& entry) {
       reference_.apply(entry);
       return true;
     });
-    head_ = one.told = one.replica->committed();
+    head_ = one.last_committed = one.replica->committed();
     for (auto& [id, put] : puts_)
       if (put.written > head_) put.written = {}; // lost
   }
-  void look() {
-    const std::size_t holding = not_blank();
+  void track_majority() {
+    const std::size_t holding = ready_voters();
     if (holding >= majority()) formed_ = true;
-    if (formed_ && holding < majority()) verdict_.spared = false;
+    if (formed_ && holding < majority()) verdict_.majority_kept = false;
   }
-  void close() {
+  void check_final_state() {
     const Member* first = nullptr;
     for (auto& one : members_) {
       if (!one->up || !one->replica->ready()) {
-        wrong("member " + name_of(*one) + " is blank in the end");
+        report_violation("member " + name_of(*one) + " is blank in the end");
         continue;
       }
       if (!first) first = one.get();
       if (one->replica->committed() != first->replica->committed() ||
           digest_of(one->replica->entries()) != digest_of(first->replica->entries()))
-        wrong("members " + name_of(*one) + " and " + name_of(*first) + " are not level in the end");
-      if (one->replica->entries_without_room() > 0) wrong("no room for what was committed");
-      if (one->replica->status().puts > 0) wrong("puts that never end");
+        report_violation("members " + name_of(*one) + " and " + name_of(*first) +
+                         " are not level in the end");
+      if (one->replica->entries_without_room() > 0) report_violation("no room for what was committed");
+      if (one->replica->status().puts > 0) report_violation("puts that never end");
     }
     for (const PutId& id : last_puts_)
       if (const auto put = puts_.find(id); put == puts_.end() || put->second.end != PutOutcome::done)
-        wrong("a put in quiet times is not done");
-    if (first && first->replica->committed() != head_) wrong("the order's end is not held");
+        report_violation("a put in quiet times is not done");
+    if (first && first->replica->committed() != head_) report_violation("the order's end is not held");
   }
 };
