--- a/tests/control_entries.cpp
+++ b/tests/control_entries.cpp
@@ -1,4 +1,5 @@
-// Entries of configuration: what is taken and what is not, deletions and the floor, deltas by scope, digests.
+// Tests the store of configuration entries: which entries are applied and which are rejected, tombstones and
+// the floor, deltas by scope, and digests.
 #include "entries.hpp"
 
 #include <cstdio>
--- a/tests/control_feed.cpp
+++ b/tests/control_feed.cpp
@@ -1,6 +1,7 @@
-// The hand-out: what a control member and a server say, step by step; then fleets from seeds, with a referee
-// (fleet_of_followers.hpp); then what a change costs. With arguments: so many seeds only, to the first that
-// goes wrong ("stop"), and what went wrong.
+// Tests the distribution of entries from control members to servers. First the messages of a feed and of a
+// follower, step by step; then simulated fleets with a checker (fleet_of_followers.hpp), which guards against
+// servers that apply an older, incomplete or wrong state; then the cost of a change. Usage with arguments:
+// SEEDS [stop] runs only the fleets, with so many seeds, up to the first violation ("stop").
 #include "fleet_of_followers.hpp"
 
 #include <cmath>
@@ -355,8 +356,8 @@
   return plan;
 }
 
-// All control members lost what they had, and began anew from less: the versions that a server has from
-// before are of no order any more, and only digests tell.
+// All control members lose their state and start again from an older one: the versions that a server still
+// has from before are not part of the new history, and only digests show the difference.
 struct DirectPair final : FeedActions, FollowerActions {
   Nanos now = 0;
   Entries state{test_settings()};
@@ -438,7 +439,7 @@
   return {};
 }
 
-// What no feed here says, but a server must not take.
+// Messages that no correct feed sends and that a server has to reject.
 std::string check_rejections() {
   DirectPair s;
   const MemberId from{1};
@@ -551,7 +552,8 @@
   void again(MemberId, Incarnation, AttachmentNumber) override {}
 };
 
-// What is looked at for a change of a scope with so many followers out of all, up to its answers.
+// Entries and followers visited for a change in a scope with `of_scope` followers, including their
+// acknowledgements.
 double visits_per_change(unsigned all, unsigned of_scope) {
   Settings settings = test_settings();
   settings["control.most_followers"] = static_cast<double>(all);
--- a/tests/control_replica.cpp
+++ b/tests/control_replica.cpp
@@ -1,14 +1,16 @@
-// The one order of the control members: what they say to each other in small cases, step by step; then whole
-// fleets from seeds, with a referee (fleet_of_replicas.hpp). With arguments: so many seeds of all kinds only,
-// to the first that goes wrong ("stop"), and what went wrong; "forgetful": of the first kind only.
-// tests/mutants/control has faults that the referee finds, a line each.
+// Tests the replicated log of the control members. First small cases, with every message printed; then
+// simulated fleets with a checker (fleet_of_replicas.hpp), which guards against two orders of writes, lost
+// writes and writes that are applied twice. Usage with arguments: SEEDS [stop] [forgetful] runs only the
+// fleets, with up to SEEDS seeds of each kind, ending at the first violation ("stop"), or only the first kind
+// ("forgetful"). tests/mutants/control has one file for each fault that the checker has to find.
 #include "fleet_of_replicas.hpp"
 
 #include <cstdlib>
 
 namespace {
 
-// ---- small cases: three members that vote and one that doesn't; every word is printed, and carried by hand
+// ---- small cases: three voters and a member that does not vote; every message is printed and delivered by
+// hand
 
 std::string name_of(Version v) {
   return v == Version{} ? "nothing" : std::to_string(v.token.raw) + "." + std::to_string(v.number);
@@ -112,7 +114,7 @@
   };
   std::vector<std::unique_ptr<Node>> nodes_;
   std::deque<Message> messages_;
-  std::set<std::uint32_t> cut_; // hear nothing and aren't heard
+  std::set<std::uint32_t> cut_; // members that neither receive nor send
   bool quiet_ = false;
 
  public:
@@ -142,7 +144,7 @@
   }
   void cut(std::set<std::uint32_t> members) { cut_ = std::move(members); }
   void set_quiet(bool quiet) { quiet_ = quiet; }
-  // Carries what is said, and what is said to that, and lets time pass where nothing is left, up to `rounds`.
+  // Delivers queued messages and the ones that they cause, up to `max_messages`, and runs what is due.
   void deliver(int max_messages = 1000) {
     for (int count = 0; count < max_messages; ++count) {
       for (auto& node : nodes_)
@@ -194,7 +196,7 @@
   say("the writer dies between an ack and its commit: the next one finds the write and commits it");
   put(d, 1, "s/a", "3");
   d.cut({3, 4});
-  d.deliver(1); // to 2, and no further: its ack finds nobody
+  d.deliver(1); // to 2 only; its acknowledgement is lost
   d.cut({1});
   d.start(1);
   d[2].lease_held(d.now, Token{20}, 120 * second);
@@ -297,7 +299,7 @@
   }
   return all;
 }
-// Clocks far beyond the bound, so that two write at once: tokens and majorities hold without time.
+// Clocks far beyond the drift bound, so that two members write at once: safety must not depend on clocks.
 Plan plan_with_wrong_clocks() {
   Plan plan = kind_of(1);
   plan.drift = 0.05;
@@ -305,14 +307,15 @@
   plan.pauses = 2;
   return plan;
 }
-// No lease at all: any member is told that it holds, and writes on beside others.
+// No leases: random members are told that they hold the lease, and write concurrently.
 Plan plan_with_random_holders() {
   Plan plan = kind_of(0);
   plan.random_holding = 400 * ms;
   plan.delayed = 0.05;
   return plan;
 }
-// The same, with members that forget again and again, and words of their lives before.
+// As above, with members that restart without their state again and again, and late messages of earlier
+// incarnations.
 Plan plan_with_forgetful_members() {
   Plan plan = plan_with_random_holders();
   plan.random_holding = 150 * ms;
@@ -325,7 +328,7 @@
   plan.cuts = 1;
   return plan;
 }
-// Voters, or all, are lost at once, now and then.
+// Most voters, or all members, lose their state at once from time to time.
 Plan plan_with_lost_voters() {
   Plan plan = kind_of(2);
   plan.spare_majority = false;
@@ -341,7 +344,7 @@
                        [&](const char* one) { return std::string_view(one) == word; });
   };
   if (count > 1) {
-    // The sharpest first, so that a fault is found soon.
+    // The kinds that find most faults run first.
     const std::uint64_t seeds = std::strtoull(arguments[1], nullptr, 10);
     const bool stop = has_argument("stop");
     int wrong = 0;
@@ -374,7 +377,7 @@
   const Totals forgot = run_plan(plan_with_forgetful_members(), 104, 1, 40, false);
   print("the same, of members that forget again and again", forgot);
   const Totals barren = run_plan(plan_with_forgetful_members(), 104, 2521, 1,
-                                 false); // each leaves a roster that is not committed
+                                 false); // each term leaves an uncommitted roster
   print("many terms in a row that commit nothing", barren);
   Plan twice = kind_of(0);
   twice.reuse_incarnation = true;
--- a/tests/fleet_of_followers.hpp
+++ b/tests/fleet_of_followers.hpp
@@ -1,8 +1,9 @@
-// Control members at different versions and the servers that follow them in one process, from one seed.
-// Between two of them a connection keeps its order and of a matter only the newest word waits; connections
-// break, and words of before are then lost, or come late, or twice. Both sides restart; control members stand
-// still, fall mute, lag, go blank and are brought up, at times to an older version than before. The referee
-// knows every write, what each server was given in its life, and every word's size.
+// Simulates control members at different versions and the servers that follow them in one process,
+// deterministically from a seed. A connection delivers in order, and of messages of one topic only the newest
+// waits to be sent. Connections break; messages sent before are then lost, delayed or duplicated. Both sides
+// restart; control members pause, stop sending, lag, become inactive and are activated again, sometimes at an
+// older version than before. The checker knows every write, everything that each server has received since
+// its start, and the size of every message.
 #pragma once
 
 #include "feed.hpp"
@@ -20,30 +21,30 @@
 
 struct Plan {
   std::uint64_t seed = 1;
-  unsigned controls = 5, servers = 30, zones = 4, scopes = 10, keys = 6; // keys: of a scope
-  double commits = 8, bursts = 0.1;                                      // a second; a burst is of 100
-  double deleted = 0.2, bad = 0.05;                                      // parts of the commits
-  double link_breaks = 10, cuts = 0.3; // a second: of connections; of control members from all servers
+  unsigned controls = 5, servers = 30, zones = 4, scopes = 10, keys = 6; // keys: per scope
+  double commits = 8, bursts = 0.1;                                      // per second; a burst has 100
+  double deleted = 0.2, bad = 0.05;                                      // fractions of the commits
+  double link_breaks = 10, cuts = 0.3; // per second: of connections; of control members from all servers
   double control_restarts = 0.5, deactivations = 0.2, pauses = 0.3,
-         muted_periods = 0.1;                      // a second, of control members
-  double server_restarts = 1, scope_changes = 0.3; // a second, of servers
-  double zone_restarts = 0.05;                     // a second: all servers of one start anew at once
-  double lag = 0.2;                                // part of the commits that are late at a control member
+         muted_periods = 0.1;                      // per second, of control members
+  double server_restarts = 1, scope_changes = 0.3; // per second, of servers
+  double zone_restarts = 0.05;                     // per second: all servers of a zone restart at once
+  double lag = 0.2;                                // fraction of the commits that reach a control member late
   Nanos delay = 60 * ms, length = 24 * second, quiet_after = 10 * second;
-  Nanos faults_last = 4 * second;     // the longest that one takes
-  Nanos converge_within = 6 * second; // after the last of them
+  Nanos faults_last = 4 * second;     // the longest duration of a fault
+  Nanos converge_within = 6 * second; // after the last fault
   std::size_t most_whole = 3;
   bool small_parts = true;
 };
 
 struct Verdict {
-  std::string first; // what went wrong first
+  std::string first; // the first violation
   std::uint64_t commits = 0, taken = 0, states_checked = 0, server_starts = 0;
   Feed::Counts feed;
   Follower::Counts follower;
-  Nanos converged_after = -1; // all servers, after the last fault
-  std::vector<Nanos>
-      gaps; // from each commit to each server that follows its scope, where there are no faults
+  Nanos converged_after = -1; // time from the last fault until all servers are up to date
+  // Delays from each commit to each server that follows its scope, in runs without faults.
+  std::vector<Nanos> gaps;
   std::size_t most_renewals = 0;
 };
 
@@ -54,14 +55,14 @@
   struct LaterFirst {
     bool operator()(const Event& a, const Event& b) const { return a.first > b.first; }
   };
-  struct Link { // one way
+  struct Link { // in one direction
     bool up = true;
     int epoch = 0;
-    std::map<int, std::function<void()>> waiting; // by matter, the newest
+    std::map<int, std::function<void()>> waiting; // the newest message by topic
     bool flush_scheduled = false;
-    Nanos last = 0; // what was sent arrives by then
+    Nanos last = 0; // the arrival time of the last message
   };
-  struct Bucket { // the referee's
+  struct Bucket { // the checker's copy of a token bucket
     double tokens = -1;
     Nanos at = 0;
   };
@@ -72,13 +73,13 @@
     std::string region, zone;
     std::unique_ptr<Entries> state;
     std::unique_ptr<Feed> feed;
-    std::size_t arrived = 0, position = 0; // of the log
+    std::size_t arrived = 0, position = 0; // in the log: received; applied
     Nanos last_arrival = 0, paused_until = 0, scheduled_wake = -1;
     bool muted = false;
     std::uint64_t start_count = 0;
     std::map<MemberId, Bucket> credit;
     std::set<MemberId> renewing;
-    std::vector<std::function<void()>> deferred; // while it stands still
+    std::vector<std::function<void()>> deferred; // events that arrived during a pause
 
     Control(FleetOfFollowers& f, MemberId i) : fleet(f), id(i) {}
     void send(MemberId to, int topic, std::function<void(Follower&)> what) {
@@ -137,8 +138,8 @@
     std::uint64_t start_count = 0;
     Nanos scheduled_wake = -1;
     Version last{};
-    std::map<std::string, Version, std::less<>>
-        known_versions; // of each key, and what it has to have in force
+    // By key: the newest version received, and the value that has to be in force.
+    std::map<std::string, Version, std::less<>> known_versions;
     std::map<std::string, std::string, std::less<>> expected_values;
 
     Server(FleetOfFollowers& f, MemberId i) : fleet(f), id(i) {}
@@ -183,8 +184,9 @@
   std::map<std::pair<MemberId, MemberId>, Link> links_;
   std::vector<Entry> log_;
   std::vector<Nanos> log_times_;
-  std::map<Version, std::size_t> log_index_; // in the log, from 1
-  std::map<std::string, std::map<std::string, std::vector<std::size_t>>> history_by_key_; // scope, key
+  std::map<Version, std::size_t> log_index_; // positions in the log, from 1
+  std::map<std::string, std::map<std::string, std::vector<std::size_t>>>
+      history_by_key_; // positions by scope and key
   Version version_{Token{1}, 0};
   std::priority_queue<Event, std::vector<Event>, LaterFirst> event_queue_;
   std::uint64_t order_ = 0;
@@ -265,7 +267,7 @@
       verdict_.first = std::to_string(now / ms) + " ms: " + std::to_string(member.raw) + " " + what;
   }
   template <class Counts>
-  static void add(Counts& sum, const Counts& more) { // of counts only
+  static void add(Counts& sum, const Counts& more) { // adds up structs that consist of counters only
     constexpr std::size_t count = sizeof(Counts) / sizeof(std::uint64_t);
     auto* const to = reinterpret_cast<std::uint64_t*>(&sum);
     const auto* const from = reinterpret_cast<const std::uint64_t*>(&more);
@@ -294,10 +296,10 @@
             {"control.most_bytes", 1e5},  {"control.most_deleted", 6.0}};
   }
 
-  // ---- writes, and how they come to the control members
+  // ---- writes, and their arrival at the control members
 
   void commit() {
-    // Now and then another writer, whose count begins anew.
+    // From time to time another member becomes the writer, and the numbers start again under a new token.
     if (random_.unit() < 0.03) version_ = {Token{version_.token.raw + 1 + random_.next() % 3}, 0};
     ++version_.number;
     const std::string scope = "s" + std::to_string(random_.next() % plan_.scopes);
@@ -354,7 +356,7 @@
                if (c.start_count == start_count) load_state(c);
              });
   }
-  // To what it has heard of, or an older state, which has only what stands.
+  // Loads the newest state that has arrived, or an older one, without tombstones.
   void load_state(Control& c) {
     if (!c.feed->is_inactive()) return;
     c.state->clear();
@@ -433,7 +435,7 @@
       run_or_defer(c, [this, &c] { after_turn(c); });
     });
   }
-  // Over any span no more than the burst and the rate.
+  // Checks that no more than the burst and the rate is sent over any period.
   void check_credit(Control& c, MemberId to, std::size_t bytes) {
     const double rate = 5000, burst = plan_.small_parts ? 5000 : 24000;
     Bucket& bucket = c.credit[to];
@@ -523,20 +525,21 @@
     for (auto& [topic, what] : std::exchange(link.waiting, {}))
       schedule(link.last, [this, &link, epoch = link.epoch, what = std::move(what)] {
         if (link.epoch == epoch) return what();
-        // It went by a connection that broke.
+        // Sent over a connection that has broken since: lost, delayed or duplicated.
         for (int copies = random_.unit() < 0.5 ? 0 : random_.unit() < 0.6 ? 1 : 2; copies > 0; --copies)
           schedule(now + random_up_to(3 * second), what);
       });
   }
 
-  // ---- the referee
+  // ---- the checker
 
   static std::size_t newest(const std::vector<std::size_t>& places, std::size_t upto) { // 0: none
     const auto behind = std::upper_bound(places.begin(), places.end(), upto);
     return behind == places.begin() ? 0 : *std::prev(behind);
   }
 
-  // What the server has to have in force in that state: of a key whose newest it refuses, what it had.
+  // Advances the expected values to a state. For a key whose newest entry the server refuses, the previous
+  // value stays in force.
   void advance_expected(Server& s, std::size_t place) {
     for (const std::string& scope : s.scopes)
       for (const auto& [key, places] : history_by_key_[scope]) {
@@ -571,7 +574,8 @@
       return report_violation(s.id, "takes another state than the true one of its version");
     check_state(s);
   }
-  // What it has in force is the true state of its version, also where that went on without a change.
+  // Checks that the values in force are the true state of the server's version, also if the version has
+  // advanced without a change.
   void check_state(Server& s) {
     ++verdict_.states_checked;
     const Version version = s.follower->version();
@@ -585,7 +589,7 @@
     if (has != s.expected_values)
       report_violation(s.id, "has another state than the true one of its version");
   }
-  // Level: the newest state, known to be so.
+  // Waits until all servers have the newest state and know that it is the newest.
   void await_convergence() {
     for (auto& one : servers_) {
       const Nanos age = one->follower->age(now);
--- a/tests/fleet_of_replicas.hpp
+++ b/tests/fleet_of_replicas.hpp
@@ -1,7 +1,8 @@
-// Control members in one process, from one seed: each with its real leases and its part in the one order; a
-// network that loses, delays, doubles, reorders and cuts, by pairs, halves and regions; members that stop and
-// start having forgotten all, or stand still. Puts come at any of them. The referee hears of every record
-// that is written, every commit at any member, and every answer.
+// Simulates a fleet of control members in one process, deterministically from a seed. Each member has its
+// real leases and its real replica. The network loses, delays, duplicates and reorders messages and is
+// partitioned by pairs, halves and regions; members crash and restart without their state, or pause. Puts are
+// made at any member. The checker sees every record that is written, every commit at any member, and the
+// outcome of every put.
 #pragma once
 
 #include "replica.hpp"
@@ -23,17 +24,19 @@
   unsigned members = 7, voters = 3, regions = 3;
   Nanos term = second;
   double drift = 0.01;
-  double clock_error_factor = 1;                         // part of it that clocks use; over 1 they break it
-  double lost = 0.05, duplicated = 0.05, delayed = 0.02; // parts of the messages; late: by up to three terms
-  double crashes = 0.5, writer_crashes = 0.1, pauses = 0.3, cuts = 0.3; // a second, of the whole fleet
-  double losses = 0;              // a second: all voters, or most of them, at once
-  bool spare_majority = true;     // no crash that leaves less than a majority of the voters not blank
-  bool reuse_incarnation = false; // a member that starts anew is taken for the one before: not to be
-  // Once so long on average any member is told that it holds, until long after, and nobody that it does not
-  // any more: many write at once. 0: the leases tell.
+  double clock_error_factor = 1; // the part of `drift` that clocks use; above 1 they exceed the bound
+  // Fractions of messages; delays are up to three terms.
+  double lost = 0.05, duplicated = 0.05, delayed = 0.02;
+  double crashes = 0.5, writer_crashes = 0.1, pauses = 0.3, cuts = 0.3; // per second, in the whole fleet
+  double losses = 0;          // per second: all voters, or most of them, at once
+  bool spare_majority = true; // skip crashes that would leave less than a majority of the voters ready
+  // A restarted member keeps its incarnation, which the protocol does not allow.
+  bool reuse_incarnation = false;
+  // If not 0, leases are not used: at this interval on average, a random member is told that it holds the
+  // lease for a long time, and no holder is told that it has lost it, so that several members write at once.
   Nanos random_holding = 0;
-  bool quick_restart = false; // who stops is back at once
-  double puts = 20;           // a second
+  bool quick_restart = false; // crashed members restart almost at once
+  double puts = 20;           // per second
   Nanos quiet_after = 10 * second, length = 22 * second;
 };
 
@@ -41,8 +44,8 @@
   std::uint64_t commits = 0, puts = 0, done = 0, refused = 0, unknown = 0, terms = 0, losses = 0,
                 transfers = 0, starts = 0;
   int wrong = 0;
-  bool majority_kept = true; // a majority of the voters was never blank at once
-  std::string first;         // what went wrong first
+  bool majority_kept = true; // a majority of the voters always had its state
+  std::string first;         // the first violation
 };
 
 class FleetOfReplicas {
@@ -56,9 +59,9 @@
     double clock_rate = 1;
     Nanos clock_offset = 0, paused_until = 0, scheduled_wake = -1;
     bool up = false;
-    std::vector<std::function<void()>> deferred; // what came while it stood still
-    std::vector<Token> superseded_by;            // for the leases, once the order is over
-    Version last_committed{};                    // what it has as committed, as the referee has heard
+    std::vector<std::function<void()>> deferred; // events that arrived while it was paused
+    std::vector<Token> superseded_by;            // to be passed to the leases after the action has returned
+    Version last_committed{};                    // as seen by the checker
 
     Member(FleetOfReplicas& f, MemberId id) : fleet(f), self(id) {}
     Incarnation incarnation() const {
@@ -79,7 +82,7 @@
       fleet.send(self, to, [what](Member& m, Nanos at) { what(*m.replica, at); });
     }
 
-    // ---- of the leases
+    // ---- LeaseActions
     void ask(MemberId voter, Epoch epoch, std::string_view l, AskNo n, Token t, Nanos term) override {
       to_leases(voter, [from = self, of = incarnation(), epoch, l = std::string(l), n, t,
                         term](Leases& at, Nanos now) { at.asked(now, from, of, epoch, l, n, t, term); });
@@ -104,7 +107,7 @@
     }
     void lost(std::string_view, Token token, LossReason) override { replica->lease_lost(clock(), token); }
 
-    // ---- of the replica
+    // ---- ReplicaActions
     void prepare(MemberId to, Token token, std::uint32_t round) override {
       to_replica(to, [from = self, of = incarnation(), token, round](Replica& at, Nanos now) {
         at.prepared(now, from, of, token, round);
@@ -176,7 +179,7 @@
     std::optional<PutOutcome> end;
     Version done{}, written{};
   };
-  struct CommittedVersion { // of the one order, as committed anywhere
+  struct CommittedVersion { // a version in the total order, as first committed at any member
     Version before{};
     std::uint64_t digest = 0;
     std::size_t history = 0;
@@ -192,11 +195,11 @@
   std::map<Version, CommittedVersion> committed_order_;
   Entries reference_;
   Version head_{};
-  std::size_t history_ = 0; // losses that were begun anew after
+  std::size_t history_ = 0; // number of losses after which a new history began
   Token history_token_{}, newest_token_{};
   std::map<PutId, PutState> puts_;
   std::vector<PutId> last_puts_;
-  bool formed_ = false; // a majority of the voters has counted once
+  bool formed_ = false; // a majority of the voters has counted at some time
   using Event = std::pair<std::pair<Nanos, std::uint64_t>, std::function<void()>>;
   struct LaterFirst {
     bool operator()(const Event& a, const Event& b) const { return a.first > b.first; }
@@ -209,7 +212,7 @@
   Nanos now = 0;
 
   explicit FleetOfReplicas(const Plan& plan) : plan_(plan), random_(plan.seed), reference_(settings()) {
-    // Voters are in different regions: every so many-th member, as long as there are others.
+    // Members are assigned to regions in turn, so the voters are in different regions.
     for (unsigned m = 1; m <= plan.members; ++m) all_ids_.insert(MemberId{m});
     for (unsigned v = 1; v <= plan.voters; ++v) voter_ids_.insert(MemberId{v});
     for (unsigned m = 1; m <= plan.members; ++m) {
@@ -230,7 +233,7 @@
     schedule_fault(plan.cuts, [this] { partition_network(); });
     if (plan.random_holding > 0) schedule_random_holding();
     schedule_put();
-    // Once all is quiet, a put at each member has to be done.
+    // After the faults have ended, a put at each member has to succeed.
     schedule(plan.quiet_after + (plan.length - plan.quiet_after) * 3 / 4, [this] {
       for (auto& one : members_)
         if (one->up && one->paused_until <= now)
@@ -302,7 +305,7 @@
     }));
   }
 
-  // ---- lives
+  // ---- starts and crashes
 
   void start(Member& one) {
     ++one.start_count;
@@ -336,7 +339,8 @@
   }
   void schedule_random_holding() {
     schedule(now + random_up_to(2 * plan_.random_holding), [this] {
-      // In the end one that stays, once all are back; before, at times a token that others have gone beyond.
+      // After the faults one holder stays. Before, the token is sometimes older than one that is in use
+      // already.
       if (!faults())
         return schedule(plan_.quiet_after + 4 * plan_.term, [this] { hold_lease(*members_.front(), 0); });
       Member& one = random_member();
@@ -378,7 +382,7 @@
       for (const auto& what : came) what();
     });
   }
-  // A part hears nothing, or isn't heard, or both: any half, or a region.
+  // Partitions a random half or a region from the others, in one direction or in both.
   void partition_network() {
     const double way = random_.unit();
     const bool region = random_.unit() < 0.5;
@@ -399,7 +403,7 @@
     });
   }
 
-  // ---- words
+  // ---- messages
 
   void send(MemberId from, MemberId to, std::function<void(Member&, Nanos)> what) {
     const bool troubled = faults();
@@ -419,7 +423,8 @@
       });
     }
   }
-  void run_or_defer(Member& one, std::function<void()> what) { // now, or when it goes on; in this life only
+  void run_or_defer(Member& one,
+                    std::function<void()> what) { // at once, or when the pause ends; dropped after a restart
     if (!one.up) return;
     if (one.paused_until > now)
       one.deferred.push_back(std::move(what));
@@ -473,7 +478,7 @@
   }
   PutId put_at(Member& one, const std::string& key, std::string value, std::optional<Version> expected,
                bool deleted = false) {
-    // It may end within the call: the referee has to know it before.
+    // The put may end within the call, so the checker has to know it before.
     const PutId id{one.self, one.incarnation(), PutNumber{one.replica->status().total_puts + 1}};
     puts_[id] = {key, expected, std::nullopt, {}, {}};
     if (one.replica->put(one.clock(), key, std::move(value), deleted, expected).raw == 0)
@@ -484,7 +489,7 @@
     return id;
   }
 
-  // ---- the referee
+  // ---- the checker
 
   void written(const Record& record) {
     const auto [at, fresh] = written_.emplace(record.entry.version, record);
@@ -504,7 +509,8 @@
       report_violation("member " + name_of(one) + " goes back to " + name_of(version));
     auto known = committed_order_.find(version);
     if (known == committed_order_.end() || known->second.history != history_) {
-      // Its first commit anywhere: behind all that was committed before, or behind where a loss has led.
+      // The first commit of this version anywhere: it has to follow everything that was committed before, or
+      // the state from which a new history began.
       if (one.last_committed != head_) {
         if (history_ == 0 || version.token >= history_token_)
           report_violation("member " + name_of(one) + " commits " + name_of(version) + " behind " +
@@ -547,7 +553,8 @@
       report_violation("member " + name_of(one) + " goes back to " + name_of(version));
     const auto known = committed_order_.find(version);
     const bool unknown_version = known == committed_order_.end();
-    // After a loss, of what was before only that it was told once is known.
+    // Of versions from before a loss only their first commit is known, not their place in the current
+    // history.
     const bool judged = history_ == 0 || version.token >= history_token_;
     if (version != Version{} && judged &&
         (unknown_version || known->second.digest != digest_of(one.replica->entries())))
@@ -573,14 +580,14 @@
   }
   void began(Member& one, Token token, bool after_loss) {
     ++verdict_.terms;
-    // One that begins late, under a token that another has gone beyond, comes to nothing.
+    // A writer that begins late, under an older token than another one, can commit nothing.
     if (token < newest_token_) return;
     newest_token_ = token;
     if (!after_loss || head_ == Version{}) return;
-    // Before a majority has heard that it counts, a loss is not seen as one.
+    // Before a majority of the voters has learnt that it counts, a loss cannot be recognized.
     if (!formed_) verdict_.majority_kept = false;
     if (verdict_.majority_kept) return report_violation("begun anew though a majority held");
-    // From here on: what this writer has.
+    // The new history starts from this writer's state.
     ++history_;
     history_token_ = token;
     reference_ = Entries(settings());
@@ -590,7 +597,7 @@
     });
     head_ = one.last_committed = one.replica->committed();
     for (auto& [id, put] : puts_)
-      if (put.written > head_) put.written = {}; // lost
+      if (put.written > head_) put.written = {}; // the write is lost
   }
   void track_majority() {
     const std::size_t holding = ready_voters();
