--- a/control/replica.cpp
+++ b/control/replica.cpp
@@ -328,8 +328,8 @@
     incarnations[voter] = at->second.incarnation;
     if (counts_as_voter(effective, voter, at->second.incarnation)) ++effective_voters;
   }
-  const bool enough = effective_voters >= majority_of(voters_.size());
-  if (!enough) {
+  const bool has_majority = effective_voters >= majority_of(voters_.size());
+  if (!has_majority) {
     if (voters_heard < voters_.size()) return;
     // Two rounds with the same incarnations: all voters were running, with their promises, at one moment
     // between the rounds. After one round only, a voter could have answered, restarted, and been brought up
@@ -340,7 +340,7 @@
     }
     if (answers_.size() < members_.size() && now < preparing_since_ + nonvoter_grace_) return;
   }
-  by_all_voters_ = !enough;
+  by_all_voters_ = !has_majority;
   chosen_log_ = log;
   known_committed_ = committed;
   if (chosen_log_.last == last()) return begin_term(now);
@@ -665,11 +665,11 @@
       // What this member has committed is not in the writer's log: it was lost together with a majority of
       // the voters. It is given up only when the writer has committed more; until then the append is not
       // answered.
-      if (append.committed > committed_ && !fetch_.under_way) begin_fetch(now, from, {});
+      if (append.committed > committed_ && !fetch_.in_progress) begin_fetch(now, from, {});
       return;
     }
   } else if (!in_log(append.previous)) {
-    if (append.log_from > committed_ && !fetch_.under_way) begin_fetch(now, from, committed_);
+    if (append.log_from > committed_ && !fetch_.in_progress) begin_fetch(now, from, committed_);
     return answer(committed_, true);
   }
   fetch_ = {};
@@ -701,7 +701,7 @@
 
 void Replica::begin_fetch(Nanos now, MemberId from, Version base) {
   fetch_ = {};
-  fetch_.under_way = true;
+  fetch_.in_progress = true;
   fetch_.from = from;
   fetch_.base = fetch_.cursor = base;
   fetch_.deadline = now + fetch_timeout_;
@@ -762,7 +762,7 @@
 
 void Replica::chunked(Nanos now, MemberId from, Incarnation incarnation, Incarnation to_incarnation,
                       const Chunk& chunk) {
-  if (to_incarnation != incarnation_ || !fetch_.under_way || from != fetch_.from ||
+  if (to_incarnation != incarnation_ || !fetch_.in_progress || from != fetch_.from ||
       chunk.token != promised_ || chunk.base != fetch_.base)
     return;
   if (chunk.unavailable) {
@@ -782,8 +782,8 @@
   fetch_.deadline = now + fetch_timeout_;
   Chunk next = chunk;
   for (;;) {
-    // Skips a chunk from an older state than one already taken: the newer chunk has left out entries that were
-    // overwritten in between, so the two do not fit together.
+    // Skips a chunk from an older state than one already taken: the newer chunk has left out entries that
+    // were overwritten in between, so the two do not fit together.
     if (next.committed >= fetch_.committed) {
       if (!stage_chunk(next)) return begin_fetch(now, from, fetch_.base);
       if (next.last) return apply_fetch(now, next.committed);
@@ -875,7 +875,7 @@
   if (phase_ == Phase::preparing) at(prepare_again_at_);
   if (phase_ == Phase::writing) at(send_at_);
   for (const auto& [member, peer] : peers_) at(peer.next_beat), at(peer.resend_at);
-  if (fetch_.under_way) at(std::min(fetch_.retry_at, fetch_.deadline));
+  if (fetch_.in_progress) at(std::min(fetch_.retry_at, fetch_.deadline));
   for (const auto& [number, put] : puts_) at(std::min(put.retry_at, put.deadline));
   return next;
 }
@@ -888,14 +888,14 @@
       if (!answers_.contains(member)) actions_.prepare(member, token_, round_);
     evaluate_promises(now);
   }
-  if (fetch_.under_way && now >= fetch_.deadline) {
+  if (fetch_.in_progress && now >= fetch_.deadline) {
     fetch_ = {};
     if (phase_ == Phase::fetching) { // the source is gone; another member may have the best log
       phase_ = Phase::preparing;
       previous_round_incarnations_.clear();
       start_round(now);
     }
-  } else if (fetch_.under_way && now >= fetch_.retry_at) {
+  } else if (fetch_.in_progress && now >= fetch_.retry_at) {
     request_chunks(now);
   }
   if (phase_ == Phase::writing) {
@@ -933,7 +933,7 @@
   now.ready = ready();
   now.writing = phase_ == Phase::writing;
   now.establishing = phase_ == Phase::preparing || phase_ == Phase::fetching;
-  now.fetching = fetch_.under_way;
+  now.fetching = fetch_.in_progress;
   if (writer_.last_received_at >= 0) now.writer = writer_.member, now.token = promised_;
   now.last_received_at = writer_.last_received_at;
   now.last = last();
--- a/control/replica.hpp
+++ b/control/replica.hpp
@@ -281,7 +281,7 @@
     Nanos retry_at = 0, deadline = 0;
   };
   struct Fetch {
-    bool under_way = false;
+    bool in_progress = false;
     MemberId from{};
     Incarnation incarnation{};
     bool incarnation_known = false;
--- a/tests/control_feed.cpp
+++ b/tests/control_feed.cpp
@@ -366,29 +366,30 @@
                     {"a", "b"}, test_settings(), 1,          *this};
   std::vector<std::function<void()>> messages;
   AttachmentNumber number{}; // of the last attachment
-  void delta(MemberId, Incarnation of, AttachmentNumber n, Version from, Version upto, Version last,
+  void delta(MemberId, Incarnation incarnation, AttachmentNumber n, Version from, Version upto, Version last,
              Nanos age, const std::vector<const Entry*>& entries) override {
     std::vector<Entry> all;
     for (const Entry* entry : entries) all.push_back(*entry);
-    messages.push_back([=, this] { follower.delta(now, MemberId{1}, of, n, from, upto, last, age, all); });
+    messages.push_back(
+        [=, this] { follower.delta(now, MemberId{1}, incarnation, n, from, upto, last, age, all); });
   }
-  void renewal(MemberId, Incarnation of, AttachmentNumber n, Version at,
+  void renewal(MemberId, Incarnation incarnation, AttachmentNumber n, Version at,
                const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version last,
                const std::vector<const Entry*>& entries) override {
     std::vector<Entry> all;
     for (const Entry* entry : entries) all.push_back(*entry);
     messages.push_back(
-        [=, this] { follower.renewal(now, MemberId{1}, of, n, at, scopes, from, upto, last, all); });
+        [=, this] { follower.renewal(now, MemberId{1}, incarnation, n, at, scopes, from, upto, last, all); });
   }
-  void beat(MemberId, Incarnation of, AttachmentNumber n, Version committed, Nanos age) override {
-    messages.push_back([=, this] { follower.beat(now, MemberId{1}, of, n, committed, age); });
+  void beat(MemberId, Incarnation incarnation, AttachmentNumber n, Version committed, Nanos age) override {
+    messages.push_back([=, this] { follower.beat(now, MemberId{1}, incarnation, n, committed, age); });
   }
   void rest(MemberId, Incarnation, AttachmentNumber, Nanos) override {}
-  void elsewhere(MemberId, Incarnation of, AttachmentNumber n) override {
-    messages.push_back([=, this] { follower.elsewhere(now, MemberId{1}, of, n); });
+  void elsewhere(MemberId, Incarnation incarnation, AttachmentNumber n) override {
+    messages.push_back([=, this] { follower.elsewhere(now, MemberId{1}, incarnation, n); });
   }
-  void again(MemberId, Incarnation of, AttachmentNumber n) override {
-    messages.push_back([=, this] { follower.again(now, MemberId{1}, of, n); });
+  void again(MemberId, Incarnation incarnation, AttachmentNumber n) override {
+    messages.push_back([=, this] { follower.again(now, MemberId{1}, incarnation, n); });
   }
   void follow(MemberId, AttachmentNumber n, bool primary, const Position& at,
               const std::vector<FollowedScope>& scopes) override {
--- a/tests/control_replica.cpp
+++ b/tests/control_replica.cpp
@@ -30,55 +30,67 @@
     }
     void prepare(MemberId to, Token t, std::uint32_t round) override {
       send(to, "prepare " + std::to_string(t.raw) + ", round " + std::to_string(round),
-           [=, from = self, of = incarnation()](Replica& r, Nanos n) { r.prepared(n, from, of, t, round); });
+           [=, from = self, from_incarnation = incarnation()](Replica& r, Nanos n) {
+             r.prepared(n, from, from_incarnation, t, round);
+           });
     }
-    void promise(MemberId to, Incarnation of, Token t, std::uint32_t round, const LogStatus& s) override {
+    void promise(MemberId to, Incarnation to_incarnation, Token t, std::uint32_t round,
+                 const LogStatus& s) override {
       send(to,
            "promise " + std::to_string(t.raw) + ", log to " + name_of(s.last) + ", committed " +
                name_of(s.committed),
-           [=, from = self, me = incarnation()](Replica& r, Nanos n) {
-             r.promised(n, from, me, of, t, round, s);
+           [=, from = self, from_incarnation = incarnation()](Replica& r, Nanos n) {
+             r.promised(n, from, from_incarnation, to_incarnation, t, round, s);
            });
     }
-    void refuse(MemberId to, Incarnation of, Token t, Token seen) override {
-      send(
-          to, "refuse " + std::to_string(t.raw) + ", promised " + std::to_string(seen.raw),
-          [=, from = self, me = incarnation()](Replica& r, Nanos n) { r.refused(n, from, me, of, t, seen); });
+    void refuse(MemberId to, Incarnation to_incarnation, Token t, Token seen) override {
+      send(to, "refuse " + std::to_string(t.raw) + ", promised " + std::to_string(seen.raw),
+           [=, from = self, from_incarnation = incarnation()](Replica& r, Nanos n) {
+             r.refused(n, from, from_incarnation, to_incarnation, t, seen);
+           });
     }
     void append(MemberId to, const Append& a) override {
       std::string text = "append behind " + name_of(a.previous) + ":";
       for (const Record& one : a.records)
         text += " " + name_of(one.entry.version) + " " + one.entry.key + "=" + one.entry.value + ";";
       send(to, text + " committed " + name_of(a.committed),
-           [=, from = self, of = incarnation()](Replica& r, Nanos n) { r.appending(n, from, of, a); });
+           [=, from = self, from_incarnation = incarnation()](Replica& r, Nanos n) {
+             r.appending(n, from, from_incarnation, a);
+           });
     }
-    void appended(MemberId to, Incarnation of, Token t, std::uint64_t mark, Version v, bool gap) override {
+    void appended(MemberId to, Incarnation to_incarnation, Token t, std::uint64_t sequence, Version v,
+                  bool gap) override {
       send(to, (gap ? "gap, go back to " : "have up to ") + name_of(v),
-           [=, from = self, me = incarnation()](Replica& r, Nanos n) {
-             r.appended(n, from, me, of, t, mark, v, gap);
+           [=, from = self, from_incarnation = incarnation()](Replica& r, Nanos n) {
+             r.appended(n, from, from_incarnation, to_incarnation, t, sequence, v, gap);
            });
     }
     void fetch(MemberId to, Token t, Version base, Version cursor, Token since) override {
       send(to, "fetch from " + name_of(cursor) + " on " + name_of(base),
-           [=, from = self, of = incarnation()](Replica& r, Nanos n) {
-             r.fetched(n, from, of, t, base, cursor, since);
+           [=, from = self, from_incarnation = incarnation()](Replica& r, Nanos n) {
+             r.fetched(n, from, from_incarnation, t, base, cursor, since);
            });
     }
-    void chunk(MemberId to, Incarnation of, const Chunk& c) override {
+    void chunk(MemberId to, Incarnation to_incarnation, const Chunk& c) override {
       send(to,
            "chunk " + name_of(c.from) + " to " + name_of(c.to) + ", " + std::to_string(c.records.size()) +
                " records, committed " + name_of(c.committed) + (c.last ? ", last" : ""),
-           [=, from = self, me = incarnation()](Replica& r, Nanos n) { r.chunked(n, from, me, of, c); });
+           [=, from = self, from_incarnation = incarnation()](Replica& r, Nanos n) {
+             r.chunked(n, from, from_incarnation, to_incarnation, c);
+           });
     }
-    void pass(MemberId to, Incarnation of, Token t, const ForwardedPut& p) override {
+    void pass(MemberId to, Incarnation to_incarnation, Token t, const ForwardedPut& p) override {
       send(to, "put " + p.key + "=" + p.value + " passed on",
-           [=, from = self, me = incarnation()](Replica& r, Nanos n) { r.passed(n, from, me, of, t, p); });
+           [=, from = self, from_incarnation = incarnation()](Replica& r, Nanos n) {
+             r.passed(n, from, from_incarnation, to_incarnation, t, p);
+           });
     }
-    void answer(MemberId to, Incarnation of, Token t, PutNumber p, PutOutcome end, Version v,
+    void answer(MemberId to, Incarnation to_incarnation, Token t, PutNumber p, PutOutcome end, Version v,
                 std::string_view reason) override {
       send(to, "put " + std::string(to_text(end)) + " " + name_of(v),
-           [=, from = self, me = incarnation(), reason = std::string(reason)](Replica& r, Nanos n) {
-             r.answered(n, from, me, of, t, p, end, v, reason);
+           [=, from = self, from_incarnation = incarnation(), reason = std::string(reason)](Replica& r,
+                                                                                            Nanos n) {
+             r.answered(n, from, from_incarnation, to_incarnation, t, p, end, v, reason);
            });
     }
     std::string rejection_reason(const Entry& entry) override {
--- a/tests/fleet_of_followers.hpp
+++ b/tests/fleet_of_followers.hpp
@@ -95,37 +95,43 @@
       for (const Entry* entry : entries) bytes += max_encoded_size(*entry);
       fleet.check_credit(*this, to, bytes);
     }
-    void delta(MemberId to, Incarnation of, AttachmentNumber n, Version from, Version upto, Version last,
-               Nanos age, const std::vector<const Entry*>& entries) override {
+    void delta(MemberId to, Incarnation incarnation, AttachmentNumber n, Version from, Version upto,
+               Version last, Nanos age, const std::vector<const Entry*>& entries) override {
       count(to, entries);
-      send(to, 1, [id = id, of, n, from, upto, last, age, all = copied(entries), &f = fleet](Follower& at) {
-        at.delta(f.now, id, of, n, from, upto, last, age, all);
-      });
+      send(to, 1,
+           [id = id, incarnation, n, from, upto, last, age, all = copied(entries), &f = fleet](Follower& at) {
+             at.delta(f.now, id, incarnation, n, from, upto, last, age, all);
+           });
     }
-    void renewal(MemberId to, Incarnation of, AttachmentNumber n, Version at,
+    void renewal(MemberId to, Incarnation incarnation, AttachmentNumber n, Version at,
                  const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version last,
                  const std::vector<const Entry*>& entries) override {
       count(to, entries);
       renewing.insert(to);
       send(to, 1, [=, id = id, all = copied(entries), &f = fleet](Follower& one) {
-        one.renewal(f.now, id, of, n, at, scopes, from, upto, last, all);
+        one.renewal(f.now, id, incarnation, n, at, scopes, from, upto, last, all);
       });
     }
-    void beat(MemberId to, Incarnation of, AttachmentNumber n, Version committed, Nanos age) override {
+    void beat(MemberId to, Incarnation incarnation, AttachmentNumber n, Version committed,
+              Nanos age) override {
       count(to, {});
-      send(to, 2, [id = id, of, n, committed, age, &f = fleet](Follower& at) {
-        at.beat(f.now, id, of, n, committed, age);
+      send(to, 2, [id = id, incarnation, n, committed, age, &f = fleet](Follower& at) {
+        at.beat(f.now, id, incarnation, n, committed, age);
       });
     }
-    void rest(MemberId to, Incarnation of, AttachmentNumber n, Nanos rest) override {
+    void rest(MemberId to, Incarnation incarnation, AttachmentNumber n, Nanos rest) override {
       count(to, {});
-      send(to, 3, [id = id, of, n, rest, &f = fleet](Follower& at) { at.rest(f.now, id, of, n, rest); });
+      send(to, 3, [id = id, incarnation, n, rest, &f = fleet](Follower& at) {
+        at.rest(f.now, id, incarnation, n, rest);
+      });
     }
-    void elsewhere(MemberId to, Incarnation of, AttachmentNumber n) override {
-      send(to, 4, [id = id, of, n, &f = fleet](Follower& at) { at.elsewhere(f.now, id, of, n); });
+    void elsewhere(MemberId to, Incarnation incarnation, AttachmentNumber n) override {
+      send(to, 4,
+           [id = id, incarnation, n, &f = fleet](Follower& at) { at.elsewhere(f.now, id, incarnation, n); });
     }
-    void again(MemberId to, Incarnation of, AttachmentNumber n) override {
-      send(to, 4, [id = id, of, n, &f = fleet](Follower& at) { at.again(f.now, id, of, n); });
+    void again(MemberId to, Incarnation incarnation, AttachmentNumber n) override {
+      send(to, 4,
+           [id = id, incarnation, n, &f = fleet](Follower& at) { at.again(f.now, id, incarnation, n); });
     }
   };
 
@@ -143,26 +149,30 @@
     std::map<std::string, std::string, std::less<>> expected_values;
 
     Server(FleetOfFollowers& f, MemberId i) : fleet(f), id(i) {}
-    Incarnation of() const { return Incarnation{id.raw * 1000 + start_count}; }
+    Incarnation incarnation() const { return Incarnation{id.raw * 1000 + start_count}; }
     void send(MemberId to, int topic, std::function<void(Feed&)> what) {
       fleet.to_control(*this, to, topic, std::move(what));
     }
     void follow(MemberId to, AttachmentNumber n, bool primary, const Position& at,
                 const std::vector<FollowedScope>& held) override {
-      send(to, 1, [id = id, of = of(), n, primary, at, held, &f = fleet](Feed& feed) {
-        feed.follow(f.now, id, of, n, primary, at, held);
+      send(to, 1, [id = id, incarnation = incarnation(), n, primary, at, held, &f = fleet](Feed& feed) {
+        feed.follow(f.now, id, incarnation, n, primary, at, held);
       });
     }
     void unfollow(MemberId to, AttachmentNumber n) override {
-      send(to, 1, [id = id, of = of(), n, &f = fleet](Feed& feed) { feed.unfollow(f.now, id, of, n); });
+      send(to, 1, [id = id, incarnation = incarnation(), n, &f = fleet](Feed& feed) {
+        feed.unfollow(f.now, id, incarnation, n);
+      });
     }
     void have(MemberId to, AttachmentNumber n, const Position& at) override {
-      send(to, 2, [id = id, of = of(), n, at, &f = fleet](Feed& feed) { feed.have(f.now, id, of, n, at); });
+      send(to, 2, [id = id, incarnation = incarnation(), n, at, &f = fleet](Feed& feed) {
+        feed.have(f.now, id, incarnation, n, at);
+      });
     }
     void compare(MemberId to, AttachmentNumber n, Version at,
                  const std::vector<std::uint64_t>& digests) override {
-      send(to, 3, [id = id, of = of(), n, at, digests, &f = fleet](Feed& feed) {
-        feed.compare(f.now, id, of, n, at, digests);
+      send(to, 3, [id = id, incarnation = incarnation(), n, at, digests, &f = fleet](Feed& feed) {
+        feed.compare(f.now, id, incarnation, n, at, digests);
       });
     }
     bool refuses(std::string_view value) const { return id.raw % 2 == 1 && value.starts_with("bad"); }
@@ -466,7 +476,7 @@
     s.expected_values.clear();
     std::vector<Follower::Control> controls;
     for (const auto& c : controls_) controls.push_back({c->id, c->region, c->zone});
-    s.follower = std::make_unique<Follower>(now, s.of(), s.place, controls, s.scopes, settings(),
+    s.follower = std::make_unique<Follower>(now, s.incarnation(), s.place, controls, s.scopes, settings(),
                                             plan_.seed * 1000 + s.id.raw * 7 + s.start_count, s);
     s.scheduled_wake = -1;
     after_turn(s);
--- a/tests/fleet_of_replicas.hpp
+++ b/tests/fleet_of_replicas.hpp
@@ -84,22 +84,23 @@
 
     // ---- LeaseActions
     void ask(MemberId voter, Epoch epoch, std::string_view l, AskNo n, Token t, Nanos term) override {
-      to_leases(voter, [from = self, of = incarnation(), epoch, l = std::string(l), n, t,
-                        term](Leases& at, Nanos now) { at.asked(now, from, of, epoch, l, n, t, term); });
+      to_leases(voter,
+                [from = self, from_incarnation = incarnation(), epoch, l = std::string(l), n, t, term](
+                    Leases& at, Nanos now) { at.asked(now, from, from_incarnation, epoch, l, n, t, term); });
     }
     void release(MemberId voter, std::string_view l, AskNo n) override {
-      to_leases(voter, [from = self, of = incarnation(), l = std::string(l), n](Leases& at, Nanos now) {
-        at.released(now, from, of, l, n);
-      });
+      to_leases(voter, [from = self, from_incarnation = incarnation(), l = std::string(l),
+                        n](Leases& at, Nanos now) { at.released(now, from, from_incarnation, l, n); });
     }
-    void grant(MemberId to, Incarnation of, std::string_view l, AskNo n, bool wanted) override {
-      to_leases(to, [from = self, of, l = std::string(l), n, wanted](Leases& at, Nanos now) {
-        at.granted(now, from, of, l, n, wanted);
+    void grant(MemberId to, Incarnation to_incarnation, std::string_view l, AskNo n, bool wanted) override {
+      to_leases(to, [from = self, to_incarnation, l = std::string(l), n, wanted](Leases& at, Nanos now) {
+        at.granted(now, from, to_incarnation, l, n, wanted);
       });
     }
-    void refuse(MemberId to, Incarnation of, std::string_view l, AskNo n, Token seen, Nanos left) override {
-      to_leases(to, [from = self, of, l = std::string(l), n, seen, left](Leases& at, Nanos now) {
-        at.refused(now, from, of, l, n, seen, left);
+    void refuse(MemberId to, Incarnation to_incarnation, std::string_view l, AskNo n, Token seen,
+                Nanos left) override {
+      to_leases(to, [from = self, to_incarnation, l = std::string(l), n, seen, left](Leases& at, Nanos now) {
+        at.refused(now, from, to_incarnation, l, n, seen, left);
       });
     }
     void held(std::string_view, Token token, Nanos, Nanos until) override {
@@ -109,54 +110,59 @@
 
     // ---- ReplicaActions
     void prepare(MemberId to, Token token, std::uint32_t round) override {
-      to_replica(to, [from = self, of = incarnation(), token, round](Replica& at, Nanos now) {
-        at.prepared(now, from, of, token, round);
+      to_replica(to, [from = self, from_incarnation = incarnation(), token, round](Replica& at, Nanos now) {
+        at.prepared(now, from, from_incarnation, token, round);
       });
     }
-    void promise(MemberId to, Incarnation of, Token token, std::uint32_t round,
-                 const LogStatus& standing) override {
-      to_replica(to, [from = self, me = incarnation(), of, token, round, standing](Replica& at, Nanos now) {
-        at.promised(now, from, me, of, token, round, standing);
+    void promise(MemberId to, Incarnation to_incarnation, Token token, std::uint32_t round,
+                 const LogStatus& status) override {
+      to_replica(to, [from = self, from_incarnation = incarnation(), to_incarnation, token, round,
+                      status](Replica& at, Nanos now) {
+        at.promised(now, from, from_incarnation, to_incarnation, token, round, status);
       });
     }
-    void refuse(MemberId to, Incarnation of, Token token, Token seen) override {
-      to_replica(to, [from = self, me = incarnation(), of, token, seen](Replica& at, Nanos now) {
-        at.refused(now, from, me, of, token, seen);
+    void refuse(MemberId to, Incarnation to_incarnation, Token token, Token seen) override {
+      to_replica(to, [from = self, from_incarnation = incarnation(), to_incarnation, token, seen](Replica& at,
+                                                                                                  Nanos now) {
+        at.refused(now, from, from_incarnation, to_incarnation, token, seen);
       });
     }
     void append(MemberId to, const Append& append) override {
       for (const Record& record : append.records) fleet.written(record);
-      to_replica(to, [from = self, of = incarnation(), append](Replica& at, Nanos now) {
-        at.appending(now, from, of, append);
+      to_replica(to, [from = self, from_incarnation = incarnation(), append](Replica& at, Nanos now) {
+        at.appending(now, from, from_incarnation, append);
       });
     }
-    void appended(MemberId to, Incarnation of, Token token, std::uint64_t mark, Version matched,
-                  bool gap) override {
-      to_replica(to,
-                 [from = self, me = incarnation(), of, token, mark, matched, gap](Replica& at, Nanos now) {
-                   at.appended(now, from, me, of, token, mark, matched, gap);
-                 });
+    void appended(MemberId to, Incarnation to_incarnation, Token token, std::uint64_t sequence,
+                  Version matched, bool gap) override {
+      to_replica(to, [from = self, from_incarnation = incarnation(), to_incarnation, token, sequence, matched,
+                      gap](Replica& at, Nanos now) {
+        at.appended(now, from, from_incarnation, to_incarnation, token, sequence, matched, gap);
+      });
     }
     void fetch(MemberId to, Token token, Version base, Version cursor, Token since) override {
-      to_replica(to, [from = self, of = incarnation(), token, base, cursor, since](Replica& at, Nanos now) {
-        at.fetched(now, from, of, token, base, cursor, since);
+      to_replica(to, [from = self, from_incarnation = incarnation(), token, base, cursor, since](Replica& at,
+                                                                                                 Nanos now) {
+        at.fetched(now, from, from_incarnation, token, base, cursor, since);
       });
     }
-    void chunk(MemberId to, Incarnation of, const Chunk& chunk) override {
-      to_replica(to, [from = self, me = incarnation(), of, chunk](Replica& at, Nanos now) {
-        at.chunked(now, from, me, of, chunk);
-      });
+    void chunk(MemberId to, Incarnation to_incarnation, const Chunk& chunk) override {
+      to_replica(
+          to, [from = self, from_incarnation = incarnation(), to_incarnation, chunk](Replica& at, Nanos now) {
+            at.chunked(now, from, from_incarnation, to_incarnation, chunk);
+          });
     }
-    void pass(MemberId to, Incarnation of, Token token, const ForwardedPut& put) override {
-      to_replica(to, [from = self, me = incarnation(), of, token, put](Replica& at, Nanos now) {
-        at.passed(now, from, me, of, token, put);
+    void pass(MemberId to, Incarnation to_incarnation, Token token, const ForwardedPut& put) override {
+      to_replica(to, [from = self, from_incarnation = incarnation(), to_incarnation, token, put](Replica& at,
+                                                                                                 Nanos now) {
+        at.passed(now, from, from_incarnation, to_incarnation, token, put);
       });
     }
-    void answer(MemberId to, Incarnation of, Token token, PutNumber put, PutOutcome end, Version version,
-                std::string_view reason) override {
-      to_replica(to, [from = self, me = incarnation(), of, token, put, end, version,
+    void answer(MemberId to, Incarnation to_incarnation, Token token, PutNumber put, PutOutcome end,
+                Version version, std::string_view reason) override {
+      to_replica(to, [from = self, from_incarnation = incarnation(), to_incarnation, token, put, end, version,
                       reason = std::string(reason)](Replica& at, Nanos now) {
-        at.answered(now, from, me, of, token, put, end, version, reason);
+        at.answered(now, from, from_incarnation, to_incarnation, token, put, end, version, reason);
       });
     }
     std::string rejection_reason(const Entry& entry) override {
