--- a/control/entries.cpp
+++ b/control/entries.cpp
@@ -33,11 +33,12 @@
   if (entry.key.empty() || entry.key.back() == '/') return "the key has no name";
   if (entry.key.size() > max_key_bytes_) return "the key is too long";
   if (entry.value.size() > max_value_bytes_) return "the value is too long";
-  if (entry.deleted) return entry.value.empty() ? std::string_view() : "a deletion has no value";
+  if (entry.deleted) return entry.value.empty() ? std::string_view() : "a deletion must not have a value";
   const Entry* held = find(entry.key);
   const bool replaces = held && !held->deleted;
-  if (!replaces && count() >= max_entries_) return "no room for another entry";
-  if (bytes_ - (replaces ? size_of(*held) : 0) + size_of(entry) > max_bytes_) return "no room for its bytes";
+  if (!replaces && count() >= max_entries_) return "the limit on entries is reached";
+  if (bytes_ - (replaces ? size_of(*held) : 0) + size_of(entry) > max_bytes_)
+    return "the limit on stored bytes is reached";
   return {};
 }
 
--- a/control/follower.cpp
+++ b/control/follower.cpp
@@ -23,11 +23,12 @@
   std::set<std::string_view> seen;
   for (const std::string& one : scopes) {
     bytes += one.size();
-    if (one.empty()) return "a scope without a name";
-    if (!seen.insert(one).second) return "a scope that is named twice";
+    if (one.empty()) return "a scope has no name";
+    if (!seen.insert(one).second) return "a scope is listed twice";
   }
-  if (scopes.empty()) return "no scope";
-  if (scopes.size() > max_scopes || bytes > max_scope_bytes) return "too many scopes";
+  if (scopes.empty()) return "no scope is listed";
+  if (scopes.size() > max_scopes || bytes > max_scope_bytes)
+    return "too many scopes, or their names are too long together";
   return {};
 }
 
@@ -38,15 +39,15 @@
   case LeaveReason::unresponsive:
     return "silent";
   case LeaveReason::no_state:
-    return "has nothing to give";
+    return "has no state";
   case LeaveReason::stale:
-    return "gives nothing while another is ahead";
+    return "sends nothing while another member is ahead";
   case LeaveReason::disconnected:
-    return "not reached";
+    return "connection lost";
   case LeaveReason::closer_member:
-    return "a nearer one is well";
+    return "a closer member is available";
   case LeaveReason::invalid:
-    return "what it gives makes no sense, or has no room";
+    return "its data is invalid or exceeds the limits";
   }
   return "?";
 }
@@ -74,11 +75,11 @@
   if (const std::string_view reason = invalid_scopes_reason(scopes_); !reason.empty())
     throw std::invalid_argument("control: " + std::string(reason));
   if (controls.empty() || controls.size() > max_control_members)
-    throw std::invalid_argument("control: none or too many control members");
+    throw std::invalid_argument("control: the list of control members is empty or has more than 64 members");
   std::set<MemberId> seen;
   for (const Control& one : controls) {
     if (!seen.insert(one.member).second)
-      throw std::invalid_argument("control: member " + std::to_string(one.member.raw) + " is named twice");
+      throw std::invalid_argument("control: member " + std::to_string(one.member.raw) + " is listed twice");
     Member member;
     member.id = one.member;
     member.distance = one.region != place.region ? 2 : one.zone != place.zone ? 1 : 0;
--- a/control/replica.cpp
+++ b/control/replica.cpp
@@ -117,10 +117,12 @@
   max_entries_ = static_cast<std::size_t>(required_number(settings, "control.most_entries", 1));
   max_bytes_ = static_cast<std::size_t>(required_number(settings, "control.most_bytes", 1));
   if (!members_.contains(self_) || members_.size() > max_members)
-    throw std::invalid_argument("the control members are senseless");
+    throw std::invalid_argument(
+        "invalid list of control members: this member is missing, or there are more than 64");
   if (voters_.size() % 2 == 0 || voters_.size() > max_voters ||
       !std::includes(members_.begin(), members_.end(), voters_.begin(), voters_.end()))
-    throw std::invalid_argument("the control members that vote are senseless");
+    throw std::invalid_argument(
+        "invalid list of voters: must be an odd number, at most 7, and all of them control members");
   (void)now;
 }
 
@@ -527,19 +529,19 @@
 
 std::string Replica::put_rejection_reason(const Entry& entry, const std::optional<Version>& expected) {
   if (entry.key == control_scope || scope_of(entry.key).substr(0, control_scope.size()) == control_scope)
-    return "the scope is the control members' own";
+    return "the scope is reserved for the control members";
   if (const auto reason = entries_.rejection_reason(entry); !reason.empty()) return std::string(reason);
   const std::size_t pending = log_.size() - index_after(committed_);
-  if (pending >= max_pending_records_) return "too many writes are under way";
+  if (pending >= max_pending_records_) return "too many writes are in progress";
   if (!entry.deleted &&
       (entries_.count() + pending >= max_entries_ ||
        entries_.bytes() + pending_bytes_ + entry.key.size() + entry.value.size() > max_bytes_))
-    return "no room beside the writes that are under way";
+    return "the writes in progress leave no room within the limits";
   const Entry* held = newest_entry(entry.key);
   const bool none = !held || held->deleted;
   if (expected &&
       (none ? *expected != Version{} && !(held && *expected == held->version) : *expected != held->version))
-    return "it was changed meanwhile";
+    return "the entry has changed since the expected version";
   if (entry.deleted && none) return "there is no such entry";
   return actions_.rejection_reason(entry);
 }
@@ -615,7 +617,7 @@
   if (writer_.last_received_at < 0) return; // no writer is known
   if (put.token.raw != 0 && put.token != promised_) {
     if (put.outcome_hidden)
-      finish_put(number, PutOutcome::unknown, {}, "its writer is gone, and with it the answer");
+      finish_put(number, PutOutcome::unknown, {}, "the writer is gone and its answer is lost");
     return; // the outcome will be seen in the log
   }
   put.put.oldest = oldest_put();
@@ -922,9 +924,9 @@
     if (now < at->second.deadline)
       forward_put(now, number);
     else if (at->second.token.raw == 0)
-      finish_put(number, PutOutcome::refused, {}, "no writer was in office");
+      finish_put(number, PutOutcome::refused, {}, "no writer was available before the time-out");
     else
-      finish_put(number, PutOutcome::unknown, {}, "no answer in time");
+      finish_put(number, PutOutcome::unknown, {}, "no answer from the writer before the time-out");
   }
 }
 
--- a/tests/control_entries.cpp
+++ b/tests/control_entries.cpp
@@ -50,7 +50,7 @@
 } // namespace
 
 int main() {
-  print_title("the newest of a key wins, in whatever order they come; one version is one entry");
+  print_title("the newest entry of a key wins, in any order of arrival; each version stands for one entry");
   Entries e(test_settings());
   try_apply(e, entry_of("a/x", "2", 1, 2));
   try_apply(e, entry_of("a/x", "1", 1, 1));
@@ -62,7 +62,7 @@
   try_apply(e, entry_of("a/z", "no version", 0, 0));
   print_state(e);
   print_title(
-      "what can't be taken: names, sizes, room for entries and bytes; what is there may still change");
+      "rejected: names, sizes, the limits on entries and bytes; stored keys can still be overwritten");
   try_apply(e, entry_of("", "1", 3, 1));
   try_apply(e, entry_of("a/", "1", 3, 1));
   try_apply(e, entry_of("a/234567890abc", "1", 3, 1));
@@ -75,7 +75,8 @@
   try_apply(e, entry_of("a/x", "12345678901234567890", 3, 2));
   try_apply(e, entry_of("c", "12345678901234567890", 3, 3));
   print_state(e);
-  print_title("a deletion is an entry; of these the oldest are forgotten, and the floor tells up to where");
+  print_title(
+      "tombstones count as entries; the oldest are dropped, and the floor is the newest dropped version");
   try_apply(e, tombstone("a/b", 4, 1));
   try_apply(e, tombstone("never/was", 4, 2));
   print_state(e);
@@ -83,15 +84,15 @@
   print_state(e);
   try_apply(e, entry_of("c", "again", 4, 4));
   print_state(e);
-  print_title("deltas: by version, of all or of some scopes, up to a version");
+  print_title("deltas by version, of all scopes or of some, up to a version");
   print_since(e, {}, {Token{9}, 0}, {});
   print_since(e, {Token{2}, 1}, {Token{4}, 3}, {});
   print_since(e, {}, {Token{9}, 0}, {"a", "b", "a", "none"});
   print_since(e, {}, {Token{9}, 0}, {""});
-  print_title("a version whose last entry is of scopes that are not held here");
+  print_title("advancing to a version whose entry belongs to a scope that is not stored here");
   e.advance_to({Token{7}, 1});
   print_state(e);
-  print_title("scopes, and what they hold by key");
+  print_title("scopes with their entries by key");
   try_apply(e, entry_of("a/a", "1", 8, 1));
   for (const std::string& scope : e.scopes()) {
     std::printf("  '%s':", scope.c_str());
@@ -99,8 +100,7 @@
     std::printf("\n");
   }
   print_title(
-      "digests: equal where the same is held, whatever came before and in which order; deletions play no "
-      "part");
+      "digests are equal for equal contents, regardless of history and order; tombstones do not count");
   Entries one(test_settings()), other(test_settings());
   one.apply(entry_of("a/x", "1", 1, 1)), one.apply(entry_of("a/y", "2", 1, 2)),
       one.apply(entry_of("a/z", "3", 1, 3));
@@ -112,7 +112,7 @@
   std::printf(", %llu of a scope that is not held\n", static_cast<unsigned long long>(one.digest("none")));
   one.clear();
   print_state(one);
-  print_title("no bound, no table");
+  print_title("a missing limit is an error");
   for (const char* name : {"control.most_entries", "control.most_deleted"}) {
     Settings less = test_settings();
     less.erase(name);
--- a/tests/control_feed.cpp
+++ b/tests/control_feed.cpp
@@ -102,9 +102,8 @@
 
 void feed_steps() {
   {
-    print_title(
-        "blank: nothing is given; brought up: a server that has nothing gets a renewal, then the delta "
-        "behind it");
+    print_title("an inactive feed sends nothing; after activation a server without state gets a renewal, "
+                "then the delta that follows it");
     FeedDriver s;
     s.commit(put("a/x", 1, "1"));
     s.follow(20, 1, {}, {{"a", 0, false}});
@@ -114,9 +113,8 @@
     s.commit(put("a/y", 2, "2"));
     s.have(20, 2, {{}, v(1), {}, {}, 1});
     s.have(20, 2, {v(2), v(2), {}, {}, 1});
-    print_title(
-        "changes that come together go together, the newest of a key; what is of other scopes goes with a "
-        "beat");
+    print_title("changes that come together are sent together, the newest of each key; changes of other "
+                "scopes arrive with a heartbeat");
     s.commit(put("a/x", 3, "3"));
     s.commit(put("a/x", 4, "4"));
     s.commit(put("b/x", 5, "5"));
@@ -124,15 +122,15 @@
     s.have(20, 2, {v(5), v(5), {}, {}, 1});
     s.commit(put("b/x", 6, "6"));
     s.to(1200);
-    print_title("no answer: the same again, later each time; silent: dropped");
+    print_title(
+        "an unacknowledged part is sent again after growing time-outs; an unresponsive server is dropped");
     s.commit(put("a/x", 7, "7"));
     s.to(5000);
     s.have(20, 2, {v(7), v(7), {}, {}, 1});
   }
   {
-    print_title(
-        "a long delta goes in parts, one under way at a time, within the credit; a commit between is in the "
-        "last");
+    print_title("a long delta is split into parts, one in flight at a time, within the credit; a commit in "
+                "between is in the last part");
     FeedDriver s;
     s.feed.activate(0);
     s.commit(put("a/o", 1, "o"));
@@ -145,8 +143,8 @@
     s.have(20, 1, {v(1), v(5), {}, {}, 0});
     s.to(900);
     s.have(20, 1, {v(8), v(8), {}, {}, 0});
-    print_title(
-        "deletions after its version are forgotten: a renewal; of the scopes alone whose digests differ");
+    print_title("if tombstones after the server's version have been dropped, it gets a renewal of the scopes "
+                "whose digests differ");
     s.commit(gone("a/2", 9));
     s.commit(gone("a/3", 10));
     s.commit(gone("a/4", 11));
@@ -156,7 +154,8 @@
     s.to(5010);
   }
   {
-    print_title("one renewal at a time: the other waits in line, is told so, and goes when there is a place");
+    print_title(
+        "one renewal at a time: the other server is queued, is told to wait, and starts when a slot is free");
     FeedDriver s;
     s.feed.activate(0);
     s.commit(put("a/x", 1, "1"));
@@ -165,13 +164,13 @@
     s.follow(22, 1, v(1), {{"a", s.state.digest("a"), true}}, false);
     s.follow(23, 1, {}, {{"a", 0, false}});
     s.have(20, 1, {{}, v(1), {}, {}, 1});
-    print_title(
-        "digests that differ at one version: a renewal; who is ahead gets nothing but the version here");
+    print_title("digests that differ at the same version cause a renewal; a server that is ahead gets "
+                "heartbeats only");
     s.have(21, 1, {v(1), v(1), {}, {}, 1});
     s.feed.compare(s.out.now, MemberId{20}, Incarnation{20}, AttachmentNumber{1}, v(1), {5});
     s.have(20, 1, {v(3), v(3), {}, {}, 1});
     s.to(1100);
-    print_title("blank again: all are sent elsewhere");
+    print_title("deactivation refers all servers to other members");
     s.feed.deactivate(s.out.now);
   }
 }
@@ -261,42 +260,43 @@
 
 void follower_steps() {
   {
-    print_title("nearest first; a renewal in two parts is staged, and taken with the delta behind it");
+    print_title("the closest member first; a renewal in two parts is staged, and applied with the delta that "
+                "follows it");
     FollowerDriver s;
     s.renewal(1, 1, v(2), {0, 1}, {}, v(1), {put("a/x", 1, "1")});
     s.renewal(1, 1, v(2), {0, 1}, v(1), v(2), {put("b/y", 2, "2")});
     s.delta(1, 1, v(2), v(3), true, {put("a/x", 3, "3")});
-    print_title(
-        "a gap before it: not taken, and told; of the past, of another attachment, of the second line: not "
-        "taken");
+    print_title("a delta after a gap is rejected and reported; older ones, ones of another attachment or "
+                "from the secondary are rejected");
     s.delta(1, 1, v(5), v(6), true, {put("a/x", 6, "6")});
     s.delta(1, 1, v(1), v(2), true, {put("a/x", 2, "old")});
     s.delta(1, 7, v(3), v(4), true, {put("a/x", 4, "4")});
     s.delta(2, 2, v(3), v(4), true, {put("a/x", 4, "4")});
     s.renewal(1, 1, v(2), {0, 1}, {}, v(2), {});
-    print_title("a long delta: nothing changes before its last part");
+    print_title("a long delta changes nothing before its last part");
     s.delta(1, 1, v(3), v(4), false, {put("a/x", 4, "4")});
     std::printf("  in force: %s\n", s.follower.find("a/x")->value.c_str());
     s.delta(1, 1, v(4), v(6), true, {gone("b/y", 5), put("b/z", 6, "6")});
-    print_title("an entry that is refused leaves what was in force; the version goes on; so over a deletion");
+    print_title("a refused entry leaves the previous value in force and the version advances; a later "
+                "deletion removes that value");
     s.delta(1, 1, v(6), v(8), true, {put("a/x", 7, "bad"), put("b/z", 8, "8")});
     std::printf("  in force: %s, keys refused %zu\n", s.follower.find("a/x")->value.c_str(),
                 s.follower.keys_refused());
     s.delta(1, 1, v(8), v(9), true, {gone("a/x", 9)});
     std::printf("  in force: %s, keys refused %zu\n", s.follower.find("a/x") ? "some" : "none",
                 s.follower.keys_refused());
-    print_title("a renewal of one scope takes what it leaves out; the other stays");
+    print_title(
+        "a renewal of one scope removes the entries that it leaves out; the other scope is unchanged");
     s.renewal(1, 1, v(10), {1}, {}, v(10), {put("b/w", 10, "10")});
     s.delta(1, 1, v(10), v(10), true, {});
-    print_title(
-        "entries of a scope that isn't followed: who says so is left; scopes that change: followed anew");
+    print_title("a member that sends entries of a scope that is not followed is left; a change of scopes "
+                "causes new attachments");
     s.delta(1, 1, v(10), v(11), true, {put("c/x", 11, "11")});
     s.follower.set_scopes(s.out.now, {"b", "c"});
   }
   {
-    print_title(
-        "silent: left for the second, which is the first now; it keeps the last state and says how old it "
-        "is");
+    print_title("an unresponsive primary is left and the secondary becomes the primary; the last state is "
+                "kept, with its age");
     FollowerDriver s;
     s.begin();
     s.out.quiet = true;
@@ -306,7 +306,8 @@
                 static_cast<long long>(s.follower.age(s.out.now) / ms));
   }
   {
-    print_title("a nearer one comes back: tried as the second, the first after it was well for long");
+    print_title("a closer member that returns becomes the secondary, and the primary after it has been "
+                "healthy for some time");
     FollowerDriver s;
     s.begin();
     s.out.quiet = true;
@@ -314,7 +315,7 @@
     s.well(14000, {{2, 3}, {3, 4}, {1, 5}}, v(2));
   }
   {
-    print_title("the first gives nothing while the second is ahead: they change places");
+    print_title("a primary that sends nothing while the secondary is ahead is replaced");
     FollowerDriver s;
     s.begin();
     s.out.quiet = true;
@@ -324,7 +325,7 @@
       s.beat(1, 1, v(2));
       s.beat(2, 2, v(3));
     }
-    print_title("told to rest, it waits");
+    print_title("a follower that is told to wait does not leave");
     s.out.now = 0;
     FollowerDriver r;
     r.out.quiet = true;
@@ -618,11 +619,11 @@
   follower_steps();
   print_title("fleets with faults");
   int wrong = run_seeds(300, false);
-  print_title("without faults, bursts of 100 changes among them");
+  print_title("without faults, with bursts of 100 changes");
   wrong += run_without_faults();
-  print_title("half of the servers start anew at once, now and then");
+  print_title("half of the servers restart at once from time to time");
   wrong += run_zone_restarts();
-  print_title("what a change costs");
+  print_title("the cost of a change");
   wrong += check_costs();
   return wrong;
 }
--- a/tests/control_replica.cpp
+++ b/tests/control_replica.cpp
@@ -190,22 +190,23 @@
   const auto put = [](ManualNetwork& d, std::uint32_t m, const char* key, const char* value,
                       std::optional<Version> expected = {}) { d[m].put(d.now, key, value, false, expected); };
   ManualNetwork d;
-  say("first start: all voters are blank; all have answered twice before the first writer begins");
+  say("first start: no voter has a state; all have answered twice before the first writer begins");
   d[1].lease_held(0, Token{10}, 60 * second);
   d.deliver();
   d.show();
-  say("a write, put at 4: passed on, written, committed by two of three, told as done");
+  say("a put at 4: forwarded, written, committed by two of three, answered as done");
   put(d, 4, "s/a", "1");
   d.deliver();
   d.show();
-  say("refused: by the caller's check, by what was changed meanwhile, by its scope");
+  say("refused: by the caller's check, because of a concurrent change, because of its scope");
   d.set_quiet(true);
   put(d, 1, "s/b", "bad");
   put(d, 1, "s/a", "2", Version{});
   put(d, 1, "control/roster", "x");
   d.deliver();
   d.set_quiet(false);
-  say("the writer dies between an ack and its commit: the next one finds the write and commits it");
+  say("the writer fails between an acknowledgement and the commit: the next writer finds the record and "
+      "commits it");
   put(d, 1, "s/a", "3");
   d.cut({3, 4});
   d.deliver(1); // to 2 only; its acknowledgement is lost
@@ -214,17 +215,19 @@
   d[2].lease_held(d.now, Token{20}, 120 * second);
   d.deliver();
   d.show();
-  say("who asks under a smaller token is refused");
+  say("a prepare with a smaller token is refused");
   d.cut({});
   d[1].lease_held(d.now, Token{15}, 60 * second);
   d.deliver();
-  say("a blank member joins: all that it lacks, then a roster that names its life");
+  say("a member without state joins: it receives all that it lacks, then a roster that names its "
+      "incarnation");
   d.advance(second);
   d.deliver();
   d.advance(second);
   d.deliver();
   d.show();
-  say("a minority is cut off with the writer: its put is not committed, and another writes");
+  say("the writer is partitioned off with a minority: its put is not committed, and another member becomes "
+      "the writer");
   d.cut({2});
   put(d, 2, "s/a", "lost");
   d.deliver();
@@ -232,14 +235,13 @@
   d.deliver();
   put(d, 3, "s/a", "kept");
   d.deliver();
-  say("back again: what it had not committed is given up; the log tells that it was, so the put is passed "
-      "on");
+  say("after the partition, uncommitted records are discarded; the log shows that, so the put is forwarded");
   d[2].lease_lost(d.now, Token{20});
   d.cut({});
   d.advance(second);
   d.deliver();
   d.show();
-  say("loss of all voters: all answer, blank; the member that doesn't vote still holds the state");
+  say("loss of all voters: all answer without state; the member that does not vote still holds the state");
   d.start(1), d.start(2), d.start(3);
   d[1].lease_held(d.now, Token{40}, 600 * second);
   d.deliver();
@@ -394,10 +396,9 @@
   Plan twice = kind_of(0);
   twice.reuse_incarnation = true;
   const Totals same = run_plan(twice, 103, 1, 20, true);
-  std::printf("lives that can't be told apart: %s\n",
-              same.all.wrong > 0 ? "the referee sees it" : "NOT SEEN");
+  std::printf("reused incarnations: %s\n", same.all.wrong > 0 ? "detected by the checker" : "NOT DETECTED");
   const int wrong = all.all.wrong + off.all.wrong + lost.all.wrong + free.all.wrong + forgot.all.wrong +
                     (same.all.wrong == 0);
-  std::puts(wrong == 0 ? "one order, nothing lost, nothing twice" : "WRONG");
+  std::puts(wrong == 0 ? "one order, no write lost or applied twice" : "WRONG");
   return wrong == 0 ? 0 : 1;
 }
