--- a/peers/links.cpp
+++ b/peers/links.cpp
@@ -97,7 +97,7 @@
     incoming->timer.expires_after(hello_timeout);
     incoming->timer.async_wait([this, weak = std::weak_ptr(incoming)](asio::error_code stopped) {
       const auto live = weak.lock();
-      if (!stopped && live && !live->identified) close_incoming(live, "it does not say who it is");
+      if (!stopped && live && !live->identified) close_incoming(live, "no hello within 2 s");
     });
     read(incoming);
   }
@@ -117,14 +117,15 @@
     at->second.erase(incoming->number);
     if (at->second.empty()) by_sender_.erase(at);
   }
-  if (reason) handler_.log_event(std::string("a connection closed: ") + reason);
+  if (reason) handler_.log_event(std::string("incoming peer connection closed: ") + reason);
   asio::error_code ignored;
   incoming->socket.close(ignored);
   incoming->timer.cancel();
 }
 
 void Links::evict_oldest() {
-  close_incoming(std::shared_ptr(incoming_.at(by_last_read_.begin()->second)), "room for another");
+  close_incoming(std::shared_ptr(incoming_.at(by_last_read_.begin()->second)),
+                 "too many connections, this one was idle longest");
 }
 
 // A member that connects again sends on the new connection; unread bytes of its earlier ones are outdated.
@@ -162,24 +163,24 @@
   while (all.size() - from >= frames::header_size) {
     const std::uint32_t length = frames::read_le(all.data() + from, 4);
     if (!frames::is_valid_length(length) || length + 4 > peer_codec::max_message_bytes)
-      return reason = "no letter", false;
+      return reason = "invalid frame length", false;
     if (all.size() - from < length + 4) break;
     const auto type = static_cast<std::uint8_t>(all[from + 4]);
     const std::string_view payload = all.substr(from + frames::header_size, length + 4 - frames::header_size);
     from += length + 4;
     if (!incoming.identified) {
       if (type != frames::peer_hello || !peer_codec::decode_hello(payload, incoming.sender))
-        return reason = "it says nothing that can be read", false;
-      if (incoming.sender.fleet != self_.fleet) return reason = "of another fleet", false;
-      if (incoming.sender.to != self_.from) return reason = "for another member", false;
+        return reason = "invalid hello", false;
+      if (incoming.sender.fleet != self_.fleet) return reason = "hello of another fleet", false;
+      if (incoming.sender.to != self_.from) return reason = "hello to another member", false;
       if (!others_.contains(incoming.sender.from) &&
           !(handler_.accept_unlisted(incoming.sender) && others_.contains(incoming.sender.from)))
-        return reason = "of no member that is listed", false;
+        return reason = "hello of a member that is not listed", false;
       incoming.identified = true;
       incoming.timer.cancel();
       close_superseded(incoming);
     } else if (type != frames::peer_message || !handler_.message(incoming.sender, payload)) {
-      return reason = "a letter that can't be read", false;
+      return reason = "invalid message", false;
     }
     if (!incoming_.contains(incoming.number)) return false; // closed or removed meanwhile
   }
