--- a/tests/control_directory.cpp
+++ b/tests/control_directory.cpp
@@ -16,13 +16,14 @@
 constexpr Nanos ms = 1'000'000;
 constexpr Nanos second = 1000 * ms;
 
-Settings figures(double members) {
+Settings settings_for(double members) {
   return {{"control.beat", 500e6}, {"control.silent", 1600e6},   {"control.forget", 5e9},
           {"control.answer", 3e8}, {"control.most_part", 400.0}, {"control.most_members", members}};
 }
-MemberRecord record(unsigned member, std::uint64_t life, std::uint64_t attached, const char* zone = "a") {
+MemberRecord record(unsigned member, std::uint64_t incarnation, std::uint64_t attached,
+                    const char* zone = "a") {
   return {MemberId{member},
-          Incarnation{life},
+          Incarnation{incarnation},
           AttachmentNumber{attached},
           "10.0.0." + std::to_string(member),
           zone,
@@ -30,9 +31,9 @@
           {},
           {}};
 }
-void say(const char* what) { std::printf("# %s\n", what); }
+void say(const char* text) { std::printf("# %s\n", text); }
 
-struct Printed final : DirectoryActions {
+struct PrintedActions final : DirectoryActions {
   bool quiet = false;
   void send_part(MemberId to, PartRevision from, PartRevision upto, PartRevision last, std::uint64_t,
                  const std::vector<const MemberRecord*>& records) override {
@@ -55,13 +56,13 @@
 };
 
 struct Driver {
-  Printed out;
+  PrintedActions out;
   Directory directory;
   Nanos now = 0;
   std::uint64_t digest = 0; // of the other's part
   explicit Driver(double members = 3)
-      : directory(0, MemberId{1}, Incarnation{11}, {MemberId{1}, MemberId{2}}, figures(members), out) {}
-  void to(Nanos time) {
+      : directory(0, MemberId{1}, Incarnation{11}, {MemberId{1}, MemberId{2}}, settings_for(members), out) {}
+  void run_until(Nanos time) {
     for (Nanos next; (next = directory.next_wake()) >= 0 && next <= time * ms;) {
       now = std::max(now, next);
       directory.due(now);
@@ -75,12 +76,12 @@
     directory.part_received(now, MemberId{2}, Incarnation{incarnation}, since, upto, last, digest, records);
   }
 };
-MemberRecord told(MemberRecord record, Presence presence, std::uint64_t number) {
+MemberRecord with_presence(MemberRecord record, Presence presence, std::uint64_t number) {
   record.presence = presence;
   record.revision = PartRevision{number};
   return record;
 }
-void zones(const Directory& directory) {
+void print_zones(const Directory& directory) {
   for (const auto& [zone, one] : directory.summary())
     std::printf("  zone %s: well %zu, silent %zu, left %zu\n", zone.c_str(), one.well, one.silent, one.left);
 }
@@ -91,20 +92,20 @@
     Driver s;
     s.directory.attached(0, record(20, 1, 5));
     s.part({}, {}, {}, {});
-    s.to(0);
+    s.run_until(0);
     s.directory.part_acknowledged(s.now, MemberId{2}, Incarnation{11}, PartRevision{1});
     s.directory.attached(s.now, record(21, 1, 3, "b"));
     s.directory.left(s.now, MemberId{21}, Incarnation{1});
-    s.to(0);
+    s.run_until(0);
     s.directory.part_acknowledged(s.now, MemberId{2}, Incarnation{11}, PartRevision{3});
-    zones(s.directory);
+    print_zones(s.directory);
     s.out.quiet = true;
-    s.to(1500);
+    s.run_until(1500);
     s.part({}, {}, {}, {});
-    s.to(1700);
+    s.run_until(1700);
     s.directory.received(s.now, MemberId{20}, Incarnation{1});
-    s.to(6000);
-    zones(s.directory);
+    s.run_until(6000);
+    print_zones(s.directory);
   }
   {
     say("room for three; where two tell of one: well goes first, then the newest attachment");
@@ -112,7 +113,8 @@
     s.out.quiet = true;
     s.directory.attached(0, record(20, 1, 5));
     s.part({}, PartRevision{2}, PartRevision{2},
-           {told(record(20, 1, 4), Presence::unresponsive, 1), told(record(21, 1, 1), Presence::alive, 2)});
+           {with_presence(record(20, 1, 4), Presence::unresponsive, 1),
+            with_presence(record(21, 1, 1), Presence::alive, 2)});
     s.directory.detached(0, MemberId{20}, Incarnation{1});
     s.directory.attached(0, record(22, 1, 1));
     s.directory.attached(0, record(23, 1, 1));
@@ -124,16 +126,17 @@
         "whole");
     Driver s;
     s.out.quiet = true;
-    s.part({}, PartRevision{1}, PartRevision{1}, {told(record(20, 1, 1), Presence::alive, 1)});
-    s.part(PartRevision{2}, PartRevision{3}, PartRevision{3}, {told(record(21, 1, 1), Presence::alive, 3)});
-    s.part({}, PartRevision{1}, PartRevision{2}, {told(record(21, 1, 2), Presence::alive, 1)}, 23);
-    s.part(PartRevision{1}, PartRevision{2}, PartRevision{2}, {told(record(22, 1, 2), Presence::alive, 2)},
-           23);
+    s.part({}, PartRevision{1}, PartRevision{1}, {with_presence(record(20, 1, 1), Presence::alive, 1)});
+    s.part(PartRevision{2}, PartRevision{3}, PartRevision{3},
+           {with_presence(record(21, 1, 1), Presence::alive, 3)});
+    s.part({}, PartRevision{1}, PartRevision{2}, {with_presence(record(21, 1, 2), Presence::alive, 1)}, 23);
+    s.part(PartRevision{1}, PartRevision{2}, PartRevision{2},
+           {with_presence(record(22, 1, 2), Presence::alive, 2)}, 23);
     s.part({}, PartRevision{1}, PartRevision{1},
-           {told(record(20, 1, 1), Presence::alive, 1)}); // of the life before
+           {with_presence(record(20, 1, 1), Presence::alive, 1)}); // of the life before
     say("its owner is silent: so are they; forgotten later");
-    s.to(1700);
-    s.to(5100);
+    s.run_until(1700);
+    s.run_until(5100);
   }
   {
     say("a life that was replaced speaks on: two under one number; so where two control members hear one "
@@ -143,10 +146,10 @@
     s.directory.attached(0, record(20, 1, 5));
     s.directory.attached(0, record(20, 2, 6));
     s.directory.received(2 * second, MemberId{20}, Incarnation{1});
-    s.part({}, PartRevision{1}, PartRevision{1}, {told(record(21, 1, 1), Presence::alive, 1)});
+    s.part({}, PartRevision{1}, PartRevision{1}, {with_presence(record(21, 1, 1), Presence::alive, 1)});
     s.directory.attached(0, record(21, 2, 2));
     for (Nanos t = 500; t <= 4000; t += 500) {
-      s.to(t);
+      s.run_until(t);
       s.directory.received(s.now, MemberId{21}, Incarnation{2});
       s.directory.received(s.now, MemberId{20}, Incarnation{2});
       s.part(PartRevision{1}, PartRevision{1}, PartRevision{1}, {});
@@ -160,16 +163,16 @@
   struct Owner final : DirectoryActions {
     World& world;
     MemberId id;
-    std::uint64_t lives = 0;
+    std::uint64_t incarnation = 0;
     std::unique_ptr<Directory> directory;
     Owner(World& w, MemberId i) : world(w), id(i) {}
-    Incarnation life() const { return Incarnation{id.raw * 1000 + lives}; }
+    Incarnation incarnation_id() const { return Incarnation{id.raw * 1000 + incarnation}; }
     void send_part(MemberId to, PartRevision from, PartRevision upto, PartRevision last, std::uint64_t digest,
                    const std::vector<const MemberRecord*>& records) override {
       std::vector<MemberRecord> all;
       for (const MemberRecord* one : records) all.push_back(*one);
-      world.send(to, [=, of = life(), from_id = id](Directory& at, Nanos now) {
-        at.part_received(now, from_id, of, from, upto, last, digest, all);
+      world.send(to, [=, incarnation_of_sender = incarnation_id(), from_id = id](Directory& at, Nanos now) {
+        at.part_received(now, from_id, incarnation_of_sender, from, upto, last, digest, all);
       });
     }
     void acknowledge_part(MemberId to, Incarnation owner, PartRevision upto) override {
@@ -178,20 +181,20 @@
       });
     }
     void presence_changed(const MemberRecord&, Presence) override {}
-    void duplicate_member(MemberId) override { ++world.duplicate_member; }
+    void duplicate_member(MemberId) override { ++world.duplicates; }
   };
-  struct Line {
+  struct Attachment {
     std::size_t owner = 0;
-    std::uint64_t life = 0; // of the owner that knows of it
+    std::uint64_t owner_incarnation = 0; // of the owner that knows of it
     AttachmentNumber number{};
   };
   struct Member {
-    std::uint64_t lives = 1;
+    std::uint64_t incarnation = 1;
     bool up = true, left = false;
-    Line lines[2];
+    Attachment attachments[2];
   };
   Pcg chance_;
-  bool harsh_; // the network: loses more, and some words come late
+  bool severe_faults_; // the network: loses more, and some words come late
   std::vector<std::unique_ptr<Owner>> owners_;
   std::vector<Member> members_;
   std::uint64_t numbers_ = 0;
@@ -202,24 +205,25 @@
   std::priority_queue<Event, std::vector<Event>, Later> queue_;
   std::uint64_t order_ = 0;
   Nanos now_ = 0;
-  static constexpr Nanos quiet = 12 * second, length = 22 * second;
+  static constexpr Nanos faults_end = 12 * second, length = 22 * second;
 
  public:
-  std::uint64_t duplicate_member = 0, restarts = 0, retries = 0;
+  std::uint64_t duplicates = 0, restarts = 0, retries = 0;
 
-  explicit World(std::uint64_t seed) : chance_(seed), harsh_(seed % 2 == 1), members_(20 + seed % 30) {
+  explicit World(std::uint64_t seed)
+      : chance_(seed), severe_faults_(seed % 2 == 1), members_(20 + seed % 30) {
     for (unsigned o = 1; o <= 3 + seed % 4; ++o)
       owners_.push_back(std::make_unique<Owner>(*this, MemberId{o}));
     for (auto& owner : owners_) start(*owner);
-    for (Member& member : members_) choose(member);
+    for (Member& member : members_) attach_to_two(member);
     tick();
   }
   std::string play() {
     while (!queue_.empty() && queue_.top().first.first <= length) {
-      const auto what = std::move(const_cast<Event&>(queue_.top()).second);
+      const auto action = std::move(const_cast<Event&>(queue_.top()).second);
       now_ = queue_.top().first.first;
       queue_.pop();
-      what();
+      action();
     }
     for (const auto& owner : owners_) {
       restarts += owner->directory->counts().restarts;
@@ -235,86 +239,89 @@
       for (unsigned m = 0; m < members_.size(); ++m) {
         const Member& member = members_[m];
         const MemberRecord* const seen = owner->directory->find(MemberId{100 + m});
-        const std::string who = std::to_string(owner->id.raw) + " of " + std::to_string(100 + m);
-        if (!member.up && seen) return who + ": remembered, though it is gone for long";
-        if (member.up && (!seen || seen->presence != Presence::alive)) return who + ": not well";
-        if (member.up && seen->incarnation.raw != member.lives) return who + ": another life";
+        const std::string where = std::to_string(owner->id.raw) + " of " + std::to_string(100 + m);
+        if (!member.up && seen) return where + ": remembered, though it is gone for long";
+        if (member.up && (!seen || seen->presence != Presence::alive)) return where + ": not well";
+        if (member.up && seen->incarnation.raw != member.incarnation) return where + ": another life";
       }
     }
     // Where words come later than a silence lasts, some may seem so.
-    return duplicate_member > 0 && !harsh_ ? "doubled, and none was" : "";
+    return duplicates > 0 && !severe_faults_ ? "doubled, and none was" : "";
   }
 
  private:
-  Nanos part(Nanos of) { return static_cast<Nanos>(chance_.unit() * static_cast<double>(of)); }
-  void at(Nanos when, std::function<void()> what) { queue_.push({{when, order_++}, std::move(what)}); }
+  Nanos random_part(Nanos whole) { return static_cast<Nanos>(chance_.unit() * static_cast<double>(whole)); }
+  void at(Nanos when, std::function<void()> action) { queue_.push({{when, order_++}, std::move(action)}); }
   void start(Owner& owner) {
-    ++owner.lives;
+    ++owner.incarnation;
     std::vector<MemberId> all;
     for (const auto& one : owners_) all.push_back(one->id);
-    owner.directory = std::make_unique<Directory>(now_, owner.id, owner.life(), all, figures(100), owner);
+    owner.directory =
+        std::make_unique<Directory>(now_, owner.id, owner.incarnation_id(), all, settings_for(100), owner);
   }
-  void send(MemberId to, std::function<void(Directory&, Nanos)> what) {
-    const bool faults = now_ < quiet;
-    const double lost = !faults ? 0 : harsh_ ? 0.2 : 0.05, doubled_part = faults ? 0.2 : 0;
-    for (int copies = chance_.unit() < lost           ? 0
-                      : chance_.unit() < doubled_part ? 2
-                                                      : 1;
+  void send(MemberId to, std::function<void(Directory&, Nanos)> deliver) {
+    const bool faults = now_ < faults_end;
+    const double lost = !faults ? 0 : severe_faults_ ? 0.2 : 0.05, duplicated_fraction = faults ? 0.2 : 0;
+    for (int copies = chance_.unit() < lost                  ? 0
+                      : chance_.unit() < duplicated_fraction ? 2
+                                                             : 1;
          copies > 0; --copies) {
-      const Nanos takes = ms + part(faults && harsh_ && chance_.unit() < 0.1 ? 3 * second : 40 * ms);
-      at(now_ + takes, [this, to, what] { what(*owners_[to.raw - 1]->directory, now_); });
+      const Nanos delay =
+          ms + random_part(faults && severe_faults_ && chance_.unit() < 0.1 ? 3 * second : 40 * ms);
+      at(now_ + delay, [this, to, deliver] { deliver(*owners_[to.raw - 1]->directory, now_); });
     }
   }
-  void attach(Member& member, Line& line) {
-    Owner& owner = *owners_[line.owner];
-    line.life = owner.lives;
-    line.number = AttachmentNumber{++numbers_};
-    MemberRecord made = record(100 + static_cast<unsigned>(&member - members_.data()), member.lives,
-                               line.number.raw, &member - members_.data() < 10 ? "a" : "b");
+  void attach(Member& member, Attachment& attachment) {
+    Owner& owner = *owners_[attachment.owner];
+    attachment.owner_incarnation = owner.incarnation;
+    attachment.number = AttachmentNumber{++numbers_};
+    MemberRecord made = record(100 + static_cast<unsigned>(&member - members_.data()), member.incarnation,
+                               attachment.number.raw, &member - members_.data() < 10 ? "a" : "b");
     owner.directory->attached(now_, made);
   }
-  void choose(Member& member) {
-    member.lines[0].owner = chance_.next() % owners_.size();
-    member.lines[1].owner =
-        (member.lines[0].owner + 1 + chance_.next() % (owners_.size() - 1)) % owners_.size();
-    for (Line& line : member.lines) attach(member, line);
+  void attach_to_two(Member& member) {
+    member.attachments[0].owner = chance_.next() % owners_.size();
+    member.attachments[1].owner =
+        (member.attachments[0].owner + 1 + chance_.next() % (owners_.size() - 1)) % owners_.size();
+    for (Attachment& attachment : member.attachments) attach(member, attachment);
   }
   MemberId id(const Member& member) const {
     return MemberId{100 + static_cast<unsigned>(&member - members_.data())};
   }
-  void trouble(Member& member) {
-    const double what = chance_.unit();
-    const Incarnation life{member.lives};
-    if (what < 0.4 && member.up) { // moves; not always with a word
-      const Line old = member.lines[0];
-      if (chance_.unit() < 0.7) owners_[old.owner]->directory->detached(now_, id(member), life);
-      choose(member);
-    } else if (what < 0.6) { // starts anew
-      ++member.lives;
+  void inject_fault(Member& member) {
+    const double kind = chance_.unit();
+    const Incarnation incarnation{member.incarnation};
+    if (kind < 0.4 && member.up) { // moves; not always with a word
+      const Attachment old = member.attachments[0];
+      if (chance_.unit() < 0.7) owners_[old.owner]->directory->detached(now_, id(member), incarnation);
+      attach_to_two(member);
+    } else if (kind < 0.6) { // starts anew
+      ++member.incarnation;
       member.up = true;
-      choose(member);
-    } else if (what < 0.8 && member.up) { // is gone, perhaps with a word
+      attach_to_two(member);
+    } else if (kind < 0.8 && member.up) { // is gone, perhaps with a word
       member.up = false;
-      if (chance_.unit() < 0.5) owners_[member.lines[0].owner]->directory->left(now_, id(member), life);
+      if (chance_.unit() < 0.5)
+        owners_[member.attachments[0].owner]->directory->left(now_, id(member), incarnation);
     } else if (!member.up) {
-      ++member.lives;
+      ++member.incarnation;
       member.up = true;
-      choose(member);
+      attach_to_two(member);
     }
   }
   void tick() {
-    if (now_ < quiet) {
+    if (now_ < faults_end) {
       for (Member& member : members_)
-        if (chance_.unit() < 0.05) trouble(member);
+        if (chance_.unit() < 0.05) inject_fault(member);
       if (chance_.unit() < 0.03) start(*owners_[chance_.next() % owners_.size()]);
     }
     for (Member& member : members_)
-      for (Line& line : member.lines) {
+      for (Attachment& attachment : member.attachments) {
         if (!member.up) continue;
-        if (line.life != owners_[line.owner]->lives)
-          attach(member, line);
+        if (attachment.owner_incarnation != owners_[attachment.owner]->incarnation)
+          attach(member, attachment);
         else
-          owners_[line.owner]->directory->received(now_, id(member), Incarnation{member.lives});
+          owners_[attachment.owner]->directory->received(now_, id(member), Incarnation{member.incarnation});
       }
     for (auto& owner : owners_) owner->directory->due(now_);
     at(now_ + 100 * ms, [this] { tick(); });
@@ -322,27 +329,27 @@
 };
 
 int many(std::uint64_t seeds, bool stop) {
-  std::uint64_t wrong = 0, restarts = 0, retries = 0, duplicate_member = 0;
+  std::uint64_t wrong = 0, restarts = 0, retries = 0, duplicates = 0;
   std::string first;
   for (std::uint64_t seed = 1; seed <= seeds && !(stop && wrong > 0); ++seed) {
     World world(seed);
-    const std::string what = world.play();
+    const std::string error = world.play();
     restarts += world.restarts;
     retries += world.retries;
-    duplicate_member += world.duplicate_member;
-    if (what.empty()) continue;
-    if (wrong++ == 0) first = "seed " + std::to_string(seed) + ", " + what;
+    duplicates += world.duplicates;
+    if (error.empty()) continue;
+    if (wrong++ == 0) first = "seed " + std::to_string(seed) + ", " + error;
   }
   std::printf("%llu seeds, wrong %llu; parts repeated %llu, begun anew by their digest %llu; taken for "
               "doubled %llu times\n",
               static_cast<unsigned long long>(seeds), static_cast<unsigned long long>(wrong),
               static_cast<unsigned long long>(retries), static_cast<unsigned long long>(restarts),
-              static_cast<unsigned long long>(duplicate_member));
+              static_cast<unsigned long long>(duplicates));
   if (!first.empty()) std::printf("  first: %s\n", first.c_str());
   return wrong > 0 ? 1 : 0;
 }
 
-struct Silent final : DirectoryActions {
+struct CountedActions final : DirectoryActions {
   std::size_t records = 0;
   void send_part(MemberId, PartRevision, PartRevision, PartRevision, std::uint64_t,
                  const std::vector<const MemberRecord*>& all) override {
@@ -356,10 +363,10 @@
   std::printf("  looked at and told for a member's change, of 100 to 10,000:");
   bool flat = true;
   for (const unsigned all : {100u, 300u, 1000u, 3000u, 10000u}) {
-    Settings given = figures(all);
-    given["control.most_part"] = 1e7;
-    Silent out;
-    Directory directory(0, MemberId{1}, Incarnation{1}, {MemberId{2}}, given, out);
+    Settings settings = settings_for(all);
+    settings["control.most_part"] = 1e7;
+    CountedActions out;
+    Directory directory(0, MemberId{1}, Incarnation{1}, {MemberId{2}}, settings, out);
     for (unsigned i = 0; i < all; ++i) directory.attached(0, record(100 + i, 1, 1));
     directory.part_received(0, MemberId{2}, Incarnation{2}, {}, {}, {}, 0, {});
     directory.due(0);
@@ -368,9 +375,9 @@
     out.records = 0;
     directory.attached(0, record(100, 2, 2));
     directory.due(0);
-    const std::uint64_t looked = directory.counts().visited - before;
-    std::printf(" %llu/%zu", static_cast<unsigned long long>(looked), out.records);
-    flat = flat && looked < 5 && out.records == 1;
+    const std::uint64_t visited = directory.counts().visited - before;
+    std::printf(" %llu/%zu", static_cast<unsigned long long>(visited), out.records);
+    flat = flat && visited < 5 && out.records == 1;
   }
   std::printf("\n");
   return flat ? 0 : 1;
--- a/tests/control_words.cpp
+++ b/tests/control_words.cpp
@@ -8,130 +8,136 @@
 
 namespace {
 
-std::string of(Version version) {
+std::string format(Version version) {
   return std::to_string(version.token.raw) + "." + std::to_string(version.number);
 }
-std::string of(const Entry& entry) {
-  return entry.key + "=" + entry.value + (entry.deleted ? " deleted" : "") + " at " + of(entry.version) +
+std::string format(const Entry& entry) {
+  return entry.key + "=" + entry.value + (entry.deleted ? " deleted" : "") + " at " + format(entry.version) +
          " by " + std::to_string(entry.writer.raw);
 }
-std::string of(const std::vector<Record>& records) {
+std::string format(const std::vector<Record>& records) {
   std::string out;
   for (const Record& one : records)
-    out += "; " + of(one.entry) + " of " + std::to_string(one.writer_incarnation.raw) + " put " +
+    out += "; " + format(one.entry) + " of " + std::to_string(one.writer_incarnation.raw) + " put " +
            std::to_string(one.put.raw);
   return out;
 }
-std::string of(const std::vector<Entry>& entries) {
+std::string format(const std::vector<Entry>& entries) {
   std::string out;
-  for (const Entry& one : entries) out += "; " + of(one);
+  for (const Entry& one : entries) out += "; " + format(one);
   return out;
 }
-std::string of(const Position& at) {
-  return "taken " + of(at.taken) + " staged " + of(at.staged) + " renewing " + of(at.renewing) + " renewed " +
-         of(at.renewed) + " renewals " + std::to_string(at.renewals);
+std::string format(const Position& at) {
+  return "taken " + format(at.taken) + " staged " + format(at.staged) + " renewing " + format(at.renewing) +
+         " renewed " + format(at.renewed) + " renewals " + std::to_string(at.renewals);
 }
 
 // Prints, if told to; counts what it was told.
-struct Told final : control_codec::ControlListener, control_codec::FollowerListener {
+struct PrintedMessages final : control_codec::ControlListener, control_codec::FollowerListener {
   bool quiet = false;
-  std::size_t words = 0;
+  std::size_t messages = 0;
 
-  void say(const std::string& what) {
-    ++words;
-    if (!quiet) std::printf("  %s\n", what.c_str());
+  void print(const std::string& text) {
+    ++messages;
+    if (!quiet) std::printf("  %s\n", text.c_str());
   }
-  static std::string n(std::uint64_t number) { return std::to_string(number); }
+  static std::string decimal(std::uint64_t number) { return std::to_string(number); }
   void prepared(Token token, std::uint32_t round) override {
-    say("prepare " + n(token.raw) + " round " + n(round));
+    print("prepare " + decimal(token.raw) + " round " + decimal(round));
   }
-  void promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& standing) override {
+  void promised(Incarnation to, Token token, std::uint32_t round, const LogStatus& status) override {
     std::string rosters;
-    for (const auto& [version, roster] : standing.rosters)
-      rosters += "; " + of(version) + " " + format_roster(roster);
-    say("promise to " + n(to.raw) + " " + n(token.raw) + " round " + n(round) + " last " + of(standing.last) +
-        " committed " + of(standing.committed) + rosters);
+    for (const auto& [version, roster] : status.rosters)
+      rosters += "; " + format(version) + " " + format_roster(roster);
+    print("promise to " + decimal(to.raw) + " " + decimal(token.raw) + " round " + decimal(round) + " last " +
+          format(status.last) + " committed " + format(status.committed) + rosters);
   }
   void refused(Incarnation to, Token token, Token seen) override {
-    say("refuse to " + n(to.raw) + " " + n(token.raw) + " seen " + n(seen.raw));
+    print("refuse to " + decimal(to.raw) + " " + decimal(token.raw) + " seen " + decimal(seen.raw));
   }
   void appending(const Append& a) override {
-    say("append " + n(a.token.raw) + " mark " + n(a.sequence) + " log from " + of(a.log_from) + " behind " +
-        of(a.previous) + " committed " + of(a.committed) + of(a.records));
+    print("append " + decimal(a.token.raw) + " mark " + decimal(a.sequence) + " log from " +
+          format(a.log_from) + " behind " + format(a.previous) + " committed " + format(a.committed) +
+          format(a.records));
   }
   void appended(Incarnation to, Token token, std::uint64_t sequence, Version matched, bool gap) override {
-    say("appended to " + n(to.raw) + " " + n(token.raw) + " mark " + n(sequence) + " up to " + of(matched) +
-        (gap ? " gap" : ""));
+    print("appended to " + decimal(to.raw) + " " + decimal(token.raw) + " mark " + decimal(sequence) +
+          " up to " + format(matched) + (gap ? " gap" : ""));
   }
   void fetched(Token token, Version base, Version cursor, Token since) override {
-    say("fetch " + n(token.raw) + " base " + of(base) + " after " + of(cursor) + " since " + n(since.raw));
+    print("fetch " + decimal(token.raw) + " base " + format(base) + " after " + format(cursor) + " since " +
+          decimal(since.raw));
   }
   void chunked(Incarnation to, const Chunk& c) override {
-    say("chunk to " + n(to.raw) + " " + n(c.token.raw) + " base " + of(c.base) + " " + of(c.from) + " to " +
-        of(c.to) + " floor " + of(c.floor) + " committed " + of(c.committed) + (c.last ? " last" : "") +
-        (c.unavailable ? " no way" : "") + of(c.records));
+    print("chunk to " + decimal(to.raw) + " " + decimal(c.token.raw) + " base " + format(c.base) + " " +
+          format(c.from) + " to " + format(c.to) + " floor " + format(c.floor) + " committed " +
+          format(c.committed) + (c.last ? " last" : "") + (c.unavailable ? " no way" : "") +
+          format(c.records));
   }
   void passed(Incarnation to, Token token, const ForwardedPut& p) override {
-    say("pass to " + n(to.raw) + " " + n(token.raw) + " put " + n(p.number.raw) + " oldest " +
-        n(p.oldest.raw) + " " + p.key + "=" + p.value + (p.deleted ? " deleted" : "") +
-        (p.expected ? " expects " + of(*p.expected) : ""));
+    print("pass to " + decimal(to.raw) + " " + decimal(token.raw) + " put " + decimal(p.number.raw) +
+          " oldest " + decimal(p.oldest.raw) + " " + p.key + "=" + p.value + (p.deleted ? " deleted" : "") +
+          (p.expected ? " expects " + format(*p.expected) : ""));
   }
   void answered(Incarnation to, Token token, PutNumber put, PutOutcome end, Version version,
-                std::string_view why) override {
-    say("answer to " + n(to.raw) + " " + n(token.raw) + " put " + n(put.raw) + " " +
-        std::string(to_text(end)) + " " + of(version) + " " + std::string(why.substr(0, 20)) + " (" +
-        n(why.size()) + ")");
+                std::string_view reason) override {
+    print("answer to " + decimal(to.raw) + " " + decimal(token.raw) + " put " + decimal(put.raw) + " " +
+          std::string(to_text(end)) + " " + format(version) + " " + std::string(reason.substr(0, 20)) + " (" +
+          decimal(reason.size()) + ")");
   }
   void part(PartRevision from, PartRevision upto, PartRevision last, std::uint64_t digest,
             const std::vector<MemberRecord>& records) override {
-    std::string out =
-        "part " + n(from.raw) + " to " + n(upto.raw) + " of " + n(last.raw) + " digest " + n(digest);
+    std::string out = "part " + decimal(from.raw) + " to " + decimal(upto.raw) + " of " + decimal(last.raw) +
+                      " digest " + decimal(digest);
     for (const MemberRecord& r : records)
-      out += "; " + n(r.member.raw) + " of " + n(r.incarnation.raw) + " attached " + n(r.attachment.raw) +
-             " " + r.address + " " + r.zone + " since " + n(r.since) + " " +
-             std::string(to_text(r.presence)) + " " + n(r.revision.raw);
-    say(out);
+      out += "; " + decimal(r.member.raw) + " of " + decimal(r.incarnation.raw) + " attached " +
+             decimal(r.attachment.raw) + " " + r.address + " " + r.zone + " since " + decimal(r.since) + " " +
+             std::string(to_text(r.presence)) + " " + decimal(r.revision.raw);
+    print(out);
   }
   void part_held(Incarnation owner, PartRevision upto) override {
-    say("held of " + n(owner.raw) + " to " + n(upto.raw));
+    print("held of " + decimal(owner.raw) + " to " + decimal(upto.raw));
   }
   void follow(AttachmentNumber number, bool primary, const Position& at,
               const std::vector<FollowedScope>& scopes, std::string_view zone) override {
-    std::string out = "follow " + n(number.raw) + (primary ? " first " : " second ") + of(at);
-    for (const FollowedScope& s : scopes) out += "; " + s.scope + " " + n(s.digest) + (s.held ? " held" : "");
-    say(out + " in " + std::string(zone));
+    std::string out = "follow " + decimal(number.raw) + (primary ? " first " : " second ") + format(at);
+    for (const FollowedScope& s : scopes)
+      out += "; " + s.scope + " " + decimal(s.digest) + (s.held ? " held" : "");
+    print(out + " in " + std::string(zone));
   }
   void have(AttachmentNumber number, const Position& at) override {
-    say("have " + n(number.raw) + " " + of(at));
+    print("have " + decimal(number.raw) + " " + format(at));
   }
   void compare(AttachmentNumber number, Version at, const std::vector<std::uint64_t>& digests) override {
-    std::string out = "compare " + n(number.raw) + " at " + of(at);
-    for (const std::uint64_t one : digests) out += " " + n(one);
-    say(out);
+    std::string out = "compare " + decimal(number.raw) + " at " + format(at);
+    for (const std::uint64_t one : digests) out += " " + decimal(one);
+    print(out);
   }
-  void unfollow(AttachmentNumber number) override { say("unfollow " + n(number.raw)); }
+  void unfollow(AttachmentNumber number) override { print("unfollow " + decimal(number.raw)); }
   void delta(Incarnation to, AttachmentNumber number, Version from, Version upto, Version last, Nanos age,
              const std::vector<Entry>& entries) override {
-    say("delta to " + n(to.raw) + " " + n(number.raw) + " " + of(from) + " to " + of(upto) + " of " +
-        of(last) + " age " + std::to_string(age) + of(entries));
+    print("delta to " + decimal(to.raw) + " " + decimal(number.raw) + " " + format(from) + " to " +
+          format(upto) + " of " + format(last) + " age " + std::to_string(age) + format(entries));
   }
   void renewal(Incarnation to, AttachmentNumber number, Version at, const std::vector<std::uint16_t>& scopes,
                Version from, Version upto, Version last, const std::vector<Entry>& entries) override {
-    std::string out = "renewal to " + n(to.raw) + " " + n(number.raw) + " at " + of(at) + " scopes";
-    for (const std::uint16_t one : scopes) out += " " + n(one);
-    say(out + " " + of(from) + " to " + of(upto) + " of " + of(last) + of(entries));
+    std::string out =
+        "renewal to " + decimal(to.raw) + " " + decimal(number.raw) + " at " + format(at) + " scopes";
+    for (const std::uint16_t one : scopes) out += " " + decimal(one);
+    print(out + " " + format(from) + " to " + format(upto) + " of " + format(last) + format(entries));
   }
   void beat(Incarnation to, AttachmentNumber number, Version committed, Nanos age) override {
-    say("beat to " + n(to.raw) + " " + n(number.raw) + " " + of(committed) + " age " + std::to_string(age));
+    print("beat to " + decimal(to.raw) + " " + decimal(number.raw) + " " + format(committed) + " age " +
+          std::to_string(age));
   }
   void rest(Incarnation to, AttachmentNumber number, Nanos rest) override {
-    say("rest to " + n(to.raw) + " " + n(number.raw) + " " + std::to_string(rest));
+    print("rest to " + decimal(to.raw) + " " + decimal(number.raw) + " " + std::to_string(rest));
   }
   void elsewhere(Incarnation to, AttachmentNumber number) override {
-    say("elsewhere to " + n(to.raw) + " " + n(number.raw));
+    print("elsewhere to " + decimal(to.raw) + " " + decimal(number.raw));
   }
   void again(Incarnation to, AttachmentNumber number) override {
-    say("again to " + n(to.raw) + " " + n(number.raw));
+    print("again to " + decimal(to.raw) + " " + decimal(number.raw));
   }
 };
 
@@ -172,40 +178,41 @@
                                           rest(to, AttachmentNumber{4}, 30),
                                           elsewhere(to, AttachmentNumber{4}),
                                           again(to, AttachmentNumber{4})};
-  Told told;
+  PrintedMessages printed;
   int wrong = 0;
   const auto read_as = [&](bool by_control, std::string_view bytes) {
-    return by_control ? read(bytes, static_cast<ControlListener&>(told))
-                      : read(bytes, static_cast<FollowerListener&>(told));
+    return by_control ? read(bytes, static_cast<ControlListener&>(printed))
+                      : read(bytes, static_cast<FollowerListener&>(printed));
   };
   std::printf("# each as it was said\n");
   for (const bool by_control : {true, false})
-    for (const std::string& word : by_control ? control : follower) wrong += !read_as(by_control, word);
+    for (const std::string& message : by_control ? control : follower) wrong += !read_as(by_control, message);
 
   std::printf("# not by the other side, not cut to any length, not with scopes or ends that there are not\n");
-  told.quiet = true;
-  std::size_t cuts = 0, sense = 0;
+  printed.quiet = true;
+  std::size_t cuts = 0, still_valid = 0;
   for (const bool by_control : {true, false})
-    for (const std::string& word : by_control ? control : follower) {
-      wrong += read_as(!by_control, word);
-      for (std::size_t n = 0; n < word.size(); ++n, ++cuts) {
-        const std::size_t before = told.words;
-        const bool taken = read_as(by_control, std::string_view(word).substr(0, n));
-        wrong += taken != (told.words > before); // a word is told as a whole, or nothing of it
+    for (const std::string& message : by_control ? control : follower) {
+      wrong += read_as(!by_control, message);
+      for (std::size_t n = 0; n < message.size(); ++n, ++cuts) {
+        const std::size_t before = printed.messages;
+        const bool accepted = read_as(by_control, std::string_view(message).substr(0, n));
+        wrong += accepted != (printed.messages > before); // a word is told as a whole, or nothing of it
       }
-      std::string spoilt = word;
-      for (std::size_t n = 0; n < word.size(); ++n) {
-        spoilt[n] = static_cast<char>(spoilt[n] ^ 0x80);
-        const std::size_t before = told.words;
-        const bool taken = read_as(by_control, spoilt);
-        wrong += taken != (told.words > before);
-        sense += taken;
-        spoilt[n] = word[n];
+      std::string corrupted = message;
+      for (std::size_t n = 0; n < message.size(); ++n) {
+        corrupted[n] = static_cast<char>(corrupted[n] ^ 0x80);
+        const std::size_t before = printed.messages;
+        const bool accepted = read_as(by_control, corrupted);
+        wrong += accepted != (printed.messages > before);
+        still_valid += accepted;
+        corrupted[n] = message[n];
       }
     }
   wrong += read_as(false, renewal(to, AttachmentNumber{4}, b, {64}, a, b, b, {}));
   wrong += read_as(true, answer(to, token, PutNumber{7}, static_cast<PutOutcome>(3), a, ""));
-  std::printf("  %zu cut; some spoilt ones still make sense (their sum would not): %d\n", cuts, sense > 0);
+  std::printf("  %zu cut; some spoilt ones still make sense (their sum would not): %d\n", cuts,
+              still_valid > 0);
 
   std::printf(
       "# the longest: as many bytes as a batch may have, in records of the least and of the largest\n");
@@ -213,17 +220,17 @@
   const double overhead = number(default_control_settings(true), "control.record_overhead", 0);
   for (const std::size_t size : {std::size_t{1}, std::size_t{100}, std::size_t{4096 + 200}}) {
     Append append{token, ~0ULL, a, a, a, {}};
-    Record one{{std::string(std::min<std::size_t>(size, 200), 'k'),
-                std::string(size > 200 ? size - 200 : 0, 'v'),
-                {Token{~0ULL}, ~0ULL},
-                MemberId{65535},
-                true},
-               Incarnation{~0ULL},
-               PutNumber{~0ULL}};
+    Record record_of_size{{std::string(std::min<std::size_t>(size, 200), 'k'),
+                           std::string(size > 200 ? size - 200 : 0, 'v'),
+                           {Token{~0ULL}, ~0ULL},
+                           MemberId{65535},
+                           true},
+                          Incarnation{~0ULL},
+                          PutNumber{~0ULL}};
     for (double bytes = 0;
          bytes + static_cast<double>(size) + overhead <= most_batch || append.records.empty();
          bytes += static_cast<double>(size) + overhead)
-      append.records.push_back(one);
+      append.records.push_back(record_of_size);
     wrong += control_codec::append(append).size() > peer_codec::max_control_bytes;
   }
   std::printf("wrong %d\n", wrong);
--- a/tests/link_costs.cpp
+++ b/tests/link_costs.cpp
@@ -18,16 +18,16 @@
 constexpr Nanos ms = 1'000'000, second = 1000 * ms;
 constexpr std::size_t tcp_ip = 40; // bytes beside a frame, one segment each
 
-class Net {
+class SimulatedNetwork {
  public:
   Nanos now = 0;
-  void at(Nanos time, std::function<void()> what) { events_.push({time, next_++, std::move(what)}); }
+  void at(Nanos time, std::function<void()> action) { events_.push({time, next_++, std::move(action)}); }
   void to(Nanos time) {
     while (!events_.empty() && events_.top().at <= time) {
       const Event event = events_.top();
       events_.pop();
       now = event.at;
-      event.what();
+      event.action();
     }
     now = time;
   }
@@ -36,7 +36,7 @@
   struct Event {
     Nanos at;
     std::uint64_t order;
-    std::function<void()> what;
+    std::function<void()> action;
     bool operator<(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
   std::priority_queue<Event> events_;
@@ -48,20 +48,20 @@
 
 // A member with its link and its list of voters, and no leases: what it asks and answers stands for them.
 struct Member final : PeerActions, peer_codec::Listener {
-  Net& net;
+  SimulatedNetwork& net;
   Members& all;
   peer_codec::Sender self;
-  Voters voting;
+  Voters voter_list;
   Peers peers;
-  Nanos armed = -1, learnt_at = -1;
-  std::map<MemberId, std::uint64_t> lines; // the one that counts
-  std::uint64_t next_line = 0;
+  Nanos armed = -1, list_received_at = -1;
+  std::map<MemberId, std::uint64_t> connections; // the one that counts
+  std::uint64_t next_connection = 0;
 
-  Member(Net& n, Members& members, MemberId number, const VoterList& list, std::vector<MemberId> others,
-         const Settings& figures)
+  Member(SimulatedNetwork& n, Members& members, MemberId number, const VoterList& list,
+         std::vector<MemberId> others, const Settings& settings)
       : net(n), all(members), self{"rig", number, MemberId{}, Incarnation{number.raw + 1000}},
-        voting(n.now, number, list, second),
-        peers(n.now, self, std::move(others), voting, figures, number.raw, *this) {
+        voter_list(n.now, number, list, second),
+        peers(n.now, self, std::move(others), voter_list, settings, number.raw, *this) {
     turn();
   }
   Member* other(MemberId number) const { return number.raw < all.size() ? all[number.raw].get() : nullptr; }
@@ -77,31 +77,32 @@
       turn();
     });
   }
-  template <class Act>
-  void later(MemberId to, Act act) { // of the line as it is now, a millisecond on
-    net.at(net.now + ms, [this, to, line = lines[to], act] {
-      if (lines[to] != line) return;
-      act();
+  template <class Action>
+  void later(MemberId to, Action action) { // of the line as it is now, a millisecond on
+    net.at(net.now + ms, [this, to, connection = connections[to], action] {
+      if (connections[to] != connection) return;
+      action();
       turn();
     });
   }
   void dial(MemberId to) override {
-    lines[to] = ++next_line;
+    connections[to] = ++next_connection;
     later(to, [this, to] {
       if (!other(to)) return peers.broken(net.now, to);
       peers.connected(net.now, to);
-      peers.enqueue(to, Peers::MessageClass::update, "", peer_codec::voters(voting.on_file(), voting.list()));
+      peers.enqueue(to, Peers::MessageClass::update, "",
+                    peer_codec::voters(voter_list.on_file(), voter_list.list()));
     });
   }
-  void disconnect(MemberId to) override { lines[to] = 0; }
+  void disconnect(MemberId to) override { connections[to] = 0; }
   void send(MemberId to, std::string frame) override {
     later(to, [this, to, frame = std::move(frame)] {
-      Member* const hearer = other(to);
-      if (!hearer) return peers.broken(net.now, to);
+      Member* const recipient = other(to);
+      if (!recipient) return peers.broken(net.now, to);
       peer_codec::Sender sender = self;
       sender.to = to;
-      peer_codec::decode_message(std::string_view(frame).substr(9), sender, *hearer);
-      hearer->turn();
+      peer_codec::decode_message(std::string_view(frame).substr(9), sender, *recipient);
+      recipient->turn();
       peers.written(net.now, to);
     });
   }
@@ -111,20 +112,21 @@
   void duplicate_member(MemberId) override {}
   int silences = 0;
 
-  bool message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t heard,
+  bool message(MemberId from, Incarnation incarnation, std::uint64_t number, std::uint64_t acked,
                Incarnation acked_incarnation, bool leaving,
                const peer_codec::HeartbeatTerms& heartbeat) override {
-    return peers.received(net.now, from, of, number, heard, acked_incarnation, leaving, heartbeat);
+    return peers.received(net.now, from, incarnation, number, acked, acked_incarnation, leaving, heartbeat);
   }
   void voters(MemberId from, Epoch on_file, const VoterList& list) override {
-    voting.file_epoch_received(net.now, from, on_file);
-    const Epoch before = voting.epoch();
-    voting.list_received(net.now, list);
-    if (voting.epoch() > before) learnt_at = net.now;
+    voter_list.file_epoch_received(net.now, from, on_file);
+    const Epoch before = voter_list.epoch();
+    voter_list.list_received(net.now, list);
+    if (voter_list.epoch() > before) list_received_at = net.now;
   }
-  void asked(MemberId from, Incarnation of, Epoch, std::string_view lease, AskNo number, Token,
+  void asked(MemberId from, Incarnation incarnation, Epoch, std::string_view lease, AskNo number, Token,
              Nanos) override {
-    peers.enqueue(from, Peers::MessageClass::response, lease, peer_codec::grant(of, lease, number, false));
+    peers.enqueue(from, Peers::MessageClass::response, lease,
+                  peer_codec::grant(incarnation, lease, number, false));
   }
   void released(MemberId, Incarnation, std::string_view, AskNo) override {}
   void granted(MemberId, Incarnation, std::string_view, AskNo, bool) override {}
@@ -132,9 +134,9 @@
   void done(MemberId, std::string_view, Token, Nanos) override {}
 };
 
-Settings figures(double more_members = 0) {
+Settings settings_for(double max_members = 0) {
   return {{"peers.beat", 500e6},    {"peers.silent", 2e9},        {"peers.rest_least", 50e6},
-          {"peers.rest_most", 2e9}, {"peers.most_words", 1024.0}, {"peers.most_members", more_members}};
+          {"peers.rest_most", 2e9}, {"peers.most_words", 1024.0}, {"peers.most_members", max_members}};
 }
 
 // y = a N^b, least squares of the logarithms.
@@ -146,33 +148,33 @@
   }
   return (n * xy - x * y) / (n * xx - x * x);
 }
-void judged(const char* what, const std::vector<double>& sizes, const std::vector<double>& costs,
-            double most) {
-  const double found = exponent(sizes, costs);
-  std::printf("  %s: exponent %.2f, %s\n", what, std::abs(found) < 0.005 ? 0 : found,
-              found <= most ? "holds" : "TOO STEEP");
+void check_exponent(const char* text, const std::vector<double>& sizes, const std::vector<double>& costs,
+                    double most) {
+  const double exponent_found = exponent(sizes, costs);
+  std::printf("  %s: exponent %.2f, %s\n", text, std::abs(exponent_found) < 0.005 ? 0 : exponent_found,
+              exponent_found <= most ? "holds" : "TOO STEEP");
 }
 
 struct Cost {
-  double looked = 0, messages = 0, bytes = 0, heard = 0, dials = 0;
+  double examined = 0, messages = 0, bytes = 0, received = 0, dials = 0;
 };
 
 // One voter, or one member that chooses (`by_choice`), among N that speak with it.
 struct Star {
-  Net net;
+  SimulatedNetwork net;
   Members all;
   std::size_t size;
   explicit Star(std::size_t members, bool by_choice) : size(members) {
     const VoterList list{Epoch{1}, {MemberId{1}}, {}};
     all.resize(members + 2);
-    Settings centre = figures(static_cast<double>(members));
-    if (by_choice) centre["peers.by_choice"] = 1.0;
-    all[1] = std::make_unique<Member>(net, all, MemberId{1}, list, std::vector<MemberId>{}, centre);
+    Settings centre_settings = settings_for(static_cast<double>(members));
+    if (by_choice) centre_settings["peers.by_choice"] = 1.0;
+    all[1] = std::make_unique<Member>(net, all, MemberId{1}, list, std::vector<MemberId>{}, centre_settings);
     const auto start = [this, list, by_choice](std::uint32_t number) {
       all[1]->peers.add(net.now, MemberId{number});
       if (by_choice) all[1]->peers.request_connection(net.now, MemberId{number}, true);
-      all[number] =
-          std::make_unique<Member>(net, all, MemberId{number}, list, std::vector{MemberId{1}}, figures(1));
+      all[number] = std::make_unique<Member>(net, all, MemberId{number}, list, std::vector{MemberId{1}},
+                                             settings_for(1));
     };
     for (std::uint32_t number = 2; number < members + 2; ++number) // a cold start of all within ten seconds
       net.at(10 * second * number / static_cast<Nanos>(members + 2), [start, number] { start(number); });
@@ -183,7 +185,7 @@
               static_cast<double>(costs.bytes + tcp_ip * costs.messages), 0,
               static_cast<double>(costs.dials)};
     for (const auto& member : all)
-      if (member && member != all[1]) cost.heard += static_cast<double>(member->peers.costs().messages);
+      if (member && member != all[1]) cost.received += static_cast<double>(member->peers.costs().messages);
     return cost;
   }
   Cost during(Nanos span) {
@@ -191,8 +193,8 @@
     net.to(net.now + span);
     const Cost after = sum();
     const double seconds = static_cast<double>(span) / 1e9;
-    return {(after.looked - before.looked) / seconds, (after.messages - before.messages) / seconds,
-            (after.bytes - before.bytes) / seconds, (after.heard - before.heard) / seconds,
+    return {(after.examined - before.examined) / seconds, (after.messages - before.messages) / seconds,
+            (after.bytes - before.bytes) / seconds, (after.received - before.received) / seconds,
             (after.dials - before.dials) / seconds};
   }
   // Each asks the voter for something every two seconds.
@@ -209,7 +211,8 @@
   std::printf("# %s among N: a cold start within ten seconds; then, a second, with nothing to say; then with "
               "an ask of each every two seconds\n",
               by_choice ? "one that chooses its lines" : "a voter");
-  std::vector<double> sizes, cold_looked, cold_letters, idle_looked, idle_bytes, idle_heard, busy_looked;
+  std::vector<double> sizes, cold_examined, cold_messages, idle_examined, idle_bytes, idle_received,
+      busy_examined;
   for (const std::size_t size : {100, 300, 1000, 3000, 6600}) {
     Star star(size, by_choice);
     star.net.to(20 * second);
@@ -225,22 +228,22 @@
     const Cost busy = star.during(10 * second);
     std::printf("  %4zu: cold %.0f looked, %.0f letters, %.0f dials; idle %.1f looked, %.1f letters, %.0f "
                 "bytes, %.1f heard, %.1f dials, %d silences; busy %.0f looked, %.0f letters\n",
-                size, cold.looked, cold.messages, cold.dials, idle.looked, idle.messages, idle.bytes,
-                idle.heard, idle.dials, silences, busy.looked, busy.messages);
+                size, cold.examined, cold.messages, cold.dials, idle.examined, idle.messages, idle.bytes,
+                idle.received, idle.dials, silences, busy.examined, busy.messages);
     sizes.push_back(static_cast<double>(size));
-    cold_looked.push_back(cold.looked);
-    cold_letters.push_back(cold.messages);
-    idle_looked.push_back(idle.looked);
+    cold_examined.push_back(cold.examined);
+    cold_messages.push_back(cold.messages);
+    idle_examined.push_back(idle.examined);
     idle_bytes.push_back(idle.bytes);
-    idle_heard.push_back(idle.heard);
-    busy_looked.push_back(busy.looked);
+    idle_received.push_back(idle.received);
+    busy_examined.push_back(busy.examined);
   }
-  judged("looked at in a cold start", sizes, cold_looked, 1.1);
-  judged("letters in a cold start", sizes, cold_letters, 1.1);
-  judged("looked at a second, idle", sizes, idle_looked, 0.05);
-  judged("bytes a second, idle", sizes, idle_bytes, 0.05);
-  judged("letters heard a second, idle", sizes, idle_heard, 0.05);
-  judged("looked at a second, busy", sizes, busy_looked, 1.1);
+  check_exponent("looked at in a cold start", sizes, cold_examined, 1.1);
+  check_exponent("letters in a cold start", sizes, cold_messages, 1.1);
+  check_exponent("looked at a second, idle", sizes, idle_examined, 0.05);
+  check_exponent("bytes a second, idle", sizes, idle_bytes, 0.05);
+  check_exponent("letters heard a second, idle", sizes, idle_received, 0.05);
+  check_exponent("looked at a second, busy", sizes, busy_examined, 1.1);
 }
 
 // The voters that all know are gone; of N others, some know a newer list.
@@ -249,9 +252,9 @@
       "# the old voters are gone, and part of N know of the new ones: until all others do, by whom they "
       "are asked\n");
   std::vector<double> sizes, dials;
-  for (const auto& [size, knowing] :
+  for (const auto& [size, with_list] :
        {std::pair{30U, 1U}, {100U, 1U}, {300U, 1U}, {300U, 30U}, {300U, 150U}}) {
-    Net net;
+    SimulatedNetwork net;
     Members all;
     const VoterList before{Epoch{1}, {MemberId{size + 1}, MemberId{size + 2}, MemberId{size + 3}}, {}};
     const VoterList after{Epoch{2}, {MemberId{1}, MemberId{2}, MemberId{3}}, {}};
@@ -260,26 +263,29 @@
     all.resize(size + 4);
     // The new voters go by their list too; those who know it hear them.
     for (std::uint32_t number = 1; number <= size; ++number)
-      all[number] = std::make_unique<Member>(
-          net, all, MemberId{number}, number <= 3 + knowing ? after : before, numbers, figures(size + 3));
-    std::vector<double> told;
-    int unknowing = 0;
-    std::uint64_t dialled = 0;
+      all[number] =
+          std::make_unique<Member>(net, all, MemberId{number}, number <= 3 + with_list ? after : before,
+                                   numbers, settings_for(size + 3));
+    std::vector<double> learned_after;
+    int without_list = 0;
+    std::uint64_t total_dials = 0;
     net.to(120 * second);
-    for (std::uint32_t number = 4 + knowing; number <= size; ++number) {
-      ++unknowing;
-      dialled += all[number]->peers.costs().dials;
-      if (all[number]->learnt_at >= 0)
-        told.push_back(static_cast<double>(all[number]->learnt_at - 8 * second) / 1e9);
+    for (std::uint32_t number = 4 + with_list; number <= size; ++number) {
+      ++without_list;
+      total_dials += all[number]->peers.costs().dials;
+      if (all[number]->list_received_at >= 0)
+        learned_after.push_back(static_cast<double>(all[number]->list_received_at - 8 * second) / 1e9);
     }
-    std::sort(told.begin(), told.end());
+    std::sort(learned_after.begin(), learned_after.end());
     std::printf("  %3u, of whom %u know: %zu of %d learn it; half within %.1f s of the first question, nine "
                 "tenths within %.1f, all within %.1f; dials of each %.1f\n",
-                size, knowing, told.size(), unknowing, told[told.size() / 2], told[told.size() * 9 / 10],
-                told.back(), static_cast<double>(dialled) / unknowing);
-    if (knowing == 1) sizes.push_back(size), dials.push_back(static_cast<double>(dialled) / unknowing);
+                size, with_list, learned_after.size(), without_list, learned_after[learned_after.size() / 2],
+                learned_after[learned_after.size() * 9 / 10], learned_after.back(),
+                static_cast<double>(total_dials) / without_list);
+    if (with_list == 1)
+      sizes.push_back(size), dials.push_back(static_cast<double>(total_dials) / without_list);
   }
-  judged("dials of each", sizes, dials, 0.5);
+  check_exponent("dials of each", sizes, dials, 0.5);
 }
 
 } // namespace
