--- a/tests/control_directory.cpp
+++ b/tests/control_directory.cpp
@@ -48,11 +48,11 @@
     std::printf("  to %u have %llu\n", to.raw, static_cast<unsigned long long>(upto.raw));
   }
   void presence_changed(const MemberRecord& m, Presence before) override {
-    std::printf("  news of %u/%llu: %s, was %s\n", m.member.raw,
+    std::printf("  presence of %u/%llu: %s, was %s\n", m.member.raw,
                 static_cast<unsigned long long>(m.incarnation.raw), std::string(to_text(m.presence)).c_str(),
                 std::string(to_text(before)).c_str());
   }
-  void duplicate_member(MemberId member) override { std::printf("  %u lives twice\n", member.raw); }
+  void duplicate_member(MemberId member) override { std::printf("  %u is a duplicate\n", member.raw); }
 };
 
 struct Driver {
@@ -88,7 +88,8 @@
 
 void steps() {
   {
-    say("what follows here is told to those who are heard, by changes; silent, left, well again, forgotten");
+    say("local members are replicated to the control members received from, as changes; unresponsive, left, "
+        "alive again, forgotten");
     Driver s;
     s.directory.attached(0, record(20, 1, 5));
     s.part({}, {}, {}, {});
@@ -108,7 +109,8 @@
     print_zones(s.directory);
   }
   {
-    say("room for three; where two tell of one: well goes first, then the newest attachment");
+    say("room for three; of two records of one member, an alive one takes precedence, then the newest "
+        "attachment");
     Driver s;
     s.out.quiet = true;
     s.directory.attached(0, record(20, 1, 5));
@@ -118,12 +120,12 @@
     s.directory.detached(0, MemberId{20}, Incarnation{1});
     s.directory.attached(0, record(22, 1, 1));
     s.directory.attached(0, record(23, 1, 1));
-    std::printf("  refused at one's own: %d, counted %llu\n", s.directory.attached(0, record(24, 1, 1)),
+    std::printf("  local member refused: %d, counted %llu\n", s.directory.attached(0, record(24, 1, 1)),
                 static_cast<unsigned long long>(s.directory.counts().refused));
   }
   {
-    say("a gap in a part is told to its owner; a part of a new life takes the old one's place when it is "
-        "whole");
+    say("a gap in a part is reported to its owner; the part of a new incarnation replaces the old one when "
+        "it is complete");
     Driver s;
     s.out.quiet = true;
     s.part({}, PartRevision{1}, PartRevision{1}, {with_presence(record(20, 1, 1), Presence::alive, 1)});
@@ -134,13 +136,13 @@
            {with_presence(record(22, 1, 2), Presence::alive, 2)}, 23);
     s.part({}, PartRevision{1}, PartRevision{1},
            {with_presence(record(20, 1, 1), Presence::alive, 1)}); // of the life before
-    say("its owner is silent: so are they; forgotten later");
+    say("its owner is unresponsive: so are its members; forgotten later");
     s.run_until(1700);
     s.run_until(5100);
   }
   {
-    say("a life that was replaced speaks on: two under one number; so where two control members hear one "
-        "each");
+    say("a replaced incarnation still sends: two members use one number; likewise when two control members "
+        "receive from one each");
     Driver s;
     s.out.quiet = true;
     s.directory.attached(0, record(20, 1, 5));
@@ -235,18 +237,18 @@
                                             : zones[one.zone].silent);
         return true;
       });
-      if (zones != owner->directory->summary()) return "a summary that is not of the list";
+      if (zones != owner->directory->summary()) return "the summary does not match the list";
       for (unsigned m = 0; m < members_.size(); ++m) {
         const Member& member = members_[m];
         const MemberRecord* const seen = owner->directory->find(MemberId{100 + m});
         const std::string where = std::to_string(owner->id.raw) + " of " + std::to_string(100 + m);
-        if (!member.up && seen) return where + ": remembered, though it is gone for long";
-        if (member.up && (!seen || seen->presence != Presence::alive)) return where + ": not well";
-        if (member.up && seen->incarnation.raw != member.incarnation) return where + ": another life";
+        if (!member.up && seen) return where + ": still known long after it is gone";
+        if (member.up && (!seen || seen->presence != Presence::alive)) return where + ": not alive";
+        if (member.up && seen->incarnation.raw != member.incarnation) return where + ": another incarnation";
       }
     }
     // Where words come later than a silence lasts, some may seem so.
-    return duplicates > 0 && !severe_faults_ ? "doubled, and none was" : "";
+    return duplicates > 0 && !severe_faults_ ? "reported as duplicate, and none was" : "";
   }
 
  private:
@@ -340,8 +342,8 @@
     if (error.empty()) continue;
     if (wrong++ == 0) first = "seed " + std::to_string(seed) + ", " + error;
   }
-  std::printf("%llu seeds, wrong %llu; parts repeated %llu, begun anew by their digest %llu; taken for "
-              "doubled %llu times\n",
+  std::printf("%llu seeds, wrong %llu; parts retransmitted %llu, restarted for their digest %llu; taken for "
+              "duplicates %llu times\n",
               static_cast<unsigned long long>(seeds), static_cast<unsigned long long>(wrong),
               static_cast<unsigned long long>(retries), static_cast<unsigned long long>(restarts),
               static_cast<unsigned long long>(duplicates));
@@ -360,7 +362,7 @@
   void duplicate_member(MemberId) override {}
 };
 int cost() {
-  std::printf("  looked at and told for a member's change, of 100 to 10,000:");
+  std::printf("  visited and sent for a member's change, of 100 to 10,000:");
   bool flat = true;
   for (const unsigned all : {100u, 300u, 1000u, 3000u, 10000u}) {
     Settings settings = settings_for(all);
@@ -388,9 +390,9 @@
 int main(int argc, char** argv) {
   if (argc > 1) return many(std::strtoull(argv[1], nullptr, 10), argc > 2 && !std::strcmp(argv[2], "stop"));
   steps();
-  say("several of them, members that move, stop, leave and start anew");
+  say("several control members, with members that move, stop, leave and restart");
   int wrong = many(100, false);
-  say("what a change costs");
+  say("the cost of a change");
   wrong += cost();
   return wrong;
 }
--- a/tests/control_words.cpp
+++ b/tests/control_words.cpp
@@ -184,11 +184,11 @@
     return by_control ? read(bytes, static_cast<ControlListener&>(printed))
                       : read(bytes, static_cast<FollowerListener&>(printed));
   };
-  std::printf("# each as it was said\n");
+  std::printf("# each message is decoded as it was encoded\n");
   for (const bool by_control : {true, false})
     for (const std::string& message : by_control ? control : follower) wrong += !read_as(by_control, message);
 
-  std::printf("# not by the other side, not cut to any length, not with scopes or ends that there are not\n");
+  std::printf("# not by the other side, not truncated to any length, not with invalid scopes or outcomes\n");
   printed.quiet = true;
   std::size_t cuts = 0, still_valid = 0;
   for (const bool by_control : {true, false})
@@ -211,11 +211,12 @@
     }
   wrong += read_as(false, renewal(to, AttachmentNumber{4}, b, {64}, a, b, b, {}));
   wrong += read_as(true, answer(to, token, PutNumber{7}, static_cast<PutOutcome>(3), a, ""));
-  std::printf("  %zu cut; some spoilt ones still make sense (their sum would not): %d\n", cuts,
-              still_valid > 0);
-
   std::printf(
-      "# the longest: as many bytes as a batch may have, in records of the least and of the largest\n");
+      "  %zu truncated; some corrupted ones can still be decoded (their checksum would not match): %d\n",
+      cuts, still_valid > 0);
+
+  std::printf("# the longest: as many bytes as a batch may have, in records of the smallest and of the "
+              "largest size\n");
   const double most_batch = number(default_control_settings(true), "control.most_batch", 0);
   const double overhead = number(default_control_settings(true), "control.record_overhead", 0);
   for (const std::size_t size : {std::size_t{1}, std::size_t{100}, std::size_t{4096 + 200}}) {
--- a/tests/link_costs.cpp
+++ b/tests/link_costs.cpp
@@ -208,9 +208,9 @@
 };
 
 void star(bool by_choice) {
-  std::printf("# %s among N: a cold start within ten seconds; then, a second, with nothing to say; then with "
-              "an ask of each every two seconds\n",
-              by_choice ? "one that chooses its lines" : "a voter");
+  std::printf("# %s among N: a cold start within ten seconds; then, a second, without pending items; then "
+              "with a request of each every two seconds\n",
+              by_choice ? "a member with connections on request only" : "a voter");
   std::vector<double> sizes, cold_examined, cold_messages, idle_examined, idle_bytes, idle_received,
       busy_examined;
   for (const std::size_t size : {100, 300, 1000, 3000, 6600}) {
@@ -226,8 +226,8 @@
                   [&star, number] { star.ask(number, 1); });
     star.net.to(star.net.now + 4 * second);
     const Cost busy = star.during(10 * second);
-    std::printf("  %4zu: cold %.0f looked, %.0f letters, %.0f dials; idle %.1f looked, %.1f letters, %.0f "
-                "bytes, %.1f heard, %.1f dials, %d silences; busy %.0f looked, %.0f letters\n",
+    std::printf("  %4zu: cold %.0f examined, %.0f messages, %.0f dials; idle %.1f examined, %.1f messages, "
+                "%.0f bytes, %.1f received, %.1f dials, %d unresponsive; busy %.0f examined, %.0f messages\n",
                 size, cold.examined, cold.messages, cold.dials, idle.examined, idle.messages, idle.bytes,
                 idle.received, idle.dials, silences, busy.examined, busy.messages);
     sizes.push_back(static_cast<double>(size));
@@ -238,19 +238,18 @@
     idle_received.push_back(idle.received);
     busy_examined.push_back(busy.examined);
   }
-  check_exponent("looked at in a cold start", sizes, cold_examined, 1.1);
-  check_exponent("letters in a cold start", sizes, cold_messages, 1.1);
-  check_exponent("looked at a second, idle", sizes, idle_examined, 0.05);
+  check_exponent("examined in a cold start", sizes, cold_examined, 1.1);
+  check_exponent("messages in a cold start", sizes, cold_messages, 1.1);
+  check_exponent("examined a second, idle", sizes, idle_examined, 0.05);
   check_exponent("bytes a second, idle", sizes, idle_bytes, 0.05);
-  check_exponent("letters heard a second, idle", sizes, idle_received, 0.05);
-  check_exponent("looked at a second, busy", sizes, busy_examined, 1.1);
+  check_exponent("messages received a second, idle", sizes, idle_received, 0.05);
+  check_exponent("examined a second, busy", sizes, busy_examined, 1.1);
 }
 
 // The voters that all know are gone; of N others, some know a newer list.
 void without_voters() {
-  std::printf(
-      "# the old voters are gone, and part of N know of the new ones: until all others do, by whom they "
-      "are asked\n");
+  std::printf("# the old voters are gone, and some of N know the new ones: how long until all others learn "
+              "them from the members they contact\n");
   std::vector<double> sizes, dials;
   for (const auto& [size, with_list] :
        {std::pair{30U, 1U}, {100U, 1U}, {300U, 1U}, {300U, 30U}, {300U, 150U}}) {
@@ -277,7 +276,7 @@
         learned_after.push_back(static_cast<double>(all[number]->list_received_at - 8 * second) / 1e9);
     }
     std::sort(learned_after.begin(), learned_after.end());
-    std::printf("  %3u, of whom %u know: %zu of %d learn it; half within %.1f s of the first question, nine "
+    std::printf("  %3u, of which %u know: %zu of %d learn it; half within %.1f s of the first contact, nine "
                 "tenths within %.1f, all within %.1f; dials of each %.1f\n",
                 size, with_list, learned_after.size(), without_list, learned_after[learned_after.size() / 2],
                 learned_after[learned_after.size() * 9 / 10], learned_after.back(),
--- a/tests/links.cpp
+++ b/tests/links.cpp
@@ -20,7 +20,7 @@
   void broken(MemberId to) override { print("broken to", to); }
   bool message(const peer_codec::Sender& sender, std::string_view payload) override {
     ++messages;
-    std::printf("  a letter of member %u in incarnation %llu, %zu bytes\n", sender.from.raw,
+    std::printf("  a message of member %u in incarnation %llu, %zu bytes\n", sender.from.raw,
                 static_cast<unsigned long long>(sender.incarnation.raw), payload.size());
     return accept;
   }
@@ -61,29 +61,29 @@
   const auto expect_event = [&](auto action) {
     const int before = recorded.events;
     action();
-    TestConnection::until("news", [&] { return recorded.events > before; });
+    TestConnection::until("events", [&] { return recorded.events > before; });
   };
   const auto expect_messages = [&](int more, auto action) {
     const int expected = recorded.messages + more;
     action();
-    TestConnection::until("letters", [&] { return recorded.messages == expected; });
+    TestConnection::until("messages", [&] { return recorded.messages == expected; });
   };
   const std::string message =
       peer_codec::message(sender(2, 1), 1, 0, {}, false, peer_codec::release("t", AskNo{1}));
 
-  say("dialled: it says who it is, then a letter at a time");
+  say("dialled: it sends its hello, then one message at a time");
   links.dial(MemberId{2});
   TestConnection accepted = other.next();
-  TestConnection::until("news", [&] { return recorded.events == 1; });
+  TestConnection::until("events", [&] { return recorded.events == 1; });
   peer_codec::Sender greeting_sender;
   const std::string greeting = accepted.take(peer_codec::hello(sender(1, 2)).size());
   const bool decoded = peer_codec::decode_hello(std::string_view(greeting).substr(9), greeting_sender);
-  std::printf("  greeting %s: member %u to %u in incarnation %llu\n", decoded ? "read" : "not read",
+  std::printf("  hello %s: member %u to %u in incarnation %llu\n", decoded ? "read" : "not read",
               greeting_sender.from.raw, greeting_sender.to.raw,
               static_cast<unsigned long long>(greeting_sender.incarnation.raw));
   expect_event([&] { links.send(MemberId{2}, message); });
-  std::printf("  as it was given: %s\n", accepted.take(message.size()) == message ? "yes" : "no");
-  say("the other side closes; nobody listens; hung up by this side, and nothing of it follows");
+  std::printf("  received unchanged: %s\n", accepted.take(message.size()) == message ? "yes" : "no");
+  say("the other side closes; nobody listens; disconnected by this side, and no event of it follows");
   expect_event([&] { accepted = TestConnection::listening(6004); });
   expect_event([&] { links.dial(MemberId{3}); });
   links.dial(MemberId{2});
@@ -92,7 +92,7 @@
   accepted = other.next();
   accepted.to_end();
 
-  say("dialled by a member: letters, whole and in pieces, two in one");
+  say("dialled by a member: messages, whole and in pieces, two in one write");
   TestConnection good = TestConnection::to(6001);
   expect_messages(1, [&] {
     good.say(peer_codec::hello(sender(2, 1)) + message.substr(0, 20));
@@ -100,8 +100,8 @@
   });
   expect_messages(2, [&] { good.say(message + message); });
 
-  say("what names another fleet, another member, nobody that is listed; no greeting; a frame of another "
-      "kind");
+  say("a hello of another fleet, to another member, of an unlisted member; no hello; a frame of another "
+      "type");
   const auto expect_close = [&](const std::string& bytes) {
     TestConnection rejected = TestConnection::to(6001);
     expect_event([&] { rejected.say(bytes); });
@@ -112,26 +112,27 @@
   expect_close(peer_codec::hello(sender(9, 1)));
   expect_close(message);
   expect_close(frame_of(10, 1, {{"verb", "look"}}));
-  say("noise, a length of 4 GB, one under the least, one over a letter's most");
+  say("invalid bytes, a length of 4 GB, one under the minimum, one over the largest message");
   expect_close("GET / HTTP/1.1\r\n\r\n");
   expect_close(std::string("\xff\xff\xff\xff\x28\0\0\0\0", 9));
   expect_close(std::string("\x01\0\0\0\x28\0\0\0\0", 9));
   expect_close(std::string("\0\0\x02\0\x28\0\0\0\0", 9));
-  say("a letter that is not taken ends its connection; the good one goes on");
+  say("a message that is not accepted closes its connection; the other connection stays");
   recorded.accept = false;
   expect_event([&] { good.say(message); });
   good.to_end();
   recorded.accept = true;
 
-  say("a member that dials anew speaks there: its earlier connection ends, and what still lies there is not "
-      "heard");
+  say("a member that dials again sends on the new connection: its earlier one is closed, and unread bytes "
+      "are discarded");
   TestConnection first = TestConnection::to(6001);
   expect_messages(1, [&] { first.say(peer_codec::hello(sender(2, 1)) + message); });
   TestConnection second = TestConnection::to(6001);
   expect_messages(1, [&] { second.say(peer_codec::hello(sender(2, 1)) + message); });
   first.to_end();
-  std::printf("  connections in: %zu\n", links.incoming());
-  say("one that says nothing is closed after a while; of too many, the one that was silent longest goes");
+  std::printf("  incoming connections: %zu\n", links.incoming());
+  say("a connection without a hello is closed after the timeout; of too many, the one that was idle longest "
+      "is closed");
   TestConnection without_hello = TestConnection::to(6001);
   expect_event([] {});
   without_hello.to_end();
@@ -142,9 +143,9 @@
   }
   TestConnection::until("room", [&] { return links.incoming() == 12; });
   expect_messages(1, [&] { second.say(message); });
-  std::printf("  connections in: %zu, and the member is still heard\n", links.incoming());
-  say("one that is listed when it comes: heard, and dialled; one that goes: hung up both ways, and heard no "
-      "more");
+  std::printf("  incoming connections: %zu, and messages of the member still arrive\n", links.incoming());
+  say("a member listed when it connects: received from, and dialled; a removed one: disconnected both ways, "
+      "and ignored");
   recorded.lists_into = &links;
   recorded.unlisted_endpoint = at(6002);
   TestConnection unlisted = TestConnection::to(6001);
@@ -156,13 +157,13 @@
   const std::size_t before = links.incoming();
   links.remove(MemberId{9});
   links.remove(MemberId{9});
-  std::printf("  connections in: %zu less\n", before - links.incoming());
+  std::printf("  incoming connections: %zu less\n", before - links.incoming());
   unlisted.to_end();
   accepted.to_end();
   links.dial(MemberId{9});
   recorded.lists_into = nullptr;
   expect_close(peer_codec::hello(sender(9, 1)));
-  say("closed: nobody is heard any more");
+  say("closed: nothing is received any more");
   links.close();
   second.to_end();
 }
--- a/tests/peers.cpp
+++ b/tests/peers.cpp
@@ -48,7 +48,7 @@
     const bool accepted = peers.received(now, MemberId{from}, Incarnation{incarnation}, number, acked,
                                          Incarnation{7}, leaving, heartbeat);
     if (!accepted)
-      std::printf("  %6lld letter %llu of %u is not taken\n", static_cast<long long>(now / ms),
+      std::printf("  %6lld message %llu of %u is not accepted\n", static_cast<long long>(now / ms),
                   static_cast<unsigned long long>(number), from);
   }
 };
@@ -56,7 +56,7 @@
 void steps() {
   const std::vector<MemberId> two{MemberId{1}, MemberId{2}};
   {
-    say("dialled at once; the newest word about a matter takes the place of the one before; one letter at a "
+    say("dialled at once; a newer item replaces the pending one with its key; one message in flight at a "
         "time");
     Driver s(two, two);
     s.run_until(0);
@@ -72,10 +72,10 @@
     s.peers.written(30 * ms, MemberId{2});
     s.run_until(30);
     s.peers.written(30 * ms, MemberId{2});
-    say("a beat where there is nothing to say");
+    say("a heartbeat when nothing is pending");
     s.receive(2, 1, 2);
     s.run_until(130);
-    say("no room for a fourth matter; a word too long for one is none");
+    say("no room for a fourth key; an item over the size limit is rejected");
     for (const char* matter : {"a", "b", "c", "d"})
       std::printf("  %s\n", s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, matter, "x")
                                 ? "taken"
@@ -87,7 +87,8 @@
                 s.peers.enqueue(MemberId{9}, Peers::MessageClass::request, "a", "x") ? "taken" : "not taken");
   }
   {
-    say("one that takes nothing: hung up after the time of silence, dialled again after rests that grow");
+    say("a peer that reads nothing: disconnected after the unresponsive timeout, dialled again with growing "
+        "backoff");
     Driver s(two, two);
     s.out.print_items = false;
     s.run_until(0);
@@ -98,14 +99,14 @@
       s.peers.connected(s.now, MemberId{2});
       s.run_until(s.now / ms);
     }
-    say("it answers: the next rest is the shortest again");
+    say("it acknowledges: the next backoff is the shortest again");
     s.receive(2, 1, static_cast<std::uint64_t>(s.out.messages));
     s.peers.broken(s.now, MemberId{2});
     s.run_until(s.now / ms + 80);
   }
   {
-    say("silent, and heard again: dialled at once; deaf where it is heard and answers nothing; left where it "
-        "says so");
+    say("unresponsive, then received from again: dialled at once; one-way when it sends but acknowledges "
+        "nothing; left when it announces it");
     Driver s(two, two);
     s.out.print_items = false;
     s.run_until(0);
@@ -128,7 +129,7 @@
     s.run_until(1500);
   }
   {
-    say("a letter that comes twice, or after a later one; one of another life of the member; two lives by "
+    say("a duplicate message, and one out of order; a message of another incarnation; two incarnations in "
         "turns");
     Driver s(two, two);
     s.out.quiet = true;
@@ -146,7 +147,8 @@
     s.receive(2, 8, 0, 70);
   }
   {
-    say("who does not vote dials voters only; a voter dials whom it hears, and forgets who is gone for long");
+    say("a member that does not vote dials only voters; a voter dials the members it receives from, and "
+        "stops after they are gone for long");
     Driver member({MemberId{2}, MemberId{3}}, {MemberId{2}});
     member.run_until(0);
     member.receive(3, 1, 0);
@@ -154,7 +156,7 @@
     member.out.quiet = true;
     member.run_until(1199);
     member.out.quiet = false;
-    std::printf("  hears no voter any more:\n");
+    std::printf("  receives from no voter any more:\n");
     member.run_until(1200);
     Driver voter({MemberId{2}, MemberId{3}}, {MemberId{1}});
     voter.run_until(0);
@@ -173,7 +175,7 @@
                                           : "it still tries");
   }
   {
-    say("leaving: it is said once more to all, and nobody is dialled any more");
+    say("leaving: announced once more to all, and nobody is dialled any more");
     Driver s(two, two);
     s.run_until(0);
     s.peers.connected(0, MemberId{2});
@@ -181,10 +183,10 @@
     s.peers.written(0, MemberId{2});
     s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", peer_codec::release("t", AskNo{4}));
     s.peers.leave(10 * ms);
-    std::printf("  all said: %s\n", s.peers.all_sent() ? "yes" : "no");
+    std::printf("  all sent: %s\n", s.peers.all_sent() ? "yes" : "no");
     s.run_until(10);
     s.peers.written(10 * ms, MemberId{2});
-    std::printf("  all said: %s\n", s.peers.all_sent() ? "yes" : "no");
+    std::printf("  all sent: %s\n", s.peers.all_sent() ? "yes" : "no");
     s.peers.broken(20 * ms, MemberId{2});
     s.run_until(1000);
   }
@@ -201,8 +203,8 @@
   const std::vector<MemberId> two = members(1, 2);
   const auto yes = [](bool is) { return is ? "yes" : "no"; };
   {
-    say("silence is judged by what was promised; without a promise, as in letters of earlier builds, by the "
-        "figures; a promise for ever counts as ten minutes");
+    say("the unresponsive timeout follows the promised interval; without one, as in messages of earlier "
+        "builds, the settings; an unlimited promise counts as ten minutes");
     Driver s(two, two);
     s.out.print_items = false;
     s.run_until(0);
@@ -218,13 +220,12 @@
     s.run_until(1800);
     std::printf("  then: %s\n", std::string(to_text(s.peers.peer_state(MemberId{2}))).c_str());
     s.receive(2, 3, 0, 70, false, {Nanos{1} << 60, 0, false});
-    std::printf("  patience %lld s\n",
+    std::printf("  unresponsive timeout %lld s\n",
                 static_cast<long long>(s.peers.status()[0].unresponsive_timeout / (1000 * ms)));
   }
   {
-    say("asked for fewer letters: it promises what it will keep; what there is to say goes at once; asked "
-        "for "
-        "nothing any more: the beat of the figures");
+    say("asked for fewer messages: it promises the interval that it keeps; pending items are sent at once; "
+        "no longer asked: the heartbeat interval of the settings");
     Driver s(two, two);
     s.run_until(0);
     s.peers.connected(0, MemberId{2});
@@ -244,15 +245,15 @@
     s.run_until(550);
   }
   {
-    say("with 30 lines: each gets fewer letters, and is asked for fewer; in a second as many as 20 would "
-        "get; but one of an earlier build gets as many as ever");
+    say("with 30 connections: each gets fewer messages, and is asked for fewer; in a second as many as 20 "
+        "would get; but a peer of an earlier build gets the full rate");
     Driver s(members(2, 31), {MemberId{1}});
     s.out.quiet = true;
     for (const MemberId member : members(2, 31)) s.receive(member.raw, 1, 0);
     s.run_until(0);
     for (const MemberId member : members(2, 31)) s.peers.connected(0, member);
     s.run_until(0);
-    std::printf("  %zu lines, a beat of %lld ms\n", s.peers.connections(),
+    std::printf("  %zu connections, a heartbeat interval of %lld ms\n", s.peers.connections(),
                 static_cast<long long>(s.peers.heartbeat_interval() / ms));
     int before = 0;
     std::uint64_t number = 1, to_old_build = 0;
@@ -267,7 +268,7 @@
       if (at == 1000) before = s.out.messages, to_old_build = s.peers.status()[29].messages;
       s.run_until(at + 10);
     }
-    std::printf("  letters in two seconds: %d, of them %llu to that one\n", s.out.messages - before,
+    std::printf("  messages in two seconds: %d, of them %llu to that one\n", s.out.messages - before,
                 static_cast<unsigned long long>(s.peers.status()[29].messages - to_old_build));
     s.out.quiet = false;
     s.peers.written(s.now, MemberId{2});
@@ -275,8 +276,8 @@
     s.run_until(s.now / ms);
   }
   {
-    say("members come and go: the same twice, itself, one too many; one that goes with words waiting, on a "
-        "line that stands; it is not heard, and dialled anew when it comes back");
+    say("members are added and removed: the same one twice, itself, one too many; one removed with pending "
+        "items while connected; its messages are ignored, and it is dialled when it is added again");
     Driver s(two, members(1, 4), {{"peers.most_members", 2.0}});
     s.run_until(0);
     s.peers.connected(0, MemberId{2});
@@ -286,12 +287,12 @@
     std::printf(", 4: %s, known: %zu\n", yes(s.peers.add(0, MemberId{4})), s.peers.known());
     s.run_until(5);
     s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", peer_codec::release("t", AskNo{2}));
-    std::printf("  all said: %s\n", yes(s.peers.all_sent()));
+    std::printf("  all sent: %s\n", yes(s.peers.all_sent()));
     s.peers.remove(6 * ms, MemberId{2});
     s.peers.remove(6 * ms, MemberId{2});
     s.peers.written(6 * ms, MemberId{2});
     s.peers.broken(6 * ms, MemberId{2});
-    std::printf("  all said: %s, known: %zu, lines: %zu\n", yes(s.peers.all_sent()), s.peers.known(),
+    std::printf("  all sent: %s, known: %zu, connections: %zu\n", yes(s.peers.all_sent()), s.peers.known(),
                 s.peers.connections());
     s.run_until(10);
     s.receive(2, 1, 0);
@@ -301,8 +302,8 @@
     s.run_until(12);
   }
   {
-    say("by choice: voters are not dialled, nor who is heard; who is kept is, until it isn't, and what waits "
-        "goes with it");
+    say("connections on request only: neither voters nor members received from are dialled; a requested one "
+        "is, until the request ends, and its pending items are dropped");
     Driver s(three, three, {{"peers.by_choice", 1.0}});
     s.run_until(0);
     s.receive(3, 1, 0);
@@ -319,12 +320,12 @@
     s.run_until(22);
     s.peers.written(22 * ms, MemberId{3});
     s.receive(3, 2, 1);
-    std::printf("  up: %s\n", yes(s.peers.is_connected(MemberId{3})));
+    std::printf("  connected: %s\n", yes(s.peers.is_connected(MemberId{3})));
     s.run_until(30);
     s.peers.enqueue(MemberId{3}, Peers::MessageClass::control, "", peer_codec::control("abc"));
     s.peers.request_connection(30 * ms, MemberId{3}, false);
     s.run_until(30);
-    std::printf("  kept, where nobody has the number: %s; up: %s, room %zu\n",
+    std::printf("  request for an unknown number: %s; connected: %s, room %zu\n",
                 yes(s.peers.request_connection(30 * ms, MemberId{9}, true)),
                 yes(s.peers.is_connected(MemberId{3})), s.peers.free_bytes(MemberId{3}));
     s.out.quiet = true;
@@ -332,16 +333,17 @@
     std::printf("  dials: %d\n", s.out.dials);
   }
   {
-    say("no voter is heard: three others are asked, then three others; each is told that it is lonely");
+    say("nothing is received from any voter: three others are contacted, then three others; each is told "
+        "that the sender is isolated");
     Driver s(members(1, 20), {MemberId{2}});
     s.run_until(1300);
     for (const MemberId member : members(3, 20)) s.peers.connected(s.now, member);
     s.run_until(1310);
     s.run_until(2100);
-    say("a voter is heard: they are asked no more");
+    say("a message of a voter arrives: they are contacted no more");
     s.receive(2, 1, 0);
     s.run_until(2110);
-    say("who is asked answers by a line back, while it is asked; eight of them at a time");
+    say("a contacted member connects back while it is contacted; to eight members at a time");
     Driver other(members(1, 20), {MemberId{2}});
     other.out.quiet = true;
     other.run_until(0);
@@ -357,12 +359,11 @@
     other.run_until(20);
     other.out.quiet = true;
     other.run_until(311);
-    std::printf("  lines after the time of silence: %zu\n", other.peers.connections());
+    std::printf("  connections after the unresponsive timeout: %zu\n", other.peers.connections());
   }
   {
-    say("bytes that wait are bounded; a word about the same that has no room leaves the earlier one; others "
-        "go "
-        "before those of control, which wait for a letter at the most");
+    say("pending bytes are bounded; an item without room leaves the earlier one with its key; other classes "
+        "go before control, which waits for one message at most");
     Driver s(two, two, {{"peers.most_waiting_bytes", 60'000.0}, {"peers.most_words", 100.0}});
     const auto control = [&](const char* about, std::size_t bytes) {
       return s.peers.enqueue(MemberId{2}, Peers::MessageClass::control, about,
@@ -372,15 +373,15 @@
     const auto print_room = [&](const char* text, bool taken) {
       std::printf("  %s: %s, room %zu\n", text, yes(taken), s.peers.free_bytes(MemberId{2}));
     };
-    print_room("a word over the most", control("a", peer_codec::max_control_bytes + 1));
+    print_room("an item over the size limit", control("a", peer_codec::max_control_bytes + 1));
     int taken = 0;
     for (const char* about : {"a", "b", "c", "d", "e", "f", "g", "h"})
       taken += control(about, peer_codec::max_control_bytes);
     std::printf("  of eight the largest: %d\n", taken);
-    print_room("about the same, smaller", control("a", 100));
+    print_room("with the same key, smaller", control("a", 100));
     print_room("one more of the largest", control("h", peer_codec::max_control_bytes));
     print_room("and another", control("i", peer_codec::max_control_bytes));
-    print_room("about the same, larger", control("a", peer_codec::max_control_bytes));
+    print_room("with the same key, larger", control("a", peer_codec::max_control_bytes));
     s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", peer_codec::release("t", AskNo{2}));
     s.peers.connected(10 * ms, MemberId{2});
     s.run_until(10);
@@ -407,8 +408,9 @@
     s.peers.written(s.now, MemberId{2});
   };
   {
-    say("a word that asks, and nothing is heard for the time of silence, whatever was promised: hung up and "
-        "dialled again; what asks and answers waits for the new line, what tells and controls is dropped");
+    say("a request, and nothing is received for the unresponsive timeout, whatever was promised: "
+        "disconnected and dialled again; requests and responses wait for the new connection, updates and "
+        "control items are dropped");
     Driver s(two, two);
     connect(s, 0);
     s.receive(2, 1, 1, 70, false, rare_heartbeats);
@@ -425,29 +427,29 @@
                     peer_codec::grant(Incarnation{70}, "t", AskNo{9}, true));
     s.peers.enqueue(MemberId{2}, Peers::MessageClass::update, "t", peer_codec::done("t", Token{6}, 0));
     s.run_until(319);
-    std::printf("  until then: %d hung up\n", s.out.disconnects);
+    std::printf("  until then: %d disconnected\n", s.out.disconnects);
     s.run_until(320);
     connect(s, 400);
     s.receive(2, 2, 5, 70, false, rare_heartbeats);
     s.run_until(490);
-    std::printf("  it answers: %d hung up, the member %s\n", s.out.disconnects,
+    std::printf("  it acknowledges: %d disconnected, the member %s\n", s.out.disconnects,
                 std::string(to_text(s.peers.peer_state(MemberId{2}))).c_str());
     s.out.quiet = true;
     const auto print_waiting = [&](const char* text) {
-      std::printf("  %zu words wait %s\n", s.peers.status()[0].waiting, text);
+      std::printf("  %zu items pending %s\n", s.peers.status()[0].waiting, text);
     };
     s.peers.broken(s.now, MemberId{2});
     s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", ask(4));
     s.peers.enqueue(MemberId{2}, Peers::MessageClass::response, "t",
                     peer_codec::grant(Incarnation{70}, "t", AskNo{9}, true));
     s.peers.enqueue(MemberId{2}, Peers::MessageClass::control, "t", peer_codec::control("ab"));
-    print_waiting("for a line");
+    print_waiting("for a connection");
     for (const int before = s.out.dials; s.out.dials == before;) s.run_until(s.now / ms + 10);
     s.peers.broken(s.now, MemberId{2});
-    print_waiting("after a dial that came to nothing: none of control");
+    print_waiting("after a failed dial: none of control");
   }
   {
-    say("a word of control, the same; a beat without words and a release ask for nothing");
+    say("the same with a control item; an empty heartbeat and a release expect no response");
     Driver s(two, two);
     s.out.print_items = false;
     connect(s, 0);
@@ -465,7 +467,7 @@
       s.peers.written(s.now, MemberId{2});
     }
     s.out.quiet = false;
-    std::printf("  a release, and beats for the rest of a second: %d hung up\n", s.out.disconnects);
+    std::printf("  a release, and heartbeats for the rest of a second: %d disconnected\n", s.out.disconnects);
     s.peers.enqueue(MemberId{2}, Peers::MessageClass::control, "t", peer_codec::control("ab"));
     s.run_until(1000);
     s.peers.written(s.now, MemberId{2});
@@ -479,8 +481,9 @@
     s.run_until(1300);
   }
   {
-    say("it writes, and has not heard what went out longer ago than the time of silence: the line goes, not "
-        "yet the word that it hears; that goes by what it promised, over the new lines too");
+    say("it sends, but does not acknowledge what was sent before the unresponsive timeout: the connection is "
+        "closed, but the peer is not yet one-way; that takes the timeout for its promised interval, across "
+        "new connections");
     Driver s(two, two);
     s.out.print_items = false;
     connect(s, 0);
@@ -498,7 +501,7 @@
       s.peers.written(s.now, MemberId{2});
     }
     s.receive(2, 5, s.peers.status()[0].messages, 70, false, {500 * ms, 500 * ms, false});
-    say("deafness by what was promised, on one line");
+    say("one-way after the timeout for the promised interval, on one connection");
     Driver other(two, two);
     other.out.print_items = false;
     connect(other, 0);
@@ -517,9 +520,8 @@
     other.run_until(1600);
   }
   {
-    say("a voter that first hears a member long after its own start: well; deaf where it isn't reached "
-        "within "
-        "the time of silence");
+    say("a voter that first receives from a member long after its own start: reachable; one-way when it is "
+        "not connected to within the unresponsive timeout");
     Driver s({MemberId{2}, MemberId{3}}, {MemberId{1}}, {{"peers.rest_least", 400e6}});
     s.run_until(5000);
     s.receive(2, 1, 0, 70, false, rare_heartbeats);
@@ -527,7 +529,7 @@
     s.peers.broken(s.now, MemberId{2});
     s.run_until(5299);
     s.run_until(5310);
-    say("it goes, and comes again in another life long after: the same");
+    say("it leaves, and comes back in another incarnation long after: the same");
     s.out.quiet = true;
     s.receive(2, 2, 0, 70, true);
     s.run_until(5320);
@@ -537,7 +539,7 @@
     s.run_until(9000);
   }
   {
-    say("wanted again while a dial rests: unreached from then on");
+    say("wanted again during the backoff: unreached from then on");
     Driver s(two, two, {{"peers.by_choice", 1.0}, {"peers.rest_least", 4000e6}, {"peers.rest_most", 4000e6}});
     s.out.print_items = false;
     s.peers.request_connection(0, MemberId{2}, true);
@@ -555,7 +557,7 @@
 
 // As bytes: nothing that was spoilt is taken.
 void encoding() {
-  say("words as bytes: each kind, in one letter");
+  say("encoding: an item of each type, in one message");
   const std::string items = peer_codec::ask(Epoch{1}, "lease", AskNo{3}, Token{0x10002}, 5 * ms) +
                             peer_codec::release("other", AskNo{4}) +
                             peer_codec::grant(Incarnation{9}, "lease", AskNo{5}, true) +
@@ -568,8 +570,8 @@
   PrintedItems out;
   std::printf("  %zu bytes, %s\n", frame.size(),
               peer_codec::decode_message(payload, sender, out) ? "read" : "not read");
-  say("each bit of it turned; cut at each byte; said by another, to another, in another life, in another "
-      "fleet; noise");
+  say("each bit flipped; truncated at each byte; another sender, recipient, incarnation or fleet; random "
+      "bytes");
   PrintedItems rejected;
   rejected.quiet = true;
   int bits = 0, cuts = 0, other_senders = 0, random_inputs = 0;
@@ -604,8 +606,8 @@
 // Simulated: a beat every 100 ms over a link whose delays have a tail, and the end of a member at last. How
 // often a living member counts as silent, and how soon a dead one does.
 void failure_detectors() {
-  say("silence taken for the end, in 20 simulated hours of beats (delays: 2 ms and exponential 10 ms, one in "
-      "200 a stall of up to a second)");
+  say("false alarms of failure detectors, in 20 simulated hours of heartbeats (delays: 2 ms and exponential "
+      "10 ms, one in 200 a stall of up to a second)");
   const double hours = 20;
   const Nanos beat = 500 * ms;
   for (const int missed_beats :
@@ -630,10 +632,10 @@
       last_arrival = latest_arrival;
     }
     if (missed_beats > 0)
-      std::printf("  %2d beats: %.1f an hour; an end is known after at most %lld ms\n", missed_beats,
-                  alarms / hours, static_cast<long long>(unresponsive_timeout / ms));
+      std::printf("  %2d intervals: %.1f an hour; a failure is detected after at most %lld ms\n",
+                  missed_beats, alarms / hours, static_cast<long long>(unresponsive_timeout / ms));
     else
-      std::printf("  learnt:   %.1f an hour; an end is known after some %lld ms\n", alarms / hours,
+      std::printf("  learned:  %.1f an hour; a failure is detected after some %lld ms\n", alarms / hours,
                   static_cast<long long>(unresponsive_timeout / ms / 10 * 10));
   }
 }
--- a/tests/printed_peers.hpp
+++ b/tests/printed_peers.hpp
@@ -16,14 +16,14 @@
                const peer_codec::HeartbeatTerms& heartbeat) override {
     ++taken, number = n;
     if (!quiet) {
-      std::printf("    letter %llu of member %u, heard %llu%s", static_cast<unsigned long long>(n), from.raw,
+      std::printf("    message %llu of member %u, acks %llu%s", static_cast<unsigned long long>(n), from.raw,
                   static_cast<unsigned long long>(acked), leaving ? ", leaving" : "");
       if (heartbeat.next_within != 0 && heartbeat.next_within != heartbeat_interval)
         std::printf(", next in %lld", static_cast<long long>(heartbeat.next_within / 1'000'000));
       if (heartbeat.requested_interval > 0)
-        std::printf(", one in %lld will do",
+        std::printf(", requests one in %lld",
                     static_cast<long long>(heartbeat.requested_interval / 1'000'000));
-      std::printf("%s\n", heartbeat.isolated ? ", lonely" : "");
+      std::printf("%s\n", heartbeat.isolated ? ", isolated" : "");
     }
     return true;
   }
@@ -69,7 +69,7 @@
     if (!quiet) std::printf("  %6lld %s %u\n", static_cast<long long>(now / 1'000'000), text, member.raw);
   }
   void dial(MemberId to) override { ++dials, print("dial", to); }
-  void disconnect(MemberId to) override { ++disconnects, print("hang up", to); }
+  void disconnect(MemberId to) override { ++disconnects, print("disconnect", to); }
   void send(MemberId to, std::string frame) override {
     ++messages;
     print("send to", to);
@@ -83,5 +83,5 @@
       std::printf("  %6lld member %u: %s, %s before\n", static_cast<long long>(now / 1'000'000), member.raw,
                   std::string(to_text(after)).c_str(), std::string(to_text(before)).c_str());
   }
-  void duplicate_member(MemberId number) override { print("two under the number", number); }
+  void duplicate_member(MemberId number) override { print("duplicate member number", number); }
 };
