--- a/tests/control_directory.cpp
+++ b/tests/control_directory.cpp
@@ -1,6 +1,7 @@
-// The directory of members: what one control member says and sees, step by step; then several of them from
-// seeds, on a network that loses, doubles and delays, with members that move, stop, leave and start anew;
-// then what a change costs. With arguments: so many seeds only, to the first that goes wrong ("stop").
+// The directory of members: what one control member sends and sees, step by step; then several control
+// members from seeds, on a network that loses, duplicates and delays messages, with members that move, stop,
+// leave and restart; then the cost of a change. Arguments: only that many seeds, optionally "stop" at the
+// first that fails.
 #include "directory.hpp"
 
 #include <cstdio>
@@ -59,7 +60,7 @@
   PrintedActions out;
   Directory directory;
   Nanos now = 0;
-  std::uint64_t digest = 0; // of the other's part
+  std::uint64_t digest = 0; // of the part of the other control member
   explicit Driver(double members = 3)
       : directory(0, MemberId{1}, Incarnation{11}, {MemberId{1}, MemberId{2}}, settings_for(members), out) {}
   void run_until(Nanos time) {
@@ -135,7 +136,7 @@
     s.part(PartRevision{1}, PartRevision{2}, PartRevision{2},
            {with_presence(record(22, 1, 2), Presence::alive, 2)}, 23);
     s.part({}, PartRevision{1}, PartRevision{1},
-           {with_presence(record(20, 1, 1), Presence::alive, 1)}); // of the life before
+           {with_presence(record(20, 1, 1), Presence::alive, 1)}); // of the previous incarnation
     say("its owner is unresponsive: so are its members; forgotten later");
     s.run_until(1700);
     s.run_until(5100);
@@ -159,7 +160,7 @@
   }
 }
 
-// ---- several of them
+// ---- several control members
 
 class World {
   struct Owner final : DirectoryActions {
@@ -187,7 +188,7 @@
   };
   struct Attachment {
     std::size_t owner = 0;
-    std::uint64_t owner_incarnation = 0; // of the owner that knows of it
+    std::uint64_t owner_incarnation = 0; // incarnation of the owner that has this attachment
     AttachmentNumber number{};
   };
   struct Member {
@@ -196,7 +197,7 @@
     Attachment attachments[2];
   };
   Pcg chance_;
-  bool severe_faults_; // the network: loses more, and some words come late
+  bool severe_faults_; // the network loses more messages, and delays some for long
   std::vector<std::unique_ptr<Owner>> owners_;
   std::vector<Member> members_;
   std::uint64_t numbers_ = 0;
@@ -247,7 +248,7 @@
         if (member.up && seen->incarnation.raw != member.incarnation) return where + ": another incarnation";
       }
     }
-    // Where words come later than a silence lasts, some may seem so.
+    // With delays beyond the unresponsive timeout, a member can be taken for a duplicate.
     return duplicates > 0 && !severe_faults_ ? "reported as duplicate, and none was" : "";
   }
 
@@ -293,15 +294,15 @@
   void inject_fault(Member& member) {
     const double kind = chance_.unit();
     const Incarnation incarnation{member.incarnation};
-    if (kind < 0.4 && member.up) { // moves; not always with a word
+    if (kind < 0.4 && member.up) { // moves, sometimes without detaching
       const Attachment old = member.attachments[0];
       if (chance_.unit() < 0.7) owners_[old.owner]->directory->detached(now_, id(member), incarnation);
       attach_to_two(member);
-    } else if (kind < 0.6) { // starts anew
+    } else if (kind < 0.6) { // restarts
       ++member.incarnation;
       member.up = true;
       attach_to_two(member);
-    } else if (kind < 0.8 && member.up) { // is gone, perhaps with a word
+    } else if (kind < 0.8 && member.up) { // stops, sometimes announcing it
       member.up = false;
       if (chance_.unit() < 0.5)
         owners_[member.attachments[0].owner]->directory->left(now_, id(member), incarnation);
--- a/tests/control_words.cpp
+++ b/tests/control_words.cpp
@@ -1,5 +1,6 @@
-// Words of control: each is read as it was said, by the side that it is for; what is cut or spoilt is no word
-// or says something else that makes sense, and none is longer than a message takes.
+// Messages of the control plane: each is decoded as it was encoded, and only by the side that it is for.
+// Truncated or corrupted messages are rejected or decode to a valid message, and none exceeds the size of an
+// item.
 #include "control_member.hpp"
 
 #include <cstdio>
@@ -32,7 +33,7 @@
          " renewed " + format(at.renewed) + " renewals " + std::to_string(at.renewals);
 }
 
-// Prints, if told to; counts what it was told.
+// Counts the decoded messages, and prints them unless `quiet`.
 struct PrintedMessages final : control_codec::ControlListener, control_codec::FollowerListener {
   bool quiet = false;
   std::size_t messages = 0;
@@ -197,7 +198,7 @@
       for (std::size_t n = 0; n < message.size(); ++n, ++cuts) {
         const std::size_t before = printed.messages;
         const bool accepted = read_as(by_control, std::string_view(message).substr(0, n));
-        wrong += accepted != (printed.messages > before); // a word is told as a whole, or nothing of it
+        wrong += accepted != (printed.messages > before); // a message is reported completely or not at all
       }
       std::string corrupted = message;
       for (std::size_t n = 0; n < message.size(); ++n) {
--- a/tests/link_costs.cpp
+++ b/tests/link_costs.cpp
@@ -1,5 +1,6 @@
-// What the link costs as a fleet grows: real Peers on a simulated network and clock, with whole frames.
-// Counts only; each cost's exponent over N is fitted, so that one that turns quadratic again is found.
+// The cost of the connections as a fleet grows: real Peers with complete frames on a simulated network and
+// clock. Only counts; the exponent of each cost over N is fitted, so that a cost that becomes quadratic again
+// is detected.
 #include "pcg.hpp"
 #include "peers.hpp"
 
@@ -16,7 +17,7 @@
 namespace {
 
 constexpr Nanos ms = 1'000'000, second = 1000 * ms;
-constexpr std::size_t tcp_ip = 40; // bytes beside a frame, one segment each
+constexpr std::size_t tcp_ip = 40; // bytes of headers for each frame, sent as one segment
 
 class SimulatedNetwork {
  public:
@@ -44,9 +45,10 @@
 };
 
 struct Member;
-using Members = std::vector<std::unique_ptr<Member>>; // by number, from 0: nobody
+using Members = std::vector<std::unique_ptr<Member>>; // by number; 0 is unused
 
-// A member with its link and its list of voters, and no leases: what it asks and answers stands for them.
+// A member with its peers and its list of voters. Instead of leases it sends requests and responses of its
+// own.
 struct Member final : PeerActions, peer_codec::Listener {
   SimulatedNetwork& net;
   Members& all;
@@ -54,7 +56,7 @@
   Voters voter_list;
   Peers peers;
   Nanos armed = -1, list_received_at = -1;
-  std::map<MemberId, std::uint64_t> connections; // the one that counts
+  std::map<MemberId, std::uint64_t> connections; // the current one
   std::uint64_t next_connection = 0;
 
   Member(SimulatedNetwork& n, Members& members, MemberId number, const VoterList& list,
@@ -78,7 +80,7 @@
     });
   }
   template <class Action>
-  void later(MemberId to, Action action) { // of the line as it is now, a millisecond on
+  void later(MemberId to, Action action) { // on the current connection, one millisecond later
     net.at(net.now + ms, [this, to, connection = connections[to], action] {
       if (connections[to] != connection) return;
       action();
@@ -139,7 +141,7 @@
           {"peers.rest_most", 2e9}, {"peers.most_words", 1024.0}, {"peers.most_members", max_members}};
 }
 
-// y = a N^b, least squares of the logarithms.
+// Exponent b of y = a N^b, by least squares of the logarithms.
 double exponent(const std::vector<double>& sizes, const std::vector<double>& costs) {
   double n = 0, x = 0, y = 0, xx = 0, xy = 0;
   for (std::size_t i = 0; i < sizes.size(); ++i) {
@@ -159,7 +161,8 @@
   double examined = 0, messages = 0, bytes = 0, received = 0, dials = 0;
 };
 
-// One voter, or one member that chooses (`by_choice`), among N that speak with it.
+// One voter, or one member with connections on request only (`by_choice`), and N that exchange messages with
+// it.
 struct Star {
   SimulatedNetwork net;
   Members all;
@@ -176,7 +179,7 @@
       all[number] = std::make_unique<Member>(net, all, MemberId{number}, list, std::vector{MemberId{1}},
                                              settings_for(1));
     };
-    for (std::uint32_t number = 2; number < members + 2; ++number) // a cold start of all within ten seconds
+    for (std::uint32_t number = 2; number < members + 2; ++number) // all start within ten seconds
       net.at(10 * second * number / static_cast<Nanos>(members + 2), [start, number] { start(number); });
   }
   Cost sum() const {
@@ -197,7 +200,7 @@
             (after.bytes - before.bytes) / seconds, (after.received - before.received) / seconds,
             (after.dials - before.dials) / seconds};
   }
-  // Each asks the voter for something every two seconds.
+  // Each member sends a request to the voter every two seconds.
   void ask(std::uint32_t number, std::uint64_t ask_number) {
     Member& member = *all[number];
     member.peers.enqueue(MemberId{1}, Peers::MessageClass::request, "t",
@@ -246,7 +249,7 @@
   check_exponent("examined a second, busy", sizes, busy_examined, 1.1);
 }
 
-// The voters that all know are gone; of N others, some know a newer list.
+// The voters that all members know are gone; of N others, some know a newer list.
 void without_voters() {
   std::printf("# the old voters are gone, and some of N know the new ones: how long until all others learn "
               "them from the members they contact\n");
@@ -260,7 +263,7 @@
     std::vector<MemberId> numbers;
     for (std::uint32_t number = 1; number <= size + 3; ++number) numbers.push_back(MemberId{number});
     all.resize(size + 4);
-    // The new voters go by their list too; those who know it hear them.
+    // The new voters use their list too, and the members that know it receive from them.
     for (std::uint32_t number = 1; number <= size; ++number)
       all[number] =
           std::make_unique<Member>(net, all, MemberId{number}, number <= 3 + with_list ? after : before,
--- a/tests/links.cpp
+++ b/tests/links.cpp
@@ -1,4 +1,5 @@
-// The sockets between servers of a fleet: a member, and others that the test plays itself, good and bad.
+// The sockets between the servers of a fleet: one member under test, and valid and invalid peers that the
+// test plays.
 #include "links.hpp"
 
 #include "driver.hpp"
@@ -24,7 +25,7 @@
                 static_cast<unsigned long long>(sender.incarnation.raw), payload.size());
     return accept;
   }
-  Links* lists_into = nullptr; // whom to list who asks to be
+  Links* lists_into = nullptr; // lists an unlisted member that connects
   Links::Tcp::endpoint unlisted_endpoint;
   bool accept_unlisted(const peer_codec::Sender& sender) override {
     if (lists_into) lists_into->add(sender.from, unlisted_endpoint);
--- a/tests/peers.cpp
+++ b/tests/peers.cpp
@@ -1,5 +1,5 @@
-// Peers: what one member orders, step by step; its words as bytes; and how often silence is wrongly taken for
-// the end of a member, by fixed time-outs and by a rival that learns.
+// Peers: the actions of one member, step by step; the encoding of its messages; and how often a failure
+// detector takes a delay for the end of a member, with fixed timeouts and with an adaptive one.
 #include "printed_peers.hpp"
 
 #include "pcg.hpp"
@@ -33,7 +33,7 @@
     more.merge(default_settings());
     return more;
   }
-  void run_until(Nanos time) { // with every wake-up on the way
+  void run_until(Nanos time) { // with all wake-ups until then
     for (Nanos next; (next = peers.next_wake()) >= 0 && next <= time * ms;) {
       now = out.now = std::max(now, next);
       peers.due(now);
@@ -121,7 +121,7 @@
     s.peers.written(310 * ms, MemberId{2});
     for (Nanos at = 400; at <= 700; at += 100) {
       s.run_until(at);
-      s.receive(2, static_cast<std::uint64_t>(at), 0); // of no message that this member sent
+      s.receive(2, static_cast<std::uint64_t>(at), 0); // acknowledges nothing that this member sent
       s.peers.written(s.now, MemberId{2});
     }
     s.run_until(700);
@@ -140,7 +140,7 @@
     s.receive(2, 4, 0);
     s.receive(2, 1, 0, 71);
     s.run_until(100);
-    s.receive(2, 6, 0, 70); // still under way when it ended
+    s.receive(2, 6, 0, 70); // in flight when that incarnation ended
     s.run_until(500);
     s.receive(2, 2, 0, 71);
     s.receive(2, 7, 0, 70);
@@ -198,7 +198,7 @@
   return all;
 }
 
-// Members that come and go, lines by choice, and beats that were agreed on.
+// Adding and removing members, connections on request, and negotiated heartbeat intervals.
 void membership_and_heartbeats() {
   const std::vector<MemberId> two = members(1, 2);
   const auto yes = [](bool is) { return is ? "yes" : "no"; };
@@ -394,14 +394,14 @@
   }
 }
 
-// Lines on which TCP sends again and again, between members that promised little.
+// Connections on which TCP retransmits for long, between members that promised only rare messages.
 void stalled_connections() {
   const std::vector<MemberId> two = members(1, 2);
   const peer_codec::HeartbeatTerms rare_heartbeats{100'000 * ms, 0, false};
   const auto ask = [](int n) {
     return peer_codec::ask(Epoch{1}, "t", AskNo{static_cast<std::uint64_t>(n)}, Token{5}, ms);
   };
-  const auto connect = [&](Driver& s, Nanos at) { // a line that takes what is written
+  const auto connect = [&](Driver& s, Nanos at) { // a connection on which writes complete
     s.run_until(at);
     s.peers.connected(s.now, MemberId{2});
     s.run_until(at);
@@ -418,7 +418,7 @@
     s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", ask(1));
     s.run_until(20);
     s.peers.written(s.now, MemberId{2});
-    s.run_until(200); // a beat on the way
+    s.run_until(200); // with a heartbeat
     s.peers.written(s.now, MemberId{2});
     s.peers.enqueue(MemberId{2}, Peers::MessageClass::request, "t", ask(2));
     s.run_until(200);
@@ -555,7 +555,7 @@
   }
 }
 
-// As bytes: nothing that was spoilt is taken.
+// Corrupted messages are rejected.
 void encoding() {
   say("encoding: an item of each type, in one message");
   const std::string items = peer_codec::ask(Epoch{1}, "lease", AskNo{3}, Token{0x10002}, 5 * ms) +
@@ -603,15 +603,15 @@
               sender_in_hello.from.raw, sender_in_hello.fleet.c_str(), sender_in_hello.to.raw);
 }
 
-// Simulated: a beat every 100 ms over a link whose delays have a tail, and the end of a member at last. How
-// often a living member counts as silent, and how soon a dead one does.
+// Simulates heartbeats over a link whose delays have a long tail: how often a running member is taken for
+// unresponsive, and how soon a stopped one is detected.
 void failure_detectors() {
   say("false alarms of failure detectors, in 20 simulated hours of heartbeats (delays: 2 ms and exponential "
       "10 ms, one in 200 a stall of up to a second)");
   const double hours = 20;
   const Nanos beat = 500 * ms;
   for (const int missed_beats :
-       {2, 3, 4, 8, 0}) { // 0: the rival, which learns mean and spread (phi accrual, phi 8)
+       {2, 3, 4, 8, 0}) { // 0: an adaptive detector that learns mean and spread (phi accrual, phi 8)
     Pcg chance(7);
     int alarms = 0;
     double mean = 500, mean_square = 500 * 500 + 15 * 15;
@@ -621,7 +621,7 @@
       double delay = 2 - 10 * std::log(1 - chance.unit());
       if (chance.unit() < 0.005) delay += 1000 * chance.unit();
       latest_arrival =
-          std::max(latest_arrival, at + static_cast<Nanos>(delay * 1e6)); // one connection: order is kept
+          std::max(latest_arrival, at + static_cast<Nanos>(delay * 1e6)); // one connection keeps the order
       const double gap = static_cast<double>(latest_arrival - last_arrival) / 1e6;
       const double spread = std::sqrt(std::max(1.0, mean_square - mean * mean));
       unresponsive_timeout =
--- a/tests/printed_peers.hpp
+++ b/tests/printed_peers.hpp
@@ -1,4 +1,4 @@
-// What tests of peers/ print: the orders of one Peers, and the words of messages.
+// Printing for the tests of peers/: the actions of one Peers, and the items of messages.
 #pragma once
 
 #include "peers.hpp"
@@ -7,11 +7,12 @@
 
 using namespace cometshift;
 
+// Prints the header and the items of a message.
 struct PrintedItems final : peer_codec::Listener {
   int taken = 0;
   bool quiet = false;
   std::uint64_t number = 0;
-  Nanos heartbeat_interval = 100'000'000; // of the figures: a promise of it is not printed
+  Nanos heartbeat_interval = 100'000'000; // of the settings; it is not printed where it is promised
   bool message(MemberId from, Incarnation, std::uint64_t n, std::uint64_t acked, Incarnation, bool leaving,
                const peer_codec::HeartbeatTerms& heartbeat) override {
     ++taken, number = n;
@@ -59,7 +60,7 @@
   return {"rig", MemberId{from}, MemberId{to}, Incarnation{incarnation}};
 }
 
-// Prints what is ordered; of messages, the words if asked to.
+// Prints the actions, and the items of messages if `print_items`.
 struct PrintedPeers final : PeerActions {
   std::uint32_t self = 1;
   Nanos now = 0;
