--- a/peers/control_codec.cpp
+++ b/peers/control_codec.cpp
@@ -277,10 +277,10 @@
     body.set_age(age);
   });
 }
-std::string rest(Incarnation to, AttachmentNumber number, Nanos rest) {
+std::string rest(Incarnation to, AttachmentNumber number, Nanos delay) {
   return encode_message(to, [&](wire::Control& out) {
     out.mutable_rest()->set_number(number.raw);
-    out.mutable_rest()->set_rest(static_cast<std::uint64_t>(std::max<Nanos>(rest, 0)));
+    out.mutable_rest()->set_rest(static_cast<std::uint64_t>(std::max<Nanos>(delay, 0)));
   });
 }
 std::string elsewhere(Incarnation to, AttachmentNumber number) {
--- a/peers/control_codec.hpp
+++ b/peers/control_codec.hpp
@@ -44,7 +44,7 @@
                     const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version last,
                     const std::vector<const Entry*>& entries);
 std::string beat(Incarnation to, AttachmentNumber number, Version committed, Nanos age);
-std::string rest(Incarnation to, AttachmentNumber number, Nanos rest);
+std::string rest(Incarnation to, AttachmentNumber number, Nanos delay);
 std::string elsewhere(Incarnation to, AttachmentNumber number);
 std::string again(Incarnation to, AttachmentNumber number);
 
@@ -84,7 +84,7 @@
                        const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version last,
                        const std::vector<Entry>& entries) = 0;
   virtual void beat(Incarnation to, AttachmentNumber number, Version committed, Nanos age) = 0;
-  virtual void rest(Incarnation to, AttachmentNumber number, Nanos rest) = 0;
+  virtual void rest(Incarnation to, AttachmentNumber number, Nanos delay) = 0;
   virtual void elsewhere(Incarnation to, AttachmentNumber number) = 0;
   virtual void again(Incarnation to, AttachmentNumber number) = 0;
 };
--- a/peers/control_follower.cpp
+++ b/peers/control_follower.cpp
@@ -113,8 +113,8 @@
 void ControlFollower::beat(Incarnation to, AttachmentNumber number, Version committed, Nanos age) {
   follower_.beat(now_, sender_id_, to, number, committed, age);
 }
-void ControlFollower::rest(Incarnation to, AttachmentNumber number, Nanos rest) {
-  follower_.rest(now_, sender_id_, to, number, rest);
+void ControlFollower::rest(Incarnation to, AttachmentNumber number, Nanos delay) {
+  follower_.rest(now_, sender_id_, to, number, delay);
 }
 void ControlFollower::elsewhere(Incarnation to, AttachmentNumber number) {
   follower_.elsewhere(now_, sender_id_, to, number);
--- a/peers/control_follower.hpp
+++ b/peers/control_follower.hpp
@@ -90,7 +90,7 @@
   void renewal(Incarnation to, AttachmentNumber number, Version at, const std::vector<std::uint16_t>& scopes,
                Version from, Version upto, Version last, const std::vector<Entry>& entries) override;
   void beat(Incarnation to, AttachmentNumber number, Version committed, Nanos age) override;
-  void rest(Incarnation to, AttachmentNumber number, Nanos rest) override;
+  void rest(Incarnation to, AttachmentNumber number, Nanos delay) override;
   void elsewhere(Incarnation to, AttachmentNumber number) override;
   void again(Incarnation to, AttachmentNumber number) override;
 
--- a/peers/control_member.cpp
+++ b/peers/control_member.cpp
@@ -387,8 +387,8 @@
                          Nanos age) {
   enqueue(to, "beat", control_codec::beat(incarnation, number, committed, age));
 }
-void ControlMember::rest(MemberId to, Incarnation incarnation, AttachmentNumber number, Nanos rest) {
-  enqueue(to, "rest", control_codec::rest(incarnation, number, rest));
+void ControlMember::rest(MemberId to, Incarnation incarnation, AttachmentNumber number, Nanos delay) {
+  enqueue(to, "rest", control_codec::rest(incarnation, number, delay));
 }
 void ControlMember::elsewhere(MemberId to, Incarnation incarnation, AttachmentNumber number) {
   enqueue(to, "elsewhere", control_codec::elsewhere(incarnation, number));
--- a/peers/control_member.hpp
+++ b/peers/control_member.hpp
@@ -148,7 +148,7 @@
                const std::vector<const Entry*>& entries) override;
   void beat(MemberId to, Incarnation incarnation, AttachmentNumber number, Version committed,
             Nanos age) override;
-  void rest(MemberId to, Incarnation incarnation, AttachmentNumber number, Nanos rest) override;
+  void rest(MemberId to, Incarnation incarnation, AttachmentNumber number, Nanos delay) override;
   void elsewhere(MemberId to, Incarnation incarnation, AttachmentNumber number) override;
   void again(MemberId to, Incarnation incarnation, AttachmentNumber number) override;
   // DirectoryActions
--- a/peers/peers.cpp
+++ b/peers/peers.cpp
@@ -369,9 +369,9 @@
 // Scales with the interval that the peer promised, by the ratio of `peers.silent` to `peers.beat`.
 Nanos Peers::unresponsive_timeout(const Peer& peer) const {
   if (peer.heartbeat.next_within <= heartbeat_interval_) return min_unresponsive_timeout_;
-  const double beats =
+  const double intervals =
       static_cast<double>(min_unresponsive_timeout_) / static_cast<double>(heartbeat_interval_);
-  return static_cast<Nanos>(static_cast<double>(peer.heartbeat.next_within) * beats);
+  return static_cast<Nanos>(static_cast<double>(peer.heartbeat.next_within) * intervals);
 }
 
 // One-way unreachable: messages of the peer arrive, and the first one that it has not acknowledged is too
--- a/tests/control_words.cpp
+++ b/tests/control_words.cpp
@@ -131,8 +131,8 @@
     print("beat to " + decimal(to.raw) + " " + decimal(number.raw) + " " + format(committed) + " age " +
           std::to_string(age));
   }
-  void rest(Incarnation to, AttachmentNumber number, Nanos rest) override {
-    print("rest to " + decimal(to.raw) + " " + decimal(number.raw) + " " + std::to_string(rest));
+  void rest(Incarnation to, AttachmentNumber number, Nanos delay) override {
+    print("rest to " + decimal(to.raw) + " " + decimal(number.raw) + " " + std::to_string(delay));
   }
   void elsewhere(Incarnation to, AttachmentNumber number) override {
     print("elsewhere to " + decimal(to.raw) + " " + decimal(number.raw));
