--- a/control/directory.hpp
+++ b/control/directory.hpp
@@ -29,10 +29,11 @@
 // Number of a change of a part, counted from 1 in each incarnation of its owner.
 using PartRevision = Id<struct PartRevisionTag, std::uint64_t>;
 
-// gone: removed from the part, or from the view.
+// State of a member in a part or in the view; gone: removed from it.
 enum class Presence : std::uint8_t { alive, unresponsive, left, gone };
 std::string_view to_text(Presence presence);
 
+// What the directory knows of one member.
 struct MemberRecord {
   MemberId member{};
   Incarnation incarnation{};
@@ -60,13 +61,13 @@
   virtual void duplicate_member(MemberId member) = 0; // two running members use one number
 };
 
+// The directory of one control member: its own part, the parts of the others, and the view of all of them.
 class Directory {
  public:
   // `others`: the other control members. `settings`, durations in ns:
   // - control.beat: heartbeat interval, at which the others learn the revision of this part at the latest
-  // - control.silent: a member or an owner from which nothing was received for this long is unresponsive; at
-  // least two
-  //   heartbeat intervals
+  // - control.silent: a member or an owner from which nothing was received for this long is
+  //   unresponsive; at least two heartbeat intervals
   // - control.forget: and is forgotten after this long; at least control.silent
   // - control.answer: unacknowledged changes are sent again after this long
   // - control.most_part: bytes of the records in one message
@@ -94,6 +95,7 @@
 
   // ---- the view
   const MemberRecord* find(MemberId member) const; // nullptr: unknown; valid until the next call
+  // Number of members in a zone by presence.
   struct Zone {
     std::size_t well = 0, silent = 0, left = 0;
     bool operator==(const Zone&) const = default;
@@ -104,6 +106,8 @@
   void list(MemberId after, const std::function<bool(const MemberRecord&)>& visit) const;
   // The digest of a part is the sum of the digests of its records that are not gone.
   static std::uint64_t digest_of(const MemberRecord& record);
+  // Totals since the start. `restarts`: new copies of a part after its digest differed; `visited`: records
+  // examined.
   struct Counts {
     std::uint64_t parts = 0, retries = 0, records = 0, bytes = 0, restarts = 0, refused = 0, invalid = 0,
                   visited = 0;
--- a/peers/control_follower.hpp
+++ b/peers/control_follower.hpp
@@ -14,6 +14,7 @@
 
 namespace cometshift {
 
+// Effects that ControlFollower asks its owner to carry out, and notifications.
 class ControlFollowerActions {
  public:
   virtual ~ControlFollowerActions() = default;
@@ -28,6 +29,7 @@
   virtual void duplicate_member(MemberId number) = 0;
 };
 
+// A server's connections to its control members and the state received from them.
 class ControlFollower final : PeerActions,
                               FollowerActions,
                               peer_codec::Listener,
--- a/peers/control_member.hpp
+++ b/peers/control_member.hpp
@@ -41,8 +41,8 @@
   // A server became known with this address; it was forgotten.
   virtual void listed(MemberId member, std::string_view address) = 0;
   virtual void unlisted(MemberId member) = 0;
-  virtual std::string
-  rejection_reason(const Entry& entry) = 0; // why this entry can't be written; empty: it can
+  // Why this entry can't be written; empty: it can.
+  virtual std::string rejection_reason(const Entry& entry) = 0;
   virtual void ended(PutNumber put, PutOutcome end, Version version, std::string_view reason) = 0;
   virtual void committed(const Record& record) = 0;
   virtual void began(Token token, bool after_loss) = 0;
@@ -52,6 +52,7 @@
   virtual void duplicate_member(MemberId number) = 0;
 };
 
+// One control member.
 class ControlMember final : PeerActions,
                             LeaseActions,
                             ReplicaActions,
@@ -70,8 +71,8 @@
   void connected(const ClockReadings& at, MemberId to);
   void written(const ClockReadings& at, MemberId to);
   void broken(const ClockReadings& at, MemberId to);
-  bool accept_unlisted(const ClockReadings& at,
-                       const peer_codec::Sender& sender); // false: no room, or it sent no address
+  // False: no room, or it sent no address.
+  bool accept_unlisted(const ClockReadings& at, const peer_codec::Sender& sender);
   bool message(const ClockReadings& at, const peer_codec::Sender& sender, std::string_view payload);
 
   // ---- writes of the operator; as Replica::put
@@ -99,8 +100,7 @@
   bool message(MemberId from, Incarnation incarnation, std::uint64_t number, std::uint64_t acked,
                Incarnation acked_incarnation, bool leaving,
                const peer_codec::HeartbeatTerms& heartbeat) override;
-  void voters(MemberId, Epoch, const VoterList&) override {
-  } // the voters are those named in the settings files
+  void voters(MemberId, Epoch, const VoterList&) override {} // they are those in the settings files
   void asked(MemberId from, Incarnation incarnation, Epoch epoch, std::string_view lease, AskNo number,
              Token token, Nanos term) override;
   void released(MemberId from, Incarnation incarnation, std::string_view lease, AskNo number) override;
--- a/peers/peers.hpp
+++ b/peers/peers.hpp
@@ -33,8 +33,7 @@
   unknown,      // nothing was received yet
   reachable,    // messages arrive in both directions, as far as is known
   one_way,      // its messages arrive here, but this member's do not reach it
-  unresponsive, // nothing was received for too long: stopped, slow, dead or partitioned, which can't be told
-                // apart
+  unresponsive, // nothing was received for too long: it may be stopped, slow, dead or partitioned
   left          // it announced that it leaves
 };
 std::string_view to_text(PeerState peer_state);
@@ -51,6 +50,7 @@
   virtual void duplicate_member(MemberId number) = 0; // two running members use the same number
 };
 
+// The other members known to one member, and what is pending for each.
 class Peers {
  public:
   // Class of an item. Of one class and key only the newest item is pending. Items of `control` may be larger,
@@ -60,21 +60,19 @@
 
   // `settings`, durations in ns:
   // - peers.beat: heartbeat interval, the longest time between two messages to a peer
-  // - peers.silent: a peer that sent nothing for this long is unresponsive, and one that acknowledged nothing
-  // for
-  //   this long is one-way unreachable; at least two heartbeat intervals
+  // - peers.silent: a peer that sent nothing for this long is unresponsive, and one that acknowledged
+  //   nothing for this long is one-way unreachable; at least two heartbeat intervals
   // - peers.rest_least, peers.rest_most: backoff between connection attempts, doubled after each failed one
   // - peers.most_words: pending items for each peer
   // and these, which are optional:
   // - peers.most_waiting_bytes: bytes of the pending items for each peer, keys included; the default holds
   //   `peers.most_words` items of the largest size that leases use
-  // - peers.most_beats: heartbeats in a second to all peers together; default: what 20 peers get at
-  // `peers.beat`
+  // - peers.most_beats: heartbeats in a second to all peers together; default: what 20 peers get at the
+  //   interval `peers.beat`
   // - peers.most_members: other members that can be known; default: as many as are passed here
-  // - peers.by_choice: 1: connections are kept only to the peers named by `request_connection`. Otherwise
-  // also to
-  //   the voters, by a voter to all from which it receives, and, while no voter is received from, to a few
-  //   others at a time, in rounds
+  // - peers.by_choice: 1: connections are kept only to the peers named by `request_connection`; otherwise
+  //   also to the voters, by a voter to all from which it receives, and, while no voter is received from,
+  //   to a few others at a time, in rounds
   Peers(Nanos now, peer_codec::Sender self, std::vector<MemberId> others, const Voters& voters,
         const Settings& settings, std::uint64_t seed, PeerActions& actions);
 
@@ -96,10 +94,9 @@
   bool enqueue(MemberId to, MessageClass message_class, std::string_view key, std::string item);
   // To all peers to which a connection is wanted.
   void enqueue_all(MessageClass message_class, std::string_view key, const std::string& item);
-  std::size_t
-  free_bytes(MemberId to) const; // bytes that `enqueue` still accepts, the key of the item included
-  void leave(Nanos now);         // announces that this member leaves; pending items are still sent
-  bool all_sent() const;         // to all peers that are connected
+  std::size_t free_bytes(MemberId to) const; // that `enqueue` still accepts, the key included
+  void leave(Nanos now); // announces that this member leaves; pending items are still sent
+  bool all_sent() const; // to all peers that are connected
 
   void connected(Nanos now, MemberId to);
   void written(Nanos now, MemberId to);
@@ -158,10 +155,9 @@
     std::deque<std::pair<std::uint64_t, Nanos>> unacked;
     // When an item that expects a response was sent on this connection, if nothing was received since.
     Nanos request_sent_at = -1;
-    bool ack_overdue =
-        false; // it sent a message without acknowledging what was sent on this connection long before
-    // Since when it has acknowledged nothing, across connections.
-    Nanos unacked_since = -1;
+    // It sent a message without acknowledging what was sent on this connection long before.
+    bool ack_overdue = false;
+    Nanos unacked_since = -1; // since when it has acknowledged nothing, across connections
     PeerState peer_state = PeerState::unknown;
     Nanos last_received_at = -1;
     peer_codec::HeartbeatTerms heartbeat{}; // from its last message
