--- a/peers/control_member.cpp
+++ b/peers/control_member.cpp
@@ -9,7 +9,8 @@
 
 constexpr double ms = 1e6; // ns
 constexpr const char* writer_lease = "control";
-constexpr std::size_t max_unattached = 256; // beside those that follow: some ms of the return of a zone
+// Accepted servers that follow nothing yet: enough for some ms when a zone returns.
+constexpr std::size_t max_unattached = 256;
 
 // The longest time that a granted lease can last, with a clock that is off by the allowed drift.
 Nanos longest_grant(const Settings& settings) {
--- a/peers/peers.cpp
+++ b/peers/peers.cpp
@@ -282,7 +282,7 @@
   const double backoff = std::min(static_cast<double>(min_backoff_) * std::exp2(peer.failed_attempts), limit);
   peer.retry_at = now + static_cast<Nanos>(backoff * (0.5 + random_.unit()));
   peer.failed_attempts = std::min(peer.failed_attempts + 1, max_backoff_doublings);
-  drop_pending(peer, true); // items that would be sent late, as if they were current
+  drop_pending(peer, true); // its updates and control items would be sent late, as if they were current
 }
 
 void Peers::close(Nanos now, MemberId member, Peer& peer) {
