--- a/peers/control_follower.hpp
+++ b/peers/control_follower.hpp
@@ -14,6 +14,7 @@
 
 namespace cometshift {
 
+// Effects that ControlFollower asks its owner to carry out, and notifications.
 class ControlFollowerActions {
  public:
   virtual ~ControlFollowerActions() = default;
@@ -28,6 +29,7 @@
   virtual void duplicate_member(MemberId number) = 0;
 };
 
+// A server's connections to its control members and the state received from them.
 class ControlFollower final : PeerActions,
                               FollowerActions,
                               peer_codec::Listener,
@@ -90,7 +92,7 @@
   void renewal(Incarnation to, AttachmentNumber number, Version at, const std::vector<std::uint16_t>& scopes,
                Version from, Version upto, Version last, const std::vector<Entry>& entries) override;
   void beat(Incarnation to, AttachmentNumber number, Version committed, Nanos age) override;
-  void rest(Incarnation to, AttachmentNumber number, Nanos rest) override;
+  void rest(Incarnation to, AttachmentNumber number, Nanos delay) override;
   void elsewhere(Incarnation to, AttachmentNumber number) override;
   void again(Incarnation to, AttachmentNumber number) override;
 
--- a/peers/control_member.cpp
+++ b/peers/control_member.cpp
@@ -9,7 +9,8 @@
 
 constexpr double ms = 1e6; // ns
 constexpr const char* writer_lease = "control";
-constexpr std::size_t max_unattached = 256; // beside those that follow: some ms of the return of a zone
+// Accepted servers that follow nothing yet: enough for some ms when a zone returns.
+constexpr std::size_t max_unattached = 256;
 
 // The longest time that a granted lease can last, with a clock that is off by the allowed drift.
 Nanos longest_grant(const Settings& settings) {
@@ -387,8 +388,8 @@
                          Nanos age) {
   enqueue(to, "beat", control_codec::beat(incarnation, number, committed, age));
 }
-void ControlMember::rest(MemberId to, Incarnation incarnation, AttachmentNumber number, Nanos rest) {
-  enqueue(to, "rest", control_codec::rest(incarnation, number, rest));
+void ControlMember::rest(MemberId to, Incarnation incarnation, AttachmentNumber number, Nanos delay) {
+  enqueue(to, "rest", control_codec::rest(incarnation, number, delay));
 }
 void ControlMember::elsewhere(MemberId to, Incarnation incarnation, AttachmentNumber number) {
   enqueue(to, "elsewhere", control_codec::elsewhere(incarnation, number));
--- a/peers/peers.cpp
+++ b/peers/peers.cpp
@@ -282,7 +282,7 @@
   const double backoff = std::min(static_cast<double>(min_backoff_) * std::exp2(peer.failed_attempts), limit);
   peer.retry_at = now + static_cast<Nanos>(backoff * (0.5 + random_.unit()));
   peer.failed_attempts = std::min(peer.failed_attempts + 1, max_backoff_doublings);
-  drop_pending(peer, true); // items that would be sent late, as if they were current
+  drop_pending(peer, true); // its updates and control items would be sent late, as if they were current
 }
 
 void Peers::close(Nanos now, MemberId member, Peer& peer) {
@@ -369,9 +369,9 @@
 // Scales with the interval that the peer promised, by the ratio of `peers.silent` to `peers.beat`.
 Nanos Peers::unresponsive_timeout(const Peer& peer) const {
   if (peer.heartbeat.next_within <= heartbeat_interval_) return min_unresponsive_timeout_;
-  const double beats =
+  const double intervals =
       static_cast<double>(min_unresponsive_timeout_) / static_cast<double>(heartbeat_interval_);
-  return static_cast<Nanos>(static_cast<double>(peer.heartbeat.next_within) * beats);
+  return static_cast<Nanos>(static_cast<double>(peer.heartbeat.next_within) * intervals);
 }
 
 // One-way unreachable: messages of the peer arrive, and the first one that it has not acknowledged is too
