--- a/node/address.hpp
+++ b/node/address.hpp
@@ -1,4 +1,4 @@
-// An address with its port, such as 127.0.0.1:5050 or [::1]:5050, as an end of a connection.
+// Parses addresses with a port, such as 127.0.0.1:5050 or [::1]:5050, into TCP endpoints.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -10,6 +10,7 @@
 
 namespace cometshift {
 
+// Returns nothing unless `address` is an IP address with a port from 1 to 65535. Host names are not resolved.
 inline std::optional<asio::ip::tcp::endpoint> parse_endpoint(const std::string& address) {
   const std::size_t colon = address.rfind(':');
   if (colon == std::string::npos) return std::nullopt;
@@ -26,7 +27,7 @@
   return asio::ip::tcp::endpoint(ip, static_cast<unsigned short>(port));
 }
 
-// Of one that has been checked.
+// For addresses that have been validated before; throws std::invalid_argument otherwise.
 inline asio::ip::tcp::endpoint require_endpoint(const std::string& address) {
   if (const auto endpoint = parse_endpoint(address)) return *endpoint;
   throw std::invalid_argument(address + ": not an address with a port");
--- a/node/announce.cpp
+++ b/node/announce.cpp
@@ -14,7 +14,7 @@
   if (has_status_ && accepting_ == yes) return;
   accepting_ = yes;
   has_status_ = true;
-  // A change does not wait for an answer to the report before it, which may never come.
+  // A change does not wait for the reply to the previous report, which may never arrive.
   if (report_in_flight_) close_connection();
   report();
 }
@@ -25,7 +25,7 @@
   connected_ = false;
 }
 
-// A list elsewhere knows nothing of this server yet: it is told at once.
+// The service at the new address does not know this server yet, so it is notified at once.
 void AnnounceClient::set_address(const std::string& address) {
   const asio::ip::tcp::endpoint to = require_endpoint(address);
   if (to == address_) return;
@@ -67,7 +67,8 @@
   read();
 }
 
-// Against waiting for the next report where the service had only left the connection since the last one.
+// If the service closed an idle connection since the last report, the report is retried at once on a new
+// connection instead of being postponed by a whole report interval.
 void AnnounceClient::connection_failed() {
   if (!connection_reused_) return report_finished(false);
   close_connection();
@@ -88,7 +89,9 @@
 void AnnounceClient::report_finished(bool ok) {
   ++generation_;
   report_in_flight_ = false;
-  if (!ok && !failure_logged_) log_info("announce", "not reported, the service is down or slow");
+  if (!ok && !failure_logged_)
+    log_info("announce",
+             "report failed: the announce service is unreachable, slow or did not reply with 204");
   if (ok && failure_logged_) log_info("announce", "reported again");
   failure_logged_ = !ok;
   if (!ok || !reply_.keep_alive()) close_connection();
--- a/node/announce.hpp
+++ b/node/announce.hpp
@@ -1,4 +1,5 @@
-// Reports to the announce service, by which balancers learn of this server. Owns its one connection.
+// Client of the announce service, from which balancers learn that this server exists and whether it accepts
+// ops. Owns one connection, which is reused between reports.
 #pragma once
 
 #include "http_reply.hpp"
@@ -12,11 +13,14 @@
 
 namespace cometshift {
 
+// Reports the status at once when it changes, and repeats it at the report interval.
 class AnnounceClient {
  public:
   AnnounceClient(asio::io_context& io, const std::string& address, std::string name);
 
-  void set_accepting(bool yes); // reported at once, and then again and again
+  // Nothing is reported before the first call.
+  void set_accepting(bool yes);
+  // Reports to another service from now on, beginning at once.
   void set_address(const std::string& address);
   void set_report_interval(Nanos time) { report_interval_ = time; }
   void set_report_timeout(Nanos time) { report_timeout_ = time; }
@@ -38,14 +42,15 @@
   std::string output_;
   std::array<char, 2048> input_;
   HttpReply reply_;
-  std::uint64_t generation_ = 0; // counts reports and rests: handlers of earlier ones do nothing
+  // Incremented with each report and each wait for the next one; handlers of earlier generations do nothing.
+  std::uint64_t generation_ = 0;
   Nanos report_interval_ = 0;
   Nanos report_timeout_ = 0;
   bool accepting_ = false;
-  bool has_status_ = false; // there is something to report
+  bool has_status_ = false; // set_accepting() has been called
   bool report_in_flight_ = false;
   bool connected_ = false;
-  bool connection_reused_ = false; // the connection was there before this report
+  bool connection_reused_ = false; // the current report did not open the connection
   bool failure_logged_ = false;
 };
 
--- a/node/configuration.cpp
+++ b/node/configuration.cpp
@@ -13,9 +13,9 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-// A figure of the protocol that no key tells: how long a report counts.
+// How long a report to the announce service stays valid. Fixed by the protocol; no key sets it.
 constexpr double listing_lifetime_ns = 3e9;
-constexpr double min_sockets = 64; // fewer leave no room for callers beside the server's own
+constexpr double min_sockets = 64; // fewer leave no room for callers beside the server's own sockets
 constexpr double min_memory_mb = 32;
 
 [[noreturn]] void reject(const std::string& key, const char* reason) {
@@ -51,7 +51,7 @@
   return found;
 }
 
-// What the module can't do without, by the names under which it is told.
+// Checks the settings that the decision module requires. Errors name the keys of the configuration file.
 void check_settings(const Settings& settings, const std::string& path) {
   const auto require = [&](const std::string& setting, const std::string& key, double least) {
     if (!settings.contains(setting)) reject(path + key, "missing");
@@ -59,7 +59,7 @@
   };
   const auto one_of = [&](const std::string& setting, const std::string& key, std::set<std::string> allowed) {
     if (settings.contains(setting) && !allowed.contains(text(settings, setting, "")))
-      reject(path + key, "not one of its words");
+      reject(path + key, "not an allowed value");
   };
   require("cores", "family_info.cpus", 1);
   require("memory_kb", "family_info.mem_limit_kb", 1);
@@ -70,7 +70,8 @@
   one_of("halt", "family_info.halt", {"none", "drop", "pause"});
   one_of("below", "family_info.below", {"common", "next_hop", "none"});
   one_of("value_by", "value_by", {"op", "work"});
-  // Hands each entry of a list to `check`, with its names; each has a name of its own. How many there are.
+  // Calls `check_entry` for each entry of a list, with the prefixes of its settings and of its keys. Entry
+  // names must be present and unique. Returns the number of entries.
   const auto entries = [&](const char* list, const char* key_list, auto check_entry) {
     std::set<std::string> names;
     for (int i = 0;; ++i) {
@@ -82,7 +83,7 @@
       check_entry(setting, key);
       const std::string name = text(settings, setting + "name", "");
       if (name.empty()) reject(path + key + "name", "missing");
-      if (!names.insert(name).second) reject(path + key + "name", "twice the same");
+      if (!names.insert(name).second) reject(path + key + "name", "duplicate name");
     }
   };
   const int op_types =
@@ -114,9 +115,9 @@
   check_settings(settings, "settings.");
   settings["name"] = text_member(root, "name");
   for (const char c : text(settings, "name", ""))
-    // Against a name that would be another path or header in a report.
+    // The name becomes part of a request path; other characters could change the path or inject a header.
     if (static_cast<unsigned char>(c) <= ' ' || c == '/' || c == '?' || c == '#' || c == '%' || c > '~')
-      reject("name", "not a plain word");
+      reject("name", "contains a character that is not allowed");
   for (const char* name : {"listen", "vm", "announce", "records"})
     settings[name] = address_member(root, name);
   const std::string seed = text_member(root, "seed");
@@ -131,7 +132,8 @@
   settings["memory_mb"] = number_member(limits, "memory_mb", "limits.", min_memory_mb, 1e9);
   settings["sockets"] = number_member(limits, "sockets", "limits.", min_sockets, 1e9);
   settings["list_lapse_ns"] = listing_lifetime_ns;
-  // This link has no commands to stop a run or to go on without a call: the module is not to count on them.
+  // This interpreter link has no commands to stop a run or to continue it without its call; the decision
+  // module must not rely on them.
   settings["halt"] = std::string("none");
   for (int t = 0; settings.contains("op_type." + std::to_string(t) + ".name"); ++t)
     settings.erase("op_type." + std::to_string(t) + ".without_share");
--- a/node/front.cpp
+++ b/node/front.cpp
@@ -13,23 +13,21 @@
 
 namespace {
 
-constexpr std::size_t input_buffer_bytes =
-    8 * 1024;                                    // of a connection's input: the largest request fits twice
-constexpr std::size_t max_body_bytes = 2 * 1024; // of a request
-constexpr std::size_t max_open_streams = 32;     // requests on a connection
-constexpr std::size_t max_text_bytes = 64;       // of a mark or a subject
-constexpr std::size_t max_remembered_streams =
-    64; // streams remembered beside the first ones, if all are used
-constexpr std::size_t max_unread_output =
-    256 * 1024;                              // bytes for a connection: 32 results fit; then its input waits
-constexpr std::size_t max_write_pieces = 32; // pieces in one write
-constexpr std::size_t min_piece_bytes = 4 * 1024; // smaller ones are put together
-constexpr int reads_per_turn = 4;                 // of one connection: the others get their turn
-constexpr int accepts_per_turn = 64; // against a flood of connections: those there are get their turn
-constexpr std::size_t lingering_divisor = 24; // of the connections there may be: as many more may be ending
-constexpr const char* fields_overrun = "fields that overrun it";
+constexpr std::size_t input_buffer_bytes = 8 * 1024; // per connection; the largest request fits twice
+constexpr std::size_t max_body_bytes = 2 * 1024;     // per request
+constexpr std::size_t max_open_streams = 32;         // per connection
+constexpr std::size_t max_text_bytes = 64;           // of an idempotency key or an item
+constexpr std::size_t max_remembered_streams = 64;   // used streams above the first gap
+// Bytes per connection. 32 results fit; above that, no further input is read from it.
+constexpr std::size_t max_unread_output = 256 * 1024;
+constexpr std::size_t max_write_pieces = 32;      // buffers per gathered write
+constexpr std::size_t min_piece_bytes = 4 * 1024; // smaller pieces of output are merged
+constexpr int reads_per_turn = 4;                 // per connection, so that others are not starved
+constexpr int accepts_per_turn = 64;          // a flood of new connections must not starve the existing ones
+constexpr std::size_t lingering_divisor = 24; // this part of max_connections may linger in addition
+constexpr const char* fields_overrun = "fields overrun the payload";
 constexpr Nanos ms = 1'000'000;
-constexpr std::int64_t max_time_ms = std::int64_t{1} << 42; // ms: keeps times in whole nanoseconds
+constexpr std::int64_t max_time_ms = std::int64_t{1} << 42; // in nanoseconds it still fits 64 bits
 
 } // namespace
 
@@ -40,12 +38,13 @@
   try {
     const asio::ip::tcp::endpoint at = require_endpoint(listen);
     acceptor_.open(at.protocol());
-    acceptor_.set_option(
-        asio::socket_base::reuse_address(true)); // against waiting for an earlier life's ends
+    // Connections of an earlier process may still be in TIME_WAIT.
+    acceptor_.set_option(asio::socket_base::reuse_address(true));
     acceptor_.bind(at);
     acceptor_.listen();
     acceptor_.non_blocking(true);
-    // Against waiting within an accept for the next one: one that left meanwhile is told of.
+    // An accept whose connection was aborted meanwhile returns that error instead of blocking for the next
+    // one.
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
   } catch (const asio::system_error& e) {
     throw std::invalid_argument("listen: " + listen + ": " + e.code().message());
@@ -53,13 +52,13 @@
   accept();
 }
 
-// ---- connections come and go
+// ---- accepting and closing connections
 
-// Nothing is due on it.
 bool Front::is_idle(const Connection& c) const { return c.open_streams.empty() && c.pending_bytes == 0; }
 
-// Against a table full of connections that say nothing while callers wait outside: one goes, in the order
-// told. False if it is the newest that has to.
+// Closes one connection without open streams or pending output, so that a full table of idle connections does
+// not keep callers out. Candidates are chosen by the eviction order. Returns false if there is none before
+// the order comes to the newest connection, which then has to be closed.
 bool Front::evict_one() {
   for (const Eviction criterion : eviction_order_) {
     if (criterion == Eviction::newest) return false;
@@ -71,7 +70,7 @@
           victim = c.get();
       if (!victim) break;
       const ConnectionId id = victim->id;
-      on_readable(*victim); // against closing over a request that lies unread
+      on_readable(*victim); // a request may be waiting in the socket buffer
       const auto at = connections_.find(id);
       if (at == connections_.end()) return true;
       if (!is_idle(*at->second) || at->second->received_frame != (criterion == Eviction::idle)) continue;
@@ -85,20 +84,20 @@
   return false;
 }
 
-// Takes those that wait to be accepted.
+// Accepts pending connections. Returns the error that ended the loop, or none after `most` connections.
 asio::error_code Front::accept_pending(int most) {
   asio::error_code error;
   while (most-- > 0) {
     asio::ip::tcp::socket socket(io_);
     acceptor_.accept(socket, error);
-    if (error == asio::error::connection_aborted) { // the others wait on
+    if (error == asio::error::connection_aborted) { // others may still be pending
       error = {};
       continue;
     }
     if (error) break;
     if (connections_.size() >= max_connections_ && !evict_one()) {
-      log_info("accept", "no room, closed at once");
-      continue; // with nothing read: what was written on it has not run
+      log_info("accept", "connection table full, new connection closed");
+      continue; // nothing was read from it, so no op of it has run
     }
     asio::error_code ignored;
     socket.non_blocking(true, ignored);
@@ -121,7 +120,8 @@
     if (!error) error = accept_pending(accepts_per_turn);
     if (!error || error == asio::error::would_block || error == asio::error::connection_aborted)
       return accept();
-    // Against spinning where no descriptor is free: what waits is accepted when one is.
+    // Without the delay the loop would spin while no descriptor is free. The oldest lingering connection is
+    // closed to free one.
     log_info("accept", "%s", error.message().c_str());
     if (!lingering_.empty()) lingering_.erase(lingering_.begin());
     accept_retry_timer_.expires_after(std::chrono::nanoseconds(accept_retry_delay_));
@@ -131,7 +131,7 @@
   });
 }
 
-// Ends one on which all is said.
+// Closes a connection whose output is complete. Lingers unless the peer has already closed its side.
 void Front::close_gracefully(Connection& c) {
   if (!c.peer_closed) {
     asio::error_code error;
@@ -139,7 +139,7 @@
     if (!error) {
       lingering_.try_emplace(next_lingering_, std::move(c.socket), now_);
       drain_lingering(next_lingering_++);
-      // Against those that end taking the descriptors of those that come.
+      // Lingering connections must not use up the descriptors of new ones.
       while (connections_.size() + lingering_.size() >
              max_connections_ + max_connections_ / lingering_divisor + 1)
         lingering_.erase(lingering_.begin());
@@ -148,7 +148,8 @@
   remove(c, nullptr);
 }
 
-// Reads and drops what comes on one that ends, to its peer's end; sweep() sets the bound in time.
+// Reads and discards the input of a lingering connection until its peer closes; check_timeouts() bounds the
+// time.
 void Front::drain_lingering(std::uint64_t number) {
   const auto at = lingering_.find(number);
   if (at == lingering_.end()) return;
@@ -167,7 +168,7 @@
   });
 }
 
-// The one place where a connection is given back.
+// The only place where a connection is released.
 void Front::remove(Connection& c, const char* reason) {
   if (reason) log_info("connection", "closed: %s", reason);
   const std::set<StreamId> lost = std::move(c.open_streams);
@@ -177,7 +178,8 @@
   for (const StreamId stream : lost) handler_.stream_lost({id, stream});
 }
 
-// A frame that is on its way has its time, also past the end: its caller wrote no new one.
+// A frame that is partly received may complete within its timeout even after the drain delay: its caller
+// began it before it knew.
 bool Front::may_close(const Connection& c) const {
   if (!c.open_streams.empty() || c.pending_bytes > 0) return false;
   if (c.peer_closed) return true;
@@ -191,7 +193,7 @@
                                silence_timeout_ > 0 ? silence_timeout_ : idle_timeout_);
   for (auto& [id, c] : connections_) {
     if (least > 0 && c->open_streams.empty() && now_ - c->last_activity >= least) send_go_away(*c);
-    // Against peers that say nothing, or that never end what they began, however it trickles.
+    // Peers that send nothing, or that never complete a frame, even if its bytes keep trickling in.
     if (frame_timeout_ > 0 && c->frame_began >= 0 && now_ - c->frame_began >= frame_timeout_ &&
         !c->input_ignored)
       c->received_frame || c->filled > 0 ? slow.push_back(id) : send_go_away(*c);
@@ -199,25 +201,25 @@
     if (write_stall_timeout_ > 0 && c->write_pending && now_ - c->write_blocked_since >= write_stall_timeout_)
       stuck.push_back(id);
   }
-  for (const ConnectionId id : stuck) remove(*connections_.at(id), "it does not read what it is sent");
+  for (const ConnectionId id : stuck) remove(*connections_.at(id), "the peer does not read its responses");
   for (const ConnectionId id : slow) {
     const auto at = connections_.find(id);
     if (at == connections_.end()) continue;
     const Nanos frame_began = at->second->frame_began;
-    on_readable(*at->second); // against ending over the rest of the frame, which may lie unread
+    on_readable(*at->second); // the rest of the frame may be waiting in the socket buffer
     if (const auto still = connections_.find(id); still != connections_.end() &&
                                                   still->second->frame_began == frame_began &&
                                                   !still->second->input_ignored)
-      reject_input(*still->second, "a frame that does not end");
+      reject_input(*still->second, "frame not completed in time");
   }
   for (const ConnectionId id : ended) {
     const auto at = connections_.find(id);
     if (at == connections_.end()) continue;
-    if (!at->second->peer_closed) on_readable(*at->second); // against closing over a request that lies unread
+    if (!at->second->peer_closed) on_readable(*at->second); // a request may be waiting
     if (const auto still = connections_.find(id); still != connections_.end() && may_close(*still->second))
       close_gracefully(*still->second);
   }
-  // Against peers that never end.
+  // Peers that never close their side.
   while (!lingering_.empty() && now_ - lingering_.begin()->second.since >= drain_delay_)
     lingering_.erase(lingering_.begin());
 }
@@ -231,7 +233,7 @@
 void Front::stop_accepting() {
   if (stopped_accepting_) return;
   stopped_accepting_ = true;
-  // Against resetting what was connected, and may have been written to, already.
+  // Closing the listener resets connections that are not accepted yet, and callers may have written to them.
   while (!accept_pending(accepts_per_turn)) {
   }
   asio::error_code ignored;
@@ -240,7 +242,7 @@
   for (auto& [id, c] : connections_) send_go_away(*c);
 }
 
-// ---- bytes in
+// ---- input
 
 void Front::wait_readable(Connection& c) {
   if (c.read_pending || c.peer_closed || c.input_ignored || c.pending_bytes > max_unread_output) return;
@@ -273,7 +275,7 @@
     parse_frames(c);
     if (n < room || c.input_ignored) break;
   }
-  if (c.filled == 0) c.input.reset(); // most connections are idle
+  if (c.filled == 0) c.input.reset(); // most connections are idle: don't hold their buffers
   wait_readable(c);
 }
 
@@ -295,11 +297,11 @@
     if (left < 4) break;
     const std::uint32_t length = frames::read_le(c.input.get() + from, 4);
     if (!frames::is_valid_length(length)) {
-      reject_input(c, "a length out of range");
+      reject_input(c, "frame length out of range");
       continue;
     }
     const std::size_t size = length + 4;
-    const bool whole = size <= input_buffer_bytes / 2; // what is larger is not kept: only its head counts
+    const bool whole = size <= input_buffer_bytes / 2; // of larger frames only the header is read
     if (left < (whole ? size : frames::header_size)) break;
     const char* at = c.input.get() + from;
     const std::string_view payload(at + frames::header_size, whole ? size - frames::header_size : 0);
@@ -316,8 +318,8 @@
   c.filled -= from;
 }
 
-// Against reading on where frames can't be told from each other any more: the peer is told, what is open is
-// settled, and then the connection ends. Others notice nothing.
+// Stops parsing a connection's input, as frame boundaries can't be found any more. The peer is notified, open
+// streams still get their responses, and then the connection ends. Other connections are not affected.
 bool Front::reject_input(Connection& c, const char* reason) {
   log_info("frame", "connection %llu: %s", static_cast<unsigned long long>(c.id.raw), reason);
   c.input_ignored = true;
@@ -331,13 +333,14 @@
 void Front::penalize(StreamRef ref) {
   const auto at = connections_.find(ref.connection);
   if (at != connections_.end() && ++at->second->invalid_ops == max_invalid_ops_)
-    reject_input(*at->second, "too many ops that can't be taken");
+    reject_input(*at->second, "too many invalid ops");
 }
 
 bool Front::claim_stream(Connection& c, StreamId stream) {
   if (stream <= c.used_through || c.open_streams.contains(stream) || !c.used_above.insert(stream).second)
     return false;
-  // Against a peer that leaves gaps for ever: some of what it used is forgotten, as any other number is new.
+  // Bounds memory for peers that leave gaps: the lowest remembered stream is forgotten and would be taken as
+  // new.
   if (c.used_above.size() > max_remembered_streams) c.used_above.erase(c.used_above.begin());
   while (!c.used_above.empty() && c.used_above.begin()->raw <= c.used_through.raw + 1) {
     c.used_through = std::max(c.used_through, *c.used_above.begin());
@@ -348,13 +351,12 @@
 
 bool Front::handle_frame(Connection& c, std::uint8_t type, StreamId stream, std::string_view payload,
                          bool whole) {
-  // Against peers that go on for ever after they were told to end. A few frames are read as any: they may
-  // have been on the way.
+  // Bounds peers that keep sending after go_away. A few frames are accepted: they may have been in transit.
   if (c.draining_since >= 0 && now_ - c.draining_since >= drain_delay_ &&
       ++c.frames_after_drain > max_invalid_ops_)
-    return reject_input(c, "goes on after its end");
+    return reject_input(c, "too many frames after go_away");
   if (type == frames::request) return handle_request(c, stream, payload, whole);
-  if (type != frames::health_check) return reject_input(c, "an unknown type");
+  if (type != frames::health_check) return reject_input(c, "unknown frame type");
   std::string_view rest;
   const auto ignore = [](std::string_view, std::string_view) {};
   if (whole && !frames::for_each_field(payload, ignore, rest)) return reject_input(c, fields_overrun);
@@ -365,7 +367,7 @@
   return true;
 }
 
-// A request: false if it can't be read.
+// Decodes a request into an op. Returns false if the input can't be parsed any further.
 bool Front::handle_request(Connection& c, StreamId stream, std::string_view payload, bool whole) {
   static constexpr std::array<std::string_view, 10> known{"verb",  "txn", "door",     "lb",     "team",
                                                           "limit", "ram", "standing", "unique", "item"};
@@ -383,12 +385,12 @@
   const bool fields_valid = !whole || frames::for_each_field(payload, take, body);
   const auto& [verb, txn, received_at, lb, team, limit, ram, standing, unique, item] = value;
   if (!fields_valid) return reject_input(c, fields_overrun);
-  if (!claim_stream(c, stream)) return reject_input(c, "a stream used twice");
-  if (!whole) return refuse_request(c, stream, "too large");
+  if (!claim_stream(c, stream)) return reject_input(c, "stream number reused");
+  if (!whole) return refuse_request(c, stream, "frame too large");
   if (c.open_streams.size() >= max_open_streams)
-    return refuse_request(c, stream, "too many open on its connection");
-  if (duplicate_field) return refuse_request(c, stream, "a field twice");
-  if (body.size() > max_body_bytes) return refuse_request(c, stream, "a body too large");
+    return refuse_request(c, stream, "too many open streams on its connection");
+  if (duplicate_field) return refuse_request(c, stream, "duplicate field");
+  if (body.size() > max_body_bytes) return refuse_request(c, stream, "body too large");
   const auto type = std::find(names_.op_types.begin(), names_.op_types.end(), verb);
   if (type == names_.op_types.end()) return refuse_request(c, stream, "verb: unknown op type");
   const auto type_at = static_cast<std::size_t>(type - names_.op_types.begin());
@@ -398,19 +400,20 @@
   std::uint64_t id = 0;
   std::int64_t door_ms = 0, limit_ms = 0, caller = 0;
   double kb = 0, rank = 0;
-  if (!read_hex(txn, id) || id == no_op_id.raw) return refuse_request(c, stream, "txn");
+  if (!read_hex(txn, id) || id == no_op_id.raw) return refuse_request(c, stream, "invalid txn");
   if (!frames::parse_integer(received_at, door_ms) || door_ms < 0 || door_ms > max_time_ms)
-    return refuse_request(c, stream, "door");
-  if (!frames::parse_integer(lb, caller) || caller < 0) return refuse_request(c, stream, "lb");
+    return refuse_request(c, stream, "invalid door");
+  if (!frames::parse_integer(lb, caller) || caller < 0) return refuse_request(c, stream, "invalid lb");
   if (present[5] ? !frames::parse_integer(limit, limit_ms) || limit_ms <= 0 || limit_ms > max_time_ms
                  : names_.tells_patience)
-    return refuse_request(c, stream, "limit");
-  if (!frames::parse_number(ram, kb) || kb <= 0 || kb >= 2000) return refuse_request(c, stream, "ram");
+    return refuse_request(c, stream, "invalid limit");
+  if (!frames::parse_number(ram, kb) || kb <= 0 || kb >= 2000)
+    return refuse_request(c, stream, "invalid ram");
   if (!frames::parse_number(standing, rank) || rank < 0 || rank >= 1)
-    return refuse_request(c, stream, "standing");
+    return refuse_request(c, stream, "invalid standing");
   if (names_.keyed[type_at] && (unique.empty() || unique.size() > max_text_bytes))
-    return refuse_request(c, stream, "unique");
-  if (item.size() > max_text_bytes) return refuse_request(c, stream, "item");
+    return refuse_request(c, stream, "invalid unique");
+  if (item.size() > max_text_bytes) return refuse_request(c, stream, "invalid item");
   c.open_streams.insert(stream);
   handler_.op_received(
       {c.id, stream}, OpId{id}, OpTypeId{static_cast<std::uint32_t>(type_at)},
@@ -420,9 +423,9 @@
   return true;
 }
 
-// ---- bytes out
+// ---- output
 
-// Hands the piece that heads are written to to `put`, and counts what it adds.
+// Calls `put` with the piece of output to append to, and accounts for the bytes that it adds.
 template <class Put>
 void Front::enqueue(Connection& c, Put put) {
   if (c.output.empty() || c.output.back().size() > min_piece_bytes) c.output.emplace_back();
@@ -439,7 +442,7 @@
   dirty_.push_back(c.id);
 }
 
-// Against ops that can be read but not be understood: one answer, and the module hears nothing of them.
+// Responds to a request that is well-formed but invalid; it is not passed on to the handler.
 bool Front::refuse_request(Connection& c, StreamId stream, const char* reason) {
   log_info("request", "refused, %s", reason);
   c.open_streams.insert(stream);
@@ -448,7 +451,8 @@
   return true;
 }
 
-// The connection of a line that is to be answered now; null if it is gone.
+// Closes an open stream, whose response is to be written now. Returns its connection; null if the stream or
+// the connection is gone.
 Front::Connection* Front::take_stream(StreamRef ref) {
   const auto at = connections_.find(ref.connection);
   if (at == connections_.end() || at->second->open_streams.erase(ref.stream) == 0) return nullptr;
@@ -516,7 +520,7 @@
     }
     c.written = n;
   }
-  if (c.peer_closed && may_close(c)) return remove(c, nullptr); // others by sweep()
+  if (c.peer_closed && may_close(c)) return remove(c, nullptr); // the rest is left to check_timeouts()
   wait_readable(c);
 }
 
@@ -526,19 +530,19 @@
     swept_at_ = now_;
     check_timeouts();
   }
-  for (std::size_t i = 0; i < dirty_.size(); ++i) { // grows where a lost line frees others
+  for (std::size_t i = 0; i < dirty_.size(); ++i) { // may grow: a lost stream can lead to more responses
     const auto at = connections_.find(dirty_[i]);
     if (at == connections_.end()) continue;
     at->second->dirty = false;
     write_output(*at->second);
   }
   dirty_.clear();
-  while (pending_bytes_ > max_pending_bytes_) { // against peers that never read
+  while (pending_bytes_ > max_pending_bytes_) { // peers that never read
     const auto most =
         std::max_element(connections_.begin(), connections_.end(), [](const auto& a, const auto& b) {
           return a.second->pending_bytes < b.second->pending_bytes;
         });
-    remove(*most->second, "it does not read what it is sent");
+    remove(*most->second, "the peer does not read its responses");
   }
 }
 
--- a/node/front.hpp
+++ b/node/front.hpp
@@ -1,5 +1,6 @@
-// The listener and the balancers' connections. Owns both, every byte not yet read or written, and which
-// streams are open; it is a seam: another protocol would stand here and hand over the same ops.
+// The listener and the balancers' connections. Owns both, their input and output buffers, and the set of open
+// streams. The wire protocol is confined to this class: another protocol would be implemented here and
+// deliver the same ops.
 #pragma once
 
 #include "interface.hpp"
@@ -17,55 +18,70 @@
 
 namespace cometshift {
 
+// Accepts connections, decodes requests into ops and writes the responses.
 class Front {
  public:
-  // What comes in. `received_at` and `limit` are Unix time and a span; limit 0, empty texts: not told. The
-  // views hold until the call returns.
+  // Receives ops and lost streams. `received_at` is Unix time, `limit` a duration; limit 0 and empty texts
+  // mean that the request doesn't state them. Views are valid until the call returns.
   class Handler {
    public:
     virtual ~Handler() = default;
     virtual void op_received(StreamRef ref, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
                              Nanos received_at, Nanos limit, double held_kb, double rank,
                              std::string_view mark, std::string_view subject, std::string_view body) = 0;
-    virtual void stream_lost(StreamRef ref) = 0; // its answer can't be delivered any more
+    // The connection of an open stream ended; its response can't be delivered any more.
+    virtual void stream_lost(StreamRef ref) = 0;
   };
-  struct Names { // by their ids; which op types carry a mark, and whether patience is told
+  // Names of op types and tenants, indexed by their ids.
+  struct Names {
     std::vector<std::string> op_types;
-    std::vector<bool> keyed;
+    std::vector<bool> keyed; // op types whose requests carry an idempotency key
     std::vector<std::string> tenants;
-    bool tells_patience = false;
+    bool tells_patience = false; // requests state the caller's time limit
   };
 
   Front(asio::io_context& io, const std::string& listen, std::size_t max_connections,
         std::size_t max_pending_bytes, Names names, Handler& handler);
 
-  // The final answers; each line takes one.
+  // The final responses; each stream takes one, further ones are ignored.
   void served(StreamRef ref, std::string result);
   void refused(StreamRef ref, Nanos retry_after, bool no_retry);
   void failed(StreamRef ref);
 
+  // Reported in health responses.
   void health(bool good) { healthy_ = good; }
+  // Sent with every response from now on; negative: not sent.
   void feedback(double value) { feedback_ = value; }
+  // A connection without open streams is told to go away after this time; 0: no limit.
   void set_idle_timeout(Nanos after) { idle_timeout_ = after; }
+  // The same for connections that their peer may have abandoned; the shorter of the two applies.
   void silent_connection_timeout(Nanos after) { silence_timeout_ = after; }
+  // Bounds the time to the first frame of a connection, and from the first to the last byte of a frame.
   void frame_timeout(Nanos time) { frame_timeout_ = time; }
+  // A connection whose output makes no progress for this long is closed.
   void write_stall_timeout(Nanos time) { write_stall_timeout_ = time; }
+  // `order`: whom to close when the connection table is full. `max_invalid_ops`: invalid ops in a row after
+  // which a connection's input is rejected.
   void set_eviction_order(std::vector<Eviction> order, int max_invalid_ops) {
     eviction_order_ = std::move(order);
     max_invalid_ops_ = max_invalid_ops;
   }
-  // Its op is none that a caller would send: too many of them, and its connection ends.
+  // Counts an invalid op, one that no caller would send, against its connection.
   void penalize(StreamRef ref);
+  // Time between go_away and the close of a connection.
   void connection_drain_delay(Nanos time) { drain_delay_ = time; }
+  // Delay after a failed accept, such as when no descriptor is free.
   void accept_retry_delay(Nanos rest) { accept_retry_delay_ = rest; }
+  // Closes the listener, after accepting what is pending, and sends go_away on all connections.
   void stop_accepting();
+  // No longer accepting, and every connection has ended.
   bool closed() const { return stopped_accepting_ && connections_.empty() && lingering_.empty(); }
-  void flush(Nanos now); // one gathered write for each connection with something to say
+  // Ends a turn: checks timeouts and writes the pending output of each connection.
+  void flush(Nanos now);
 
   std::size_t connections() const { return connections_.size(); }
-  std::size_t pending_bytes() const {
-    return pending_bytes_;
-  } // bytes for which there is no room at their peers
+  // Output that the peers have not taken yet, over all connections.
+  std::size_t pending_bytes() const { return pending_bytes_; }
 
  private:
   struct Connection {
@@ -74,30 +90,30 @@
     ConnectionId id;
     std::unique_ptr<char[]> input;
     std::size_t filled = 0;
-    std::size_t skip_bytes = 0; // bytes to come of a frame that is too large to keep
+    std::size_t skip_bytes = 0; // rest of a frame that is too large to buffer
     std::deque<std::string> output;
-    std::size_t written = 0;       // of the first of them
-    std::size_t pending_bytes = 0; // bytes to write
+    std::size_t written = 0;       // bytes of output.front()
+    std::size_t pending_bytes = 0; // unwritten output
     std::set<StreamId> open_streams;
-    StreamId used_through;         // all streams to it have been used
-    std::set<StreamId> used_above; // those above it, the highest ones
-    Nanos last_activity = 0;       // something whole was read, or answered
-    Nanos frame_began = 0;         // waits since then for the rest of a frame, or for its first
-    bool received_frame = false;   // has brought a whole frame
-    int invalid_ops = 0;           // in a row
-    int frames_after_drain = 0;    // frames read past the time to end
-    Nanos write_blocked_since = 0; // while there is no room for what waits
-    Nanos draining_since = -1;     // told that it takes no new op; -1: not told
-    bool read_pending = false;     // a wait for bytes is out
-    bool write_pending = false;    // a wait for room is out
-    bool input_ignored = false;    // what comes is not read as frames any more
-    bool peer_closed = false;      // it sends no more
-    bool dirty = false;
+    StreamId used_through;         // all streams up to this one have been used
+    std::set<StreamId> used_above; // the highest used streams above it
+    Nanos last_activity = 0;       // last complete frame received or response queued
+    Nanos frame_began = 0;         // start of the wait for the first frame or the rest of one; -1: no wait
+    bool received_frame = false;   // at least one complete frame was received
+    int invalid_ops = 0;           // since the last op that was served
+    int frames_after_drain = 0;    // frames received after the drain delay
+    Nanos write_blocked_since = 0; // valid while write_pending
+    Nanos draining_since = -1;     // when go_away was queued; -1: not yet
+    bool read_pending = false;     // an asynchronous wait for input is in progress
+    bool write_pending = false;    // an asynchronous wait for buffer space is in progress
+    bool input_ignored = false;    // input is discarded instead of parsed
+    bool peer_closed = false;      // the peer has shut down its sending side
+    bool dirty = false;            // in dirty_
   };
 
-  // A connection on which all is said: our side is shut, and what still comes is read and dropped, so that no
-  // reset takes what the peer has yet to read. Nothing of it is taken for an op: that it was never read is
-  // the caller's proof.
+  // A connection whose output is complete: the sending side is shut down, and further input is read and
+  // discarded. Closing at once with unread input would send a reset, which could destroy responses that the
+  // peer has not read yet. Discarded input is never executed as an op; callers rely on that proof.
   struct Lingering {
     Lingering(asio::ip::tcp::socket s, Nanos n) : socket(std::move(s)), since(n) {}
     asio::ip::tcp::socket socket;
@@ -114,7 +130,7 @@
   bool handle_frame(Connection& c, std::uint8_t type, StreamId stream, std::string_view payload, bool whole);
   bool handle_request(Connection& c, StreamId stream, std::string_view payload, bool whole);
   bool claim_stream(Connection& c, StreamId stream);
-  bool reject_input(Connection& c, const char* reason); // false: nothing more is read
+  bool reject_input(Connection& c, const char* reason); // returns false: stop parsing
   template <class Put>
   void enqueue(Connection& c, Put put);
   void mark_dirty(Connection& c);
@@ -125,7 +141,7 @@
   void close_gracefully(Connection& c);
   void drain_lingering(std::uint64_t number);
   void check_timeouts();
-  bool refuse_request(Connection& c, StreamId stream, const char* reason); // true: reading goes on
+  bool refuse_request(Connection& c, StreamId stream, const char* reason); // returns true: go on parsing
   bool may_close(const Connection& c) const;
 
   asio::io_context& io_;
@@ -136,14 +152,14 @@
   Names names_;
   Handler& handler_;
   std::map<ConnectionId, std::unique_ptr<Connection>> connections_;
-  std::map<std::uint64_t, Lingering> lingering_; // in the order in which they began to end
+  std::map<std::uint64_t, Lingering> lingering_; // keyed in the order of their shutdown
   std::uint64_t next_lingering_ = 1;
   std::vector<ConnectionId> dirty_;
   std::uint64_t next_connection_ = 1;
-  std::size_t pending_bytes_ = 0; // bytes to write, in all
+  std::size_t pending_bytes_ = 0; // unwritten output of all connections
   Nanos now_ = 0;
   Nanos swept_at_ = 0;
-  Nanos idle_timeout_ = 0; // 0: connections may stay silent
+  Nanos idle_timeout_ = 0; // 0: no limit
   Nanos silence_timeout_ = 0;
   Nanos drain_delay_ = 0;
   Nanos frame_timeout_ = 0;
--- a/node/host.cpp
+++ b/node/host.cpp
@@ -14,20 +14,20 @@
 
 constexpr Nanos ms = 1'000'000;
 
-// Bounds on what the sockets hold, as parts of the limits told. None is met in ordinary service.
+// Bounds on buffers and descriptors, as fractions of the configured limits. They are not reached in normal
+// operation.
 constexpr std::size_t mb = 1024 * 1024;
-constexpr std::size_t answers_memory_divisor = 8; // of the memory, for answers not yet taken
-constexpr std::size_t link_memory_divisor = 16;   // of the memory, for commands not yet taken
+constexpr std::size_t answers_memory_divisor = 8; // of the memory, for responses not yet written
+constexpr std::size_t link_memory_divisor = 16;   // of the memory, for commands not yet written
 constexpr std::size_t calls_socket_divisor = 8;   // of the descriptors, for calls
-constexpr std::size_t own_socket_divisor =
-    8; // of the descriptors, for the listener, the links, files and room
-constexpr std::size_t min_own_sockets =
-    24; // of these: standard ones, the loop's, two links, a file, room as much again
+// Of the descriptors, for the listener, the links, files and a margin.
+constexpr std::size_t own_socket_divisor = 8;
+// The standard streams, the event loop's, two links and a file, and the same again as a margin.
+constexpr std::size_t min_own_sockets = 24;
 
-constexpr int handlers_per_turn = 128; // some milliseconds at the most, of reads of a connection each
+constexpr int handlers_per_turn = 128; // a few milliseconds at most if each reads from a connection
 
-constexpr Nanos max_gauges_lead =
-    5 * ms; // gauges asked for longer before a wake-up would be none of its moment
+constexpr Nanos max_gauges_lead = 5 * ms; // older gauges would be stale at the wake-up
 
 Front::Names names_from(const Settings& settings) {
   Front::Names names;
@@ -42,15 +42,17 @@
   names.tells_patience = number(settings, "tells_patience", 0) != 0;
   return names;
 }
-// From before the listener opens: where a path is told, a hang-up does not end the program.
+// Called before the listener opens: from then on, SIGHUP no longer ends a process that can reload its files.
 std::string catch_sighup(asio::signal_set& sighup, std::string config_path) {
   if (!config_path.empty()) sighup.add(SIGHUP);
   return config_path;
 }
+// The setting `name`, in `unit`, divided by `divisor`.
 std::size_t part_of(const Settings& settings, const char* name, std::size_t unit, std::size_t divisor) {
   return static_cast<std::size_t>(number(settings, name, 0)) * unit / divisor;
 }
-// Balancers' connections: what calls and the server's own leave. Those that end take a few beside them.
+// The number of connections of balancers: what calls and the server's own descriptors leave. Lingering
+// connections take a few in addition.
 std::size_t max_connections(const Settings& settings) {
   const std::size_t calls = part_of(settings, "sockets", 1, calls_socket_divisor);
   const std::size_t own = std::max(min_own_sockets, part_of(settings, "sockets", 1, own_socket_divisor));
@@ -93,17 +95,18 @@
   if (!config_path_.empty()) wait_for_sighup();
 }
 
-// ---- the loop
+// ---- event loop
 
 Nanos Host::now() { return clock_.now(unix_time); }
 
-// What is ready is handed to the core first; then what it wants done is written, a connection at a time.
+// In each turn, all ready events are passed to the core first; then the resulting output is written,
+// connection by connection.
 void Host::serve() {
   std::signal(SIGPIPE, SIG_IGN);
   stop_signals_.add(SIGTERM);
   stop_signals_.add(SIGINT);
   stop_signals_.async_wait([this](asio::error_code error, int) {
-    if (!error) stop(); // a second signal changes nothing
+    if (!error) stop(); // once: a second signal has no effect
   });
   finish_turn();
   while (!finished()) {
@@ -115,7 +118,7 @@
   tape_.end(now());
 }
 
-// Not all that is ready: against peers that send without end, for which due times would wait.
+// The number of handlers is bounded, so that peers that send without end can't delay due times.
 void Host::run_ready_handlers() {
   for (int n = 0; n < handlers_per_turn && io_.poll_one() > 0;) ++n;
 }
@@ -127,8 +130,8 @@
       const Settings operator_settings =
           operator_path_.empty() ? operator_settings_ : read_operator(operator_path_);
       reload(read_configuration(config_path_), operator_settings);
-    } catch (const std::exception& e) { // a file that can't be taken changes nothing
-      log_info("reload", "left as it was: %s", e.what());
+    } catch (const std::exception& e) { // an invalid file changes nothing
+      log_info("reload", "rejected, nothing changed: %s", e.what());
     }
     wait_for_sighup();
   });
@@ -142,8 +145,8 @@
   });
 }
 
-// What operators set can be taken at any time, but for the fleet; what is the same already goes on
-// undisturbed.
+// Operator settings can change at any time, except for joining a fleet. Whatever is unchanged is not
+// disturbed.
 void Host::apply_operator_settings(const Settings& operator_settings) {
   configure_log(text(operator_settings, "log.format", "text") == "json",
                 text(operator_settings, "log.level", "info"));
@@ -158,13 +161,13 @@
   if (member_) {
     if (number(operator_settings, "fleet.on", 0) != 0) member_->reload(part_of(operator_settings, "fleet."));
   } else if (core_ && !operator_settings_.empty() && operator_settings.contains("fleet.on")) {
-    log_info("reload", "a fleet is entered at the next start");
+    log_info("reload", "joining a fleet takes effect at the next start");
   }
   operator_settings_ = operator_settings;
 }
 
 void Host::reload(const Settings& settings, const Settings& operator_settings) {
-  apply_operator_settings(operator_settings); // first: where it can't be taken, nothing is
+  apply_operator_settings(operator_settings); // first, because it may throw, and then nothing changes
   log_info("reload", "vm %s, records %s, announce %s", text(settings, "vm", "").c_str(),
            text(settings, "records", "").c_str(), text(settings, "announce", "").c_str());
   interpreter_.set_address(text(settings, "vm", ""));
@@ -190,8 +193,8 @@
   if (core_->anything_due(now())) tape_.due(now());
   request_gauges();
   if (stopped_accepting_)
-    front_.stop_accepting(); // not within the module's order: what still comes in is handed to it
-  do {                       // a line that is found lost may free others, and what they want
+    front_.stop_accepting(); // not from within the core's action, as it can pass further ops to the core
+  do {                       // a stream lost while writing can make the core answer or start others
     if (core_->has_repeats_to_answer()) tape_.answer_repeats(now());
     front_.flush(now());
   } while (core_->has_repeats_to_answer());
@@ -201,7 +204,7 @@
   arm_timer();
 }
 
-// The gauges come with the wake-up if they are asked for a round trip before it; it does not wait for them.
+// Requests the gauges a round trip before the wake-up that uses them. The wake-up does not wait for them.
 void Host::request_gauges() {
   const Nanos wake = core_->next_wake();
   if (wake < 0 || !interpreter_.up() || gauges_requested_for_ == wake || wake - now() > gauges_lead_) return;
@@ -223,11 +226,11 @@
 }
 
 void Host::stop() {
-  if (member_) member_->leave(); // what the fleet has of it goes on elsewhere at once
+  if (member_) member_->leave(); // other members can take over its leases at once
   tape_.drain(now());
 }
 
-// ---- what the sockets bring
+// ---- events from the sockets
 
 void Host::op_received(StreamRef ref, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
                        Nanos received_at, Nanos limit, double held_kb, double rank, std::string_view mark,
@@ -241,7 +244,7 @@
 void Host::machine_up(Nanos since) { tape_.machine_up(now(), since); }
 void Host::link_down() { tape_.link_down(now()); }
 
-// The answer to a question proves that all that was sent before it was read.
+// The answer to a query proves that the interpreter has read everything sent before the query.
 void Host::confirm_read(std::uint64_t query) {
   for (; !unconfirmed_starts_.empty() && unconfirmed_starts_.front().first <= query;
        unconfirmed_starts_.pop_front())
@@ -259,16 +262,16 @@
   if (gauges_requested_at_ > 0)
     gauges_lead_ = std::min(2 * (now() - gauges_requested_at_) + ms, max_gauges_lead);
   if (interpreter_.up())
-    confirm_read(interpreter_.answered_query_number()); // else of a link that is not caught up
+    confirm_read(interpreter_.answered_query_number()); // before it has caught up, caught_up() does this
   tape_.gauges(now(), values);
 }
 void Host::command_rejected(OpId id, std::string_view command) {
-  log_info("interpreter", "not carried out: %.*s",
+  log_info("interpreter", "command rejected: %.*s",
            static_cast<int>(std::min<std::size_t>(command.size(), 40)), command.data());
   if (command == "APPLY") tape_.start_refused(now(), id);
 }
 
-// ---- what the core orders
+// ---- actions of the core
 
 void Host::served(StreamRef ref, OpId, Content result) { front_.served(ref, std::move(result.bytes)); }
 void Host::refused(StreamRef ref, OpId, Reason, Nanos retry_after, bool no_retry) {
@@ -327,7 +330,7 @@
   case Timing::accept_retry_delay:
     return front_.accept_retry_delay(time);
   case Timing::orphan_query_delay:
-    return; // the core's own
+    return; // handled by the core itself
   }
 }
 
--- a/node/host.hpp
+++ b/node/host.hpp
@@ -1,6 +1,6 @@
-// The real server: one core behind sockets. Owns the timers and the loop, hands the core what happens, one
-// time a turn, and carries out what it orders; decides nothing. A tape stands between the two, and records if
-// it is told to.
+// The server process: one core behind sockets. Owns the event loop and the timers, passes events to the core,
+// with the same time for all events of a turn, and carries out the core's actions; it makes no decisions. A
+// tape between the two records both if a recording is on.
 #pragma once
 
 #include "announce.hpp"
@@ -22,21 +22,26 @@
 
 namespace cometshift {
 
+// Runs one server, in its own event loop or in that of the caller.
 class Host final : Actions, Front::Handler, InterpreterLink::Handler {
  public:
-  // As read by configuration.hpp and operator.hpp. With the paths that they were read from, a hang-up signal
-  // reads both again, and takes both or neither.
+  // Takes the settings as read by configuration.hpp and operator.hpp. If the paths of the files are given,
+  // SIGHUP reads both files again and applies both or neither.
   explicit Host(const Settings& settings, std::string config_path = {},
                 const Settings& operator_settings = {}, std::string operator_path = {});
-  void serve(); // returns once a drain is over; SIGTERM and SIGINT begin one
-  bool poll();  // what is ready, without waiting, for a loop of another's; false once a drain is over
-  void stop();  // drain now, as at the signal
-  // Go over to the addresses of the one, and to what the other says of log and recording; all else stays as
-  // it is.
+  // Serves until a drain has completed; SIGTERM and SIGINT begin one.
+  void serve();
+  // For use in the caller's loop: handles ready events without waiting. Returns false when a drain has
+  // completed.
+  bool poll();
+  // Begins a drain.
+  void stop();
+  // Applies the addresses of `settings`, and the log, recording, pool and voter settings of
+  // `operator_settings`. Everything else stays as it is.
   void reload(const Settings& settings, const Settings& operator_settings = {});
 
  private:
-  // The core's orders.
+  // Actions of the core
   void served(StreamRef ref, OpId op, Content result) override;
   void refused(StreamRef ref, OpId op, Reason reason, Nanos retry_after, bool no_retry) override;
   void failed(StreamRef ref, OpId op, Reason reason) override;
@@ -53,7 +58,7 @@
   void stop_accepting() override;
   void note(const char* kind, std::string_view words) override;
 
-  // What the sockets bring.
+  // Events from the sockets
   void op_received(StreamRef ref, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos received_at,
                    Nanos limit, double held_kb, double rank, std::string_view mark, std::string_view subject,
                    std::string_view body) override;
@@ -80,23 +85,23 @@
   asio::io_context io_;
   asio::signal_set stop_signals_;
   asio::signal_set sighup_;
-  asio::signal_set sigusr1_; // SIGUSR1, where there is a fleet: what stands is told in the log
-  std::string config_path_;  // of the configuration; empty: not told
+  asio::signal_set sigusr1_; // logs the fleet status; only as a member of a fleet
+  std::string config_path_;  // empty: no reload
   std::string operator_path_;
-  Settings operator_settings_; // as last taken
+  Settings operator_settings_; // as last applied
   asio::steady_timer timer_;
   Front::Names names_;
   Hasher digest_;
 
-  // Starts that went out before a question was asked: an answer to it proves that they were read. The last
-  // start before each question that may still be answered; as only one is out at a time, a few.
+  // For each unanswered query, the last start sent before it. The answer to the query proves that the
+  // interpreter has read these starts. Only one query is outstanding at a time, so there are few entries.
   std::deque<std::pair<std::uint64_t, StartNo>> unconfirmed_starts_;
-  StartNo last_confirmed_start_{}; // the last start that is proven to be read
+  StartNo last_confirmed_start_{}; // the last start that the interpreter is known to have read
 
   Nanos armed_for_ = 0;
   Nanos gauges_requested_at_ = 0;
-  Nanos gauges_requested_for_ = 0; // the wake-up that the gauges were asked for
-  Nanos gauges_lead_ = 1'000'000;  // of that question before the wake-up: a round trip and room
+  Nanos gauges_requested_for_ = 0; // the wake-up that the gauges were requested for
+  Nanos gauges_lead_ = 1'000'000;  // how long before the wake-up: a round trip and a margin
   Clock clock_;
   bool stopped_accepting_ = false;
 
@@ -104,9 +109,10 @@
   InterpreterLink interpreter_;
   RecordsClient records_;
   AnnounceClient announce_;
-  Tape tape_; // hands on to the core what happens, and to this what the core orders
+  Tape tape_; // passes events on to the core, and the core's actions to this
   std::unique_ptr<Core> core_;
-  std::unique_ptr<Member> member_; // null: the operator file names no fleet, and nothing of it is opened
+  // Null if the operator file configures no fleet; no fleet socket is open then.
+  std::unique_ptr<Member> member_;
 };
 
 } // namespace cometshift
--- a/node/http_client.cpp
+++ b/node/http_client.cpp
@@ -14,7 +14,7 @@
 HttpClient::HttpClient(asio::io_context& io, std::size_t max_connections)
     : io_(io), max_connections_(max_connections) {}
 
-// A handler that does nothing once its connection, or its call, is over.
+// Wraps a completion handler so that it does nothing once its call has ended.
 template <class Step>
 auto HttpClient::if_current(const Connection& c, Step step) {
   return [this, step, id = c.id, generation = c.generation](asio::error_code error, std::size_t n = 0) {
@@ -27,7 +27,7 @@
                       std::string body, std::string wanted_header, Callback callback, SendCheck may_send) {
   cancel(id);
   if (calls_.size() >= max_connections_) {
-    // Against using up the descriptors: this call never leaves.
+    // Bounds the number of file descriptors: the call ends without being sent.
     asio::post(io_, [callback] {
       HttpReply empty_reply;
       callback(Result::not_sent, empty_reply);
@@ -47,8 +47,8 @@
   }));
   c.socket.async_connect(target,
                          if_current(c, [this](Connection& connected, asio::error_code error, std::size_t) {
-                           // Only a refused connection proves that nothing ran; another that can't be made
-                           // has carried no byte of the call either.
+                           // Whatever the error, a connection that was not established has carried no byte
+                           // of the call.
                            if (error || (connected.may_send && !connected.may_send()))
                              return finish(connected, Result::not_sent);
                            asio::error_code ignored;
@@ -67,22 +67,23 @@
 }
 
 void HttpClient::read(Connection& c) {
-  c.socket.async_read_some(
-      asio::buffer(c.in), if_current(c, [this](Connection& from, asio::error_code error, std::size_t n) {
-        if (error) return finish(from, Result::connection_lost); // how far the call got can't be told
-        switch (from.reply.feed({from.in.data(), n})) {
-        case HttpReply::State::reading:
-          return read(from);
-        case HttpReply::State::malformed:
-          return finish(from, Result::malformed);
-        case HttpReply::State::complete:
-          return finish(from, Result::complete);
-        }
-      }));
+  c.socket.async_read_some(asio::buffer(c.in),
+                           if_current(c, [this](Connection& from, asio::error_code error, std::size_t n) {
+                             if (error)
+                               return finish(from, Result::connection_lost); // unknown whether the call ran
+                             switch (from.reply.feed({from.in.data(), n})) {
+                             case HttpReply::State::reading:
+                               return read(from);
+                             case HttpReply::State::malformed:
+                               return finish(from, Result::malformed);
+                             case HttpReply::State::complete:
+                               return finish(from, Result::complete);
+                             }
+                           }));
 }
 
-// The one place where a call ends and its connection is given back. It is reset: what it may still bring is
-// of no use, and ports don't wait for it.
+// The only place where a call ends and its connection is released. The connection is reset: further data is
+// of no use, and the port is not held in TIME_WAIT.
 void HttpClient::finish(Connection& c, Result result) {
   const Callback callback = std::move(c.callback);
   HttpReply reply = std::move(c.reply);
--- a/node/http_client.hpp
+++ b/node/http_client.hpp
@@ -1,6 +1,7 @@
-// HTTP/1.1 calls, each on a connection of its own. Owns the connections; none outlives its call. Guards
-// against replies that are no answer to the call they would be read for (a second copy, noise behind one),
-// and against connections forgotten on the other side, whose end proves nothing.
+// HTTP/1.1 client that opens a connection for each call and closes it when the call ends. Connections are not
+// reused for two reasons: a duplicate reply, or bytes behind a reply, could be read as the reply to the next
+// call; and when a kept connection that the server has dropped ends, that does not prove whether the call
+// ran.
 #pragma once
 
 #include "http_reply.hpp"
@@ -20,21 +21,25 @@
 
 using CallId = Id<struct CallIdTag, std::uint64_t>;
 
+// Makes concurrent calls, at most one per id.
 class HttpClient {
  public:
-  // How a call ended: `unsent`: no byte of it left; `cut`, `timed_out`, `unreadable`: it may have had its
-  // effect.
+  // How a call ended. `not_sent`: no byte of it was sent, so it had no effect. `connection_lost`,
+  // `timed_out`, `malformed`: it may have had its effect.
   enum class Result { complete, not_sent, connection_lost, timed_out, malformed };
-  using Callback = std::function<void(Result, HttpReply&)>; // what comes next, handed the end of a call
-  using SendCheck = std::function<bool()>; // asked in the instant before the first byte goes out
+  using Callback = std::function<void(Result, HttpReply&)>;
+  // Called right before the first byte is sent; if it returns false, the call ends as `not_sent`.
+  using SendCheck = std::function<bool()>;
 
   HttpClient(asio::io_context& io, std::size_t max_connections);
 
-  // One for each id at a time: another gives up the first. `head` ends with an empty line. `then` is called
-  // once, never within this call.
+  // Starts a call; a call in progress with the same id is cancelled. `head` includes the empty line that ends
+  // it. The reply's header `wanted_header` is kept. `callback` is called once, never from within this
+  // function, and not at all if the call is cancelled.
   void call(CallId id, asio::ip::tcp::endpoint target, Nanos timeout, std::string head, std::string body,
             std::string wanted_header, Callback callback, SendCheck may_send = {});
-  void cancel(CallId id); // without a word; the connection is closed
+  // Closes the connection; the callback is not called.
+  void cancel(CallId id);
   std::size_t connections() const { return calls_.size(); }
 
  private:
@@ -44,7 +49,7 @@
     asio::ip::tcp::socket socket;
     asio::steady_timer timer;
     CallId id;
-    std::uint64_t generation; // counts calls: handlers of an earlier one do nothing
+    std::uint64_t generation; // unique per call: handlers of an earlier call with the same id do nothing
     Callback callback;
     SendCheck may_send;
     std::string head, body;
--- a/node/http_reply.cpp
+++ b/node/http_reply.cpp
@@ -41,7 +41,7 @@
   };
   callbacks.on_message_complete = [](http_parser* p) {
     HttpReply& r = self(p);
-    if (p->status_code < 200) { // only says that another follows
+    if (p->status_code < 200) { // an interim response: the final one follows
       r.header_value_.clear();
       return 0;
     }
@@ -62,7 +62,7 @@
 HttpReply::State HttpReply::feed(std::string_view bytes) {
   if (state_ == State::malformed) return state_;
   parser_.data = this;
-  if (state_ == State::complete) { // against a reply nobody asked for
+  if (state_ == State::complete) { // unsolicited bytes: the connection must not be reused
     if (!bytes.empty()) keep_alive_ = false;
     return state_;
   }
--- a/node/http_reply.hpp
+++ b/node/http_reply.hpp
@@ -1,4 +1,4 @@
-// The reply to one HTTP call, read from bytes as they come. No I/O.
+// Incremental parser of the reply to one HTTP call. No I/O.
 #pragma once
 
 #include <http_parser.h>
@@ -9,18 +9,23 @@
 
 namespace cometshift {
 
+// Holds the status, one header and the body of a reply.
 class HttpReply {
  public:
-  // Header `wanted` is looked for; a body over `most` bytes makes the reply unreadable.
+  // Keeps the value of header `header_name`. A body of more than `max_body` bytes makes the reply malformed.
   explicit HttpReply(std::string header_name = {}, std::size_t max_body = 64 * 1024);
 
   enum class State { reading, complete, malformed };
+  // Parses more bytes and returns the new state.
   State feed(std::string_view bytes);
-  // The connection has ended: what is not whole by then, or has no told end, is cut off.
+  // A reply that is still `reading` when the connection ends is truncated; that includes one without a
+  // length.
   State state() const { return state_; }
   int status() const { return static_cast<int>(parser_.status_code); }
+  // The connection can be used for another call.
   bool keep_alive() const { return keep_alive_; }
-  const std::string& header() const { return header_value_; } // that was looked for; empty: not there
+  // The value of the header that was asked for; empty if the reply doesn't have it.
+  const std::string& header() const { return header_value_; }
   std::string& body() { return body_; }
 
  private:
--- a/node/interpreter.cpp
+++ b/node/interpreter.cpp
@@ -18,7 +18,7 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-constexpr std::size_t max_line_bytes = 64 * 1024; // a notice with the largest result takes a tenth
+constexpr std::size_t max_line_bytes = 64 * 1024; // a notice with the largest result takes a tenth of it
 constexpr int reads_per_turn = 8;
 constexpr std::string_view base64_digits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
@@ -86,7 +86,7 @@
   asio::post(io_, [this] { connect(); });
 }
 
-// ---- the link
+// ---- connection
 
 void InterpreterLink::mark_down() {
   if (!std::exchange(up_, false)) return;
@@ -117,25 +117,27 @@
   });
 }
 
-// Against a link that is none: a connection that is never made, or one whose other side is gone without a
-// word or never speaks. It is made anew; what runs goes on meanwhile, and all notices come again.
+// Replaces a link that doesn't work: a connection attempt that never completes, or a peer that has
+// disappeared without closing or never sends. Runs go on meanwhile, and all their notices are sent again on
+// the new link.
 void InterpreterLink::arm_silence_timer() {
   if (silence_timeout_ <= 0) return;
   queries_at_last_check_ = sent_queries_;
   silence_timer_.expires_after(std::chrono::nanoseconds(silence_timeout_));
   silence_timer_.async_wait([this, link = link_generation_](asio::error_code stopped) {
     if (stopped || link != link_generation_) return;
-    if (connected_) on_readable(); // against taking a pause of this process for the other's silence
+    if (connected_) on_readable(); // input may be waiting if it was this process that paused
     if (link != link_generation_) return;
     const bool response_due = !connected_ || !banner_received_ || answered_queries_ < queries_at_last_check_;
-    if (!std::exchange(received_, false) && response_due) return link_failed("nothing is heard");
+    if (!std::exchange(received_, false) && response_due)
+      return link_failed("nothing received although an answer is due");
     arm_silence_timer();
   });
 }
 
-// What has been sent is not to get lost between two addresses: nothing more goes out on the old link, and an
-// answer to one more question there proves that the rest is read. Where none comes, the link is made all the
-// same, as after a break.
+// No command may be lost between the two addresses: nothing more is sent on the old link except one more
+// query, whose answer proves that all commands have been read. If no answer arrives in time, the new link is
+// connected all the same, as after a failure.
 void InterpreterLink::set_address(const std::string& address) {
   const asio::ip::tcp::endpoint to = require_endpoint(address);
   if (to == address_) return;
@@ -151,7 +153,7 @@
   });
 }
 
-// What was written and not read there is lost; the host says what of it may be sent again.
+// Commands that the interpreter has not read are lost; the handler decides which of them may be sent again.
 void InterpreterLink::link_failed(const char* reason) {
   if (!failure_logged_) log_info("interpreter", "link down: %s", reason);
   failure_logged_ = true;
@@ -198,38 +200,39 @@
     }
     std::memmove(input_.data(), input_.data() + from, filled_ - from);
     filled_ -= from;
-    if (filled_ == max_line_bytes) return link_failed("a line without end"); // against filling the memory
+    if (filled_ == max_line_bytes) return link_failed("line longer than 64 KB"); // bounds the buffer
     if (n < room) break;
   }
   wait_readable();
 }
 
-// Against a notice that was lost or spoilt on the way: a new link brings it again. Once; then it is passed
-// over.
+// A notice after position `after` was lost or corrupted in transit: reconnects, so that it is sent again.
+// Returns false if that has been tried before; the notice is then skipped.
 bool InterpreterLink::reconnect_from(std::uint64_t after) {
   if (retried_after_ == after) return false;
   retried_after_ = last_position_ = after;
-  link_failed("a notice is missing or can't be read");
+  link_failed("a notice is missing or malformed");
   return true;
 }
 
 void InterpreterLink::malformed_notice(std::uint64_t number, const char* what) {
-  if (number == 0 || !reconnect_from(number - 1)) log_info("notice", "passed over, %s", what);
+  if (number == 0 || !reconnect_from(number - 1)) log_info("notice", "skipped: %s", what);
 }
 
 void InterpreterLink::handle_notice(const char* at, std::size_t size) {
   element all;
   object o;
   if (parser_.parse(at, size).get(all) != simdjson::SUCCESS || all.get(o) != simdjson::SUCCESS)
-    return log_info("notice", "passed over, not an object of JSON");
+    return log_info("notice", "skipped: not a JSON object");
   const std::string_view action = text_member(o, "action");
   std::uint64_t number = 0;
   if (element pos; o["pos"].get(pos) == simdjson::SUCCESS) {
     number = unsigned_member(o, "pos");
-    if (number <= last_position_) return; // seen, on a link before
+    if (number <= last_position_) return; // already seen on an earlier link
     if (number > last_position_ + 1 && reconnect_from(last_position_)) return;
     if (number > last_position_ + 1)
-      log_info("notice", "missing from %llu to %llu", static_cast<unsigned long long>(last_position_ + 1),
+      log_info("notice", "notices %llu to %llu are missing",
+               static_cast<unsigned long long>(last_position_ + 1),
                static_cast<unsigned long long>(number - 1));
     last_position_ = number;
   }
@@ -241,15 +244,15 @@
                             : code == "broken_off" ? Outcome::halted
                             : code == "late"       ? Outcome::moot
                                                    : Outcome::failed;
-    if (!parse_id(o, id)) return malformed_notice(number, "an end without a uid");
-    // What can't be read is no result: the run has failed for all that can be told.
+    if (!parse_id(o, id)) return malformed_notice(number, "end of a run without a valid uid");
+    // A result that can't be decoded counts as a failed run.
     const bool has_result = outcome != Outcome::done || parse_content(o, bytes);
     if (!has_result && number > 0 && reconnect_from(number - 1)) return;
     handler_.run_over(id, has_result ? outcome : Outcome::failed, milliseconds_member(o, "wall_ms"),
                       std::move(bytes));
   } else if (action == "AWAIT") {
     if (!parse_id(o, id) || !parse_content(o, bytes))
-      return malformed_notice(number, "a call that can't be read");
+      return malformed_notice(number, "malformed call request");
     handler_.call_wanted(id, std::move(bytes));
   } else if (action == "TOPS") {
     std::vector<double> values;
@@ -257,7 +260,7 @@
       for (const element one : row) {
         double value = 0;
         if (one.get(value) != simdjson::SUCCESS)
-          return log_info("notice", "passed over, gauges that are no numbers");
+          return log_info("notice", "skipped: gauges that are not numbers");
         values.push_back(value);
       }
     const std::string_view tag = text_member(o, "echo");
@@ -266,7 +269,7 @@
     if (query > answered_queries_ && query <= sent_queries_) answered_queries_ = query;
     handler_.gauges(values);
     if (handing_over_ && answered_queries_ == sent_queries_) return connect();
-    // The answer to the first question of a link comes after all that was replayed.
+    // The answer to the first query of a link arrives after all notices that were sent again.
     if (!up_ && answered_queries_ > answered_before_link_ && answered_queries_ == sent_queries_) {
       up_ = true;
       handler_.caught_up(answered_before_link_);
@@ -283,7 +286,7 @@
   } else if (action == "ERROR") {
     if (parse_id(o, id)) handler_.command_rejected(id, text_member(o, "code"));
   } else if (action != "TRACE") {
-    log_info("notice", "passed over, an unknown kind");
+    log_info("notice", "skipped: unknown action");
   }
 }
 
@@ -329,12 +332,14 @@
 }
 
 void InterpreterLink::flush() {
-  if (write_pending_ && output_.size() - written_ > max_unwritten_) return link_failed("it does not read");
+  if (write_pending_ && output_.size() - written_ > max_unwritten_)
+    return link_failed("the interpreter does not read its commands");
   while (connected_ && !write_pending_ && written_ < output_.size()) {
     asio::error_code error;
     written_ += socket_.write_some(asio::buffer(output_.data() + written_, output_.size() - written_), error);
     if (error == asio::error::would_block) {
-      if (output_.size() - written_ > max_unwritten_) return link_failed("it does not read");
+      if (output_.size() - written_ > max_unwritten_)
+        return link_failed("the interpreter does not read its commands");
       write_pending_ = true;
       socket_.async_wait(asio::socket_base::wait_write, [this, link = link_generation_](asio::error_code) {
         if (link == link_generation_) write_pending_ = false;
--- a/node/log.cpp
+++ b/node/log.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr int max_lines_per_second = 5; // of one kind: enough to see what goes on, too few to fill a disk
+constexpr int max_lines_per_second = 5; // of one kind: enough to follow events, too few to fill a disk
 
 struct RateLimit {
   std::chrono::steady_clock::time_point window_start{};
@@ -53,7 +53,7 @@
 
 void write(spdlog::level::level_enum level, const char* kind, const char* format, va_list arguments) {
   if (!logger().should_log(level)) return;
-  static std::map<const char*, RateLimit> limits; // of literals: as many as there are calls
+  static std::map<const char*, RateLimit> limits; // keyed by literals, so bounded by the number of call sites
   RateLimit& limit = limits[kind];
   const auto now = std::chrono::steady_clock::now();
   if (now - limit.window_start >= std::chrono::seconds(1)) {
--- a/node/log.hpp
+++ b/node/log.hpp
@@ -1,17 +1,18 @@
-// One place for what is written to standard error, on spdlog.
+// Log output to standard error, on spdlog.
 #pragma once
 
 #include <string_view>
 
 namespace cometshift {
 
-// Writes a line, printf's way: "SECONDS KIND: WORDS", or an object of JSON with `time`, `level`, `kind`,
-// `words` and, where lines were left out, `left_out`. Lines of one kind (a text that lives as long as the
-// program) are bounded to a few a second; what was left out is counted in the next that is written.
+// Writes a line in printf format: "SECONDS KIND: WORDS", or a JSON object with `time`, `level`, `kind`,
+// `words` and, if lines were suppressed, `left_out`. `kind` must be a string literal. Lines of one kind are
+// limited to a few per second; the next line written states how many were suppressed.
 [[gnu::format(printf, 2, 3)]] void log_info(const char* kind, const char* format, ...);
-// The same for what someone should look at.
+// The same at level warning, for conditions that need an operator's attention.
 [[gnu::format(printf, 2, 3)]] void log_warning(const char* kind, const char* format, ...);
 
-void configure_log(bool json, std::string_view min_level); // "debug", "info", "warning", "error"
+// Selects text or JSON, and the least level written: "debug", "info", "warning" or "error".
+void configure_log(bool json, std::string_view min_level);
 
 } // namespace cometshift
--- a/node/member.cpp
+++ b/node/member.cpp
@@ -13,34 +13,34 @@
 namespace {
 
 constexpr Nanos ms = 1'000'000;
-constexpr Nanos max_clock_divergence = 20 * ms; // in a second: more than any bound on their rates allows
-constexpr Nanos leave_grace = 300 * ms;    // in which words that still wait are said, beyond a task's limit
-constexpr std::size_t max_task_calls = 16; // connections: more than are done at once
-constexpr const char* greater_token_header =
-    "Greater-Token"; // of a target that refuses, the one that it knows
+constexpr Nanos max_clock_divergence = 20 * ms; // within a second: more than their allowed drift explains
+constexpr Nanos leave_grace = 300 * ms;         // to send queued messages, after the last task's time limit
+constexpr std::size_t max_task_calls = 16;      // more than run concurrently
+// Response header in which a target that refuses a fencing token states the greater one that it has seen.
+constexpr const char* greater_token_header = "Greater-Token";
 
 Nanos read_clock(clockid_t clock) {
   timespec at{};
   clock_gettime(clock, &at);
   return static_cast<Nanos>(at.tv_sec) * 1000 * ms + at.tv_nsec;
 }
-// One that goes on while the machine sleeps, and one that is never slewed; nobody sets either.
+// One clock goes on while the machine is suspended, the other is never slewed; neither can be set.
 LeaseClock start_lease_clock() { return {read_clock(CLOCK_BOOTTIME), read_clock(CLOCK_MONOTONIC_RAW)}; }
 double unix_ms() {
   return static_cast<double>(std::chrono::duration_cast<std::chrono::milliseconds>(
                                  std::chrono::system_clock::now().time_since_epoch())
                                  .count());
 }
-// Another with each start, whatever the clocks say.
+// Differs between starts, whatever the clocks say.
 std::uint64_t random_nonzero() {
-  if (sodium_init() < 0) throw std::runtime_error("no chance is to be had from the system");
+  if (sodium_init() < 0) throw std::runtime_error("no random numbers available from the system");
   std::uint64_t value = 0;
   while (value == 0) randombytes_buf(&value, sizeof value);
   return value;
 }
 
 struct FleetMembers {
-  std::map<MemberId, Links::Tcp::endpoint> addresses; // of the others
+  std::map<MemberId, Links::Tcp::endpoint> addresses; // of the peers
   std::vector<MemberId> peers;
   VoterList voters;
 };
@@ -59,7 +59,7 @@
   }
   return members;
 }
-// All but who votes, which may be changed under a member that serves.
+// The settings that can't change while the member runs: all but the voters.
 Settings without_voters(Settings fleet) {
   std::erase_if(fleet, [](const auto& entry) {
     return entry.first == "epoch" || entry.first.ends_with(".voter") ||
@@ -67,12 +67,13 @@
   });
   return fleet;
 }
-// For how long what was granted under a list before may last, by a clock that may be as wrong as is allowed.
+// An upper bound on how long a lease granted under an earlier list can last, by a clock whose rate is wrong
+// by as much as is allowed.
 Nanos settle_time(const Settings& fleet) {
   const double drift = number(fleet, "drift", 0);
   return static_cast<Nanos>(number(fleet, "longest_term_ns", 0) * (1 + drift) / (1 - drift)) + 1;
 }
-// For the modules, by their names.
+// The settings of the lease, task and peer modules, under their names for them.
 Settings module_settings(const Settings& fleet) {
   Settings settings{{"leases.term", number(fleet, "term_ns", 0)},
                     {"leases.longest_term", number(fleet, "longest_term_ns", 0)},
@@ -85,7 +86,8 @@
                     {"peers.rest_least", number(fleet, "rest_least_ns", 0)},
                     {"peers.rest_most", number(fleet, "rest_most_ns", 0)},
                     {"peers.most_words", 4 * number(fleet, "most_leases", 0)}};
-  // The next holder waits out what a target that can't refuse may still be doing for the one before.
+  // A target that doesn't check fencing tokens may still be working for the previous holder; the next holder
+  // waits for the longest time limit of such tasks.
   double longest_unfenced_limit = 0;
   for (int t = 0; fleet.contains("task." + std::to_string(t) + ".name"); ++t) {
     const std::string from = "task." + std::to_string(t) + ".";
@@ -139,10 +141,10 @@
   if (const bool diverged = clock_.divergence() > max_clock_divergence;
       diverged != clock_divergence_logged_) {
     clock_divergence_logged_ = diverged;
-    diverged ? log_warning(
-                   "fleet",
-                   "this machine's clocks differ by %lld ms in a second: it slept, or one of them is wrong",
-                   static_cast<long long>(clock_.divergence() / ms))
+    diverged ? log_warning("fleet",
+                           "this machine's clocks diverged by %lld ms within a second: it was suspended, or "
+                           "one of them is wrong",
+                           static_cast<long long>(clock_.divergence() / ms))
              : log_info("fleet", "this machine's clocks agree again");
   }
   return clock_.early();
@@ -156,9 +158,9 @@
   return clock_.late();
 }
 
-// ---- a turn
+// ---- turns of the event loop
 
-// Most turns are of ops and bring nothing here.
+// Most turns only handle ops and have nothing to do here.
 void Member::turn() {
   if (!work_pending_) return;
   work_pending_ = false;
@@ -180,30 +182,29 @@
   arm();
 }
 
-// ---- who votes
+// ---- voters
 
 void Member::reload(const Settings& fleet) {
   if (fleet == fleet_) return;
   if (without_voters(fleet) != without_voters(fleet_))
-    log_info("reload",
-             "what the operator file says of the fleet beside its voters is taken at the next start");
+    log_info("reload", "fleet settings other than voters take effect at the next start");
   fleet_ = fleet;
   file_voters_ = members_from(fleet).voters;
   mark_pending();
   update_voters();
 }
 
-// A list on file that can't be taken yet is tried again; what has changed is told to all.
+// Retries a list from the operator file that can't be applied yet, and sends changes to all peers.
 void Member::update_voters() {
   voters_.advance_time(grantor_now());
   if (file_voters_.epoch > voters_.on_file()) {
     const std::string_view reason = voters_.apply_file(grantor_now(), file_voters_);
     if (reason.empty()) {
-      log_info("voters", "epoch %llu is on file and taken, %zu voters%s",
+      log_info("voters", "epoch %llu of the operator file is applied, %zu voters%s",
                static_cast<unsigned long long>(file_voters_.epoch.raw), file_voters_.voters.size(),
-               voters_.joint() ? ", with those before until they are settled" : "");
+               voters_.joint() ? ", jointly with the previous voters until settled" : "");
     } else if (reason != logged_rejection_) {
-      log_info("voters", "epoch %llu is not taken yet: %.*s",
+      log_info("voters", "epoch %llu of the operator file is not applied yet: %.*s",
                static_cast<unsigned long long>(file_voters_.epoch.raw), log_length(reason), reason.data());
     }
     logged_rejection_ = reason;
@@ -212,11 +213,11 @@
       voters_.joint() == announced_joint_)
     return;
   if (announced_joint_ && !voters_.joint())
-    log_info("voters", "epoch %llu is settled: those before it are needed no more",
+    log_info("voters", "epoch %llu is settled: the previous voters are no longer needed",
              static_cast<unsigned long long>(voters_.epoch().raw));
   else if (announced_voters_.epoch.raw > 0 && voters_.epoch() > announced_voters_.epoch &&
            voters_.on_file() < voters_.epoch())
-    log_info("voters", "epoch %llu was learnt from others; the file has %llu",
+    log_info("voters", "epoch %llu was received from peers; the operator file has %llu",
              static_cast<unsigned long long>(voters_.epoch().raw),
              static_cast<unsigned long long>(voters_.on_file().raw));
   announced_voters_ = voters_.list();
@@ -231,18 +232,18 @@
 }
 
 void Member::arm() {
-  Nanos next = has_left() ? -1 : leave_deadline_; // that the time to leave is over is to be seen too
+  Nanos next = has_left() ? -1 : leave_deadline_; // wake at the deadline to notice that it has passed
   for (const Nanos at : {leases_.next_wake(), tasks_.next_wake(), peers_.next_wake(), voters_.next_wake()})
     if (at >= 0 && (next < 0 || at < next)) next = at;
   if (next < 0 || next == armed_for_) return;
   armed_for_ = next;
   timer_.expires_after(std::chrono::nanoseconds(std::max<Nanos>(0, next - now())));
   timer_.async_wait([this](asio::error_code stopped) {
-    if (!stopped) armed_for_ = -1, work_pending_ = true; // the turn does what is due
+    if (!stopped) armed_for_ = -1, work_pending_ = true; // the next turn handles what is due
   });
 }
 
-// Once the caller's own event has returned: nothing may call back within an order.
+// Runs the action after the current event has returned, because actions must not call back into the modules.
 void Member::enqueue_to_self(std::function<void()> action) { self_messages_.push_back(std::move(action)); }
 
 void Member::leave() {
@@ -263,7 +264,7 @@
          (self_messages_.empty() && leases_.status().empty() && peers_.all_sent());
 }
 
-// ---- the links
+// ---- links
 
 void Member::connected(MemberId to) {
   peers_.connected(mark_pending(), to);
@@ -286,10 +287,10 @@
            was.data());
 }
 void Member::duplicate_member(MemberId number) {
-  log_warning("peers", "two members live under the number %u: give one of them another", number.raw);
+  log_warning("peers", "two members use the number %u: give one of them another number", number.raw);
 }
 
-// ---- what others say
+// ---- messages of peers
 
 bool Member::message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t acked,
                      Incarnation acked_incarnation, bool leaving,
@@ -314,7 +315,7 @@
   tasks_.completed_elsewhere(now(), task, token, ago);
 }
 
-// ---- what the leases order
+// ---- actions of the lease module
 
 void Member::ask(MemberId voter, Epoch epoch, std::string_view lease, AskNo number, Token token, Nanos term) {
   if (voter != self_.from)
@@ -355,8 +356,8 @@
   if (logged == token) return; // a renewal
   logged = token;
   const Nanos at = now();
-  log_info("lease", "%.*s held, token %llx, from %lld ms on, for %lld ms", log_length(lease), lease.data(),
-           static_cast<unsigned long long>(token.raw), static_cast<long long>((from - at) / ms),
+  log_info("lease", "%.*s held, token %llx, usable in %lld ms, expires in %lld ms", log_length(lease),
+           lease.data(), static_cast<unsigned long long>(token.raw), static_cast<long long>((from - at) / ms),
            static_cast<long long>((until - at) / ms));
 }
 void Member::lost(std::string_view lease, Token token, LossReason reason) {
@@ -367,7 +368,7 @@
            static_cast<unsigned long long>(token.raw), log_length(reason_text), reason_text.data());
 }
 
-// ---- what the tasks order
+// ---- actions of the task module
 
 void Member::begin(TaskId task, Token token, Nanos limit) {
   const std::string& name = tasks_.name(task);
@@ -392,7 +393,8 @@
         }
         tasks_.ended(mark_pending(), task, token, outcome, Token{static_cast<std::uint64_t>(known_token)});
       },
-      // Against a stop since it was begun: what is not held any more is not done.
+      // The process may have been stopped since the task began: send the call only if the lease is still
+      // held.
       [this, task, token] { return leases_.may_act(now(), tasks_.name(task), 0) == token; });
 }
 void Member::notify_done(TaskId task, Token token) {
@@ -400,20 +402,20 @@
                      peer_codec::done(tasks_.name(task), token, 0));
 }
 void Member::released_after_failures(TaskId task, Nanos rest) {
-  log_warning("task", "%s: fails here, another member may try for %lld ms", tasks_.name(task).c_str(),
-              static_cast<long long>(rest / ms));
+  log_warning("task", "%s: fails here; its lease is left to other members for %lld ms",
+              tasks_.name(task).c_str(), static_cast<long long>(rest / ms));
 }
 
-// ---- what people ask for
+// ---- status
 
 void Member::log_status() {
   const Nanos at = now();
   log_info("status", "member %u of %s, incarnation %016llx%s", self_.from.raw, self_.fleet.c_str(),
            static_cast<unsigned long long>(self_.incarnation.raw),
-           leases_.silent(clock_.late()) ? ", silent as a voter that just started" : "");
-  log_info("status", "voters of epoch %llu%s, on file %llu",
+           leases_.silent(clock_.late()) ? ", grants no leases yet after its start" : "");
+  log_info("status", "voters of epoch %llu%s, operator file has epoch %llu",
            static_cast<unsigned long long>(voters_.epoch().raw),
-           voters_.joint() ? ", with those before it" : ", settled",
+           voters_.joint() ? ", jointly with the previous voters" : ", settled",
            static_cast<unsigned long long>(voters_.on_file().raw));
   for (const Leases::Status& lease : leases_.status()) {
     if (lease.token.raw != 0)
@@ -422,16 +424,16 @@
                static_cast<long long>((lease.until - at) / ms),
                static_cast<unsigned long long>(lease.token.raw));
     else
-      log_info("status of leases", "%s: not held here, %d rounds of asking", lease.lease.c_str(),
+      log_info("status of leases", "%s: not held here, %d rounds of requests", lease.lease.c_str(),
                lease.rounds);
   }
   for (const Peers::Status& peer : peers_.status()) {
     const std::string_view peer_state = to_text(peer.peer_state);
-    std::string timeout_note; // only where it is not as the operator file has it
+    std::string timeout_note; // only if it differs from the operator file
     if (peer.unresponsive_timeout != peers_.min_unresponsive_timeout())
-      timeout_note = ", silent after " + std::to_string(peer.unresponsive_timeout / ms) + " ms";
+      timeout_note = ", unresponsive after " + std::to_string(peer.unresponsive_timeout / ms) + " ms";
     log_info("status of peers",
-             "member %u: %.*s, heard %lld ms ago%s, %zu words wait, %llu letters, %llu dials",
+             "member %u: %.*s, last message %lld ms ago%s, %zu messages queued, %llu sent, %llu dials",
              peer.member.raw, log_length(peer_state), peer_state.data(),
              peer.last_received_at < 0 ? -1 : static_cast<long long>((at - peer.last_received_at) / ms),
              timeout_note.c_str(), peer.waiting, static_cast<unsigned long long>(peer.messages),
@@ -439,8 +441,8 @@
   }
   for (const Tasks::Status& task : tasks_.status())
     log_info("status of tasks",
-             "%s: %s, done last %lld ms ago, here %llu begun, %llu done, %llu failed, %llu refused",
-             task.name.c_str(), task.running ? "under way" : "at rest",
+             "%s: %s, last done %lld ms ago, here %llu begun, %llu done, %llu failed, %llu refused",
+             task.name.c_str(), task.running ? "running" : "idle",
              task.last < 0 ? -1 : static_cast<long long>((at - task.last) / ms),
              static_cast<unsigned long long>(task.begun), static_cast<unsigned long long>(task.done),
              static_cast<unsigned long long>(task.failed), static_cast<unsigned long long>(task.refused));
--- a/node/member.hpp
+++ b/node/member.hpp
@@ -1,7 +1,7 @@
-// This server as a member of its fleet, where the operator file names one: holds its leases, does the fleet's
-// tasks, and speaks with the others. Owns the timer, the links, and the calls of tasks; decides nothing, the
-// modules do (leases/, peers/). Its time is of its own: made of two clocks that nobody sets
-// (leases/clocks.hpp).
+// This server as a member of a fleet, if the operator file configures one: holds leases, runs the fleet's
+// tasks and exchanges messages with its peers. Owns the timer, the links and the calls of tasks; the
+// decisions are made by the modules (leases/, peers/). Its time is independent of the server's: it is derived
+// from two clocks that nobody sets (leases/clocks.hpp).
 #pragma once
 
 #include "clocks.hpp"
@@ -20,17 +20,23 @@
 
 namespace cometshift {
 
+// Drives the lease, task and peer modules from the event loop.
 class Member final : Links::Handler, PeerActions, LeaseActions, TaskActions, peer_codec::Listener {
  public:
-  // `fleet`: the operator file's part "fleet.", as operator.hpp has it. Throws std::invalid_argument.
+  // `fleet`: the settings below "fleet." of the operator file, see operator.hpp. Throws
+  // std::invalid_argument.
   Member(asio::io_context& io, const Settings& fleet);
 
-  // What the operator file says now: another list of voters is taken, all else at the next start.
+  // Applies the operator file as read again: a new list of voters takes effect, everything else only at the
+  // next start.
   void reload(const Settings& fleet);
-  void turn(); // what is due, and what there is to say; at the end of each turn of the loop
+  // Handles what is due and sends messages; called at the end of each turn of the event loop.
+  void turn();
+  // Gives up leases and tasks and notifies the peers.
   void leave();
-  bool has_left();   // nothing is held, and all has been said; or the time for it is over
-  void log_status(); // into the log
+  // After leave(): no lease is held and all messages are sent, or the time for that has passed.
+  bool has_left();
+  void log_status();
 
  private:
   // Links
@@ -45,7 +51,7 @@
   void send(MemberId to, std::string frame) override;
   void peer_state_changed(MemberId of, PeerState before, PeerState now) override;
   void duplicate_member(MemberId number) override;
-  // Words of others
+  // Messages of peers
   bool message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t acked,
                Incarnation acked_incarnation, bool leaving,
                const peer_codec::HeartbeatTerms& heartbeat) override;
@@ -71,9 +77,12 @@
   void notify_done(TaskId task, Token token) override;
   void released_after_failures(TaskId task, Nanos rest) override;
 
-  Nanos now();          // of who holds
-  Nanos grantor_now();  // of who granted
-  Nanos mark_pending(); // something came: the turn looks at what follows from it; the time of who holds
+  // The early reading of the clock, by which a holder must judge its leases.
+  Nanos now();
+  // The late reading, by which a grantor must judge what it granted.
+  Nanos grantor_now();
+  // Makes the next turn handle the consequences of an event. Returns now().
+  Nanos mark_pending();
   void arm();
   void update_voters();
   std::string encode_voters() const;
@@ -82,27 +91,27 @@
   asio::io_context& io_;
   asio::steady_timer timer_;
   Nanos armed_for_ = -1;
-  bool work_pending_ = true; // since the last turn
+  bool work_pending_ = true; // an event since the last turn
   LeaseClock clock_;
   bool clock_divergence_logged_ = false;
   peer_codec::Sender self_;
   std::vector<MemberId> peer_ids_;
-  std::vector<Links::Tcp::endpoint> task_targets_; // of the tasks
-  std::deque<std::function<void()>>
-      self_messages_; // what this member says to itself, as a voter and as one who asks
-  std::map<std::string, Token, std::less<>> logged_holdings_; // told in the log already
-  Settings fleet_;                                            // as last taken
-  VoterList file_voters_, announced_voters_; // as the file has it; as the others were told it
+  std::vector<Links::Tcp::endpoint> task_targets_; // by TaskId
+  // Messages to itself, as both voter and requester.
+  std::deque<std::function<void()>> self_messages_;
+  std::map<std::string, Token, std::less<>> logged_holdings_; // held leases that have been logged
+  Settings fleet_;                                            // as last read
+  VoterList file_voters_, announced_voters_; // of the operator file; as last sent to the peers
   Epoch announced_file_epoch_{};
   bool announced_joint_ = false;
-  std::string_view logged_rejection_; // why, as told in the log
+  std::string_view logged_rejection_; // last logged reason why the file's list is not applied
   Voters voters_;
   Leases leases_;
   Tasks tasks_;
   Peers peers_;
   Links links_;
   HttpClient task_calls_;
-  Nanos leave_deadline_ = -1; // what is not said by then is not
+  Nanos leave_deadline_ = -1; // messages that are unsent by then are dropped; -1: not leaving
 };
 
 } // namespace cometshift
--- a/node/records.cpp
+++ b/node/records.cpp
@@ -10,6 +10,7 @@
 
 namespace {
 
+// Response header by which the service states that the call was not begun.
 constexpr const char* not_begun_header = "Op-Not-Begun";
 
 Outcome to_outcome(HttpClient::Result result, const HttpReply& reply) {
@@ -19,7 +20,7 @@
   case HttpClient::Result::timed_out:
     return Outcome::timed_out;
   case HttpClient::Result::malformed:
-    log_info("records", "a reply that can't be read");
+    log_info("records", "malformed reply");
     return Outcome::cut;
   case HttpClient::Result::connection_lost:
     return Outcome::cut;
--- a/node/records.hpp
+++ b/node/records.hpp
@@ -1,4 +1,4 @@
-// Calls to the records service, on HttpCalls: what a call says, and what its end proves.
+// Client of the records service: encodes calls and interprets what their ends prove.
 #pragma once
 
 #include "http_client.hpp"
@@ -9,17 +9,20 @@
 
 namespace cometshift {
 
+// Makes the calls that runs request.
 class RecordsClient {
  public:
-  using Callback =
-      std::function<void(Outcome, std::string reply)>; // what comes next, handed the end of a call
+  using Callback = std::function<void(Outcome, std::string reply)>;
 
   RecordsClient(asio::io_context& io, const std::string& address, std::size_t max_connections);
 
-  // One for each op at a time: another gives up the first. `then` is called once, never within this call.
+  // Starts a call; a call in progress for the same op is cancelled. `callback` is called once, never from
+  // within this function, and not at all if the call is cancelled.
   void call(OpId id, Nanos timeout, const std::string& body, Callback callback);
-  void cancel(OpId id) { client_.cancel(CallId{id.raw}); } // without a word; the connection is closed
-  void set_address(const std::string& address); // for calls from now on; those in hand end where they are
+  // Closes the connection; the callback is not called.
+  void cancel(OpId id) { client_.cancel(CallId{id.raw}); }
+  // Applies to new calls; calls in flight finish at the old address.
+  void set_address(const std::string& address);
   std::size_t connections() const { return client_.connections(); }
 
  private:
--- a/server/main.cpp
+++ b/server/main.cpp
@@ -1,8 +1,8 @@
-// cometshift: the command line. Without arguments it serves, as the configuration that RELAY_CONFIG names has
-// it.
+// The command line of cometshift. Without arguments it serves with the configuration file that RELAY_CONFIG
+// names.
 //
-// Exit codes: 0 done; 1 can't start, or a replay that differs, or nothing found; 2 a file that can't be read
-// as what it should be; 64 a command line that can't be understood.
+// Exit codes: 0 success; 1 can't start, a replay differs, or nothing found; 2 a file can't be read or is not
+// in the expected format; 64 invalid command line.
 #include "configuration.hpp"
 #include "format.hpp"
 #include "host.hpp"
@@ -17,6 +17,7 @@
 
 constexpr int exit_failure = 1, exit_unreadable = 2, exit_usage = 64;
 
+// The option's value; if it was not given, that of the environment variable.
 std::string option_or_environment(const std::string& given, const char* variable) {
   if (!given.empty()) return given;
   const char* value = std::getenv(variable);
@@ -27,9 +28,9 @@
   std::string configuration, operators;
 
   void add_options(CLI::App& app) {
-    app.add_option("--config", configuration, "the configuration (else RELAY_CONFIG)");
+    app.add_option("--config", configuration, "configuration file (default: RELAY_CONFIG)");
     app.add_option("--operator", operators,
-                   "the operator file (else COMETSHIFT_OPERATOR; none: all defaults)");
+                   "operator file (default: COMETSHIFT_OPERATOR; without one, all defaults)");
   }
   std::string config() const {
     const std::string path = option_or_environment(configuration, "RELAY_CONFIG");
@@ -71,24 +72,23 @@
 
 int main(int argc, char** argv) {
   CLI::App app{
-      "A server behind other people's balancers: admission, scheduling, and leaving without losing an op."};
+      "A server behind load balancers: admission control, scheduling, and draining without losing an op."};
   app.name("cometshift");
-  app.footer(
-      "Examples:\n"
-      "  RELAY_CONFIG=deploy/config.json cometshift\n"
-      "  cometshift serve --config deploy/config.json --operator deploy/operator.kdl\n"
-      "  cometshift check --operator deploy/operator.kdl\n"
-      "  cometshift replay --times 100 recordings/n1-*.capture\n"
-      "  cometshift replay --explain 9b1f03aa5c7e2d41 recordings/n1-*.capture\n"
-      "  cometshift capture cut --op 9b1f03aa5c7e2d41 --into one.capture recordings/n1-*.capture\n"
-      "Exit codes: 0 done, 1 can't start or a replay differs, 2 a file can't be read, 64 not understood.");
+  app.footer("Examples:\n"
+             "  RELAY_CONFIG=deploy/config.json cometshift\n"
+             "  cometshift serve --config deploy/config.json --operator deploy/operator.kdl\n"
+             "  cometshift check --operator deploy/operator.kdl\n"
+             "  cometshift replay --times 100 recordings/n1-*.capture\n"
+             "  cometshift replay --explain 9b1f03aa5c7e2d41 recordings/n1-*.capture\n"
+             "  cometshift capture cut --op 9b1f03aa5c7e2d41 --into one.capture recordings/n1-*.capture\n"
+             "Exit codes: 0 success, 1 can't start or a replay differs, 2 a file can't be read, 64 invalid "
+             "command line.");
   app.require_subcommand(0, 1);
 
   Paths paths;
-  CLI::App* serving = app.add_subcommand("serve", "serve; also what no argument means");
+  CLI::App* serving = app.add_subcommand("serve", "serve (the default command)");
   paths.add_options(*serving);
-  CLI::App* checking =
-      app.add_subcommand("check", "read the configuration and the operator file, and say what is wrong");
+  CLI::App* checking = app.add_subcommand("check", "validate the configuration and the operator file");
   paths.add_options(*checking);
 
   std::vector<std::string> files;
@@ -98,39 +98,41 @@
   int times = 1;
   std::string op;
   bool compare = false;
-  CLI::App* replaying =
-      app.add_subcommand("replay", "play a recording again and hold each decision against it");
+  CLI::App* replaying = app.add_subcommand("replay", "replay a recording and compare each decision with it");
   with_files(replaying);
-  replaying->add_option("--times", times, "so many times")->check(CLI::Range(1, 1'000'000));
+  replaying->add_option("--times", times, "number of replays")->check(CLI::Range(1, 1'000'000));
   CLI::Option* explain = replaying->add_option(
-      "--explain", op, "instead: the life of one op (16 hex digits) and why it ended as it did");
+      "--explain", op, "instead: show the events of one op (16 hex digits) and the reason of its result");
   replaying
       ->add_flag("--compare", compare,
-                 "instead: what this build decides otherwise, and the rules on both sides")
+                 "instead: show the decisions that differ in this build, and check the rules on both sides")
       ->excludes(explain);
 
-  CLI::App* capturing = app.add_subcommand("capture", "look at recordings and take parts of them");
+  CLI::App* capturing = app.add_subcommand("capture", "inspect recordings and extract parts of them");
   capturing->require_subcommand(1);
-  CLI::App* info = capturing->add_subcommand("info", "what is in each segment");
+  CLI::App* info = capturing->add_subcommand("info", "show the contents of each segment");
   with_files(info);
   std::uint64_t from = 0, to = ~std::uint64_t{0};
-  CLI::App* list = capturing->add_subcommand("list", "each entry with what was decided");
+  CLI::App* list = capturing->add_subcommand("list", "list each entry with the decisions made");
   with_files(list);
-  list->add_option("--from", from, "ms from the beginning");
-  list->add_option("--to", to, "ms from the beginning");
+  list->add_option("--from", from, "ms from the beginning of the recording");
+  list->add_option("--to", to, "ms from the beginning of the recording");
   cometshift::Part part;
   std::string into;
-  CLI::App* cut = capturing->add_subcommand("cut", "a part, by time or by op, that replays by itself");
+  CLI::App* cut =
+      capturing->add_subcommand("cut", "extract a part, by time or by op, that can be replayed on its own");
   with_files(cut);
-  cut->add_option("--from", part.from_ms, "ms from the beginning")->check(CLI::NonNegativeNumber);
-  cut->add_option("--to", part.to_ms, "ms from the beginning")->check(CLI::NonNegativeNumber);
-  cut->add_option("--op", part.op, "instead: the life of this op, with half a second on both sides");
-  cut->add_option("--into", into, "a file that is not there yet")->required();
-  CLI::App* scrub =
-      capturing->add_subcommand("scrub", "the whole, with marks and subjects concealed and bodies left out");
+  cut->add_option("--from", part.from_ms, "ms from the beginning of the recording")
+      ->check(CLI::NonNegativeNumber);
+  cut->add_option("--to", part.to_ms, "ms from the beginning of the recording")
+      ->check(CLI::NonNegativeNumber);
+  cut->add_option("--op", part.op, "instead: the events of this op, with half a second before and after");
+  cut->add_option("--into", into, "output file; must not exist yet")->required();
+  CLI::App* scrub = capturing->add_subcommand(
+      "scrub", "copy the recording with marks and subjects pseudonymized and bodies left out");
   with_files(scrub);
-  scrub->add_option("--into", into, "a file that is not there yet")->required();
-  CLI::App* version = app.add_subcommand("version", "which build this is, and which recordings it reads");
+  scrub->add_option("--into", into, "output file; must not exist yet")->required();
+  CLI::App* version = app.add_subcommand("version", "show the build and the recording formats that it reads");
 
   try {
     app.parse(argc, argv);
--- a/tests/member.sh
+++ b/tests/member.sh
@@ -24,7 +24,7 @@
 echo "exit $?"
 fleet 3 '  previous-voters 1'
 kill -HUP $pid
-until_said 1 'not taken yet'
+until_said 1 'not applied yet'
 fleet 2 '  previous-voters 1'
 kill -HUP $pid
 until_said 1 'is settled'
@@ -36,6 +36,6 @@
 wait $pid
 echo "exit $?"
 echo "# what it said"
-sed 's/^[0-9.]* //; s/incarnation [0-9a-f]*/incarnation I/; s/token [0-9a-f]*/token T/; s/-*[0-9]* ms/N ms/g; s/[0-9]* rounds/N rounds/; s/here [0-9]* begun, 0 done, [0-9]* failed/here N begun, 0 done, N failed/; s/[0-9]* words wait, [0-9]* letters, [0-9]* dials/N words wait/; s/ (\([0-9]*\) more left out)//' member.log |
-  grep -E '^(fleet|lease|voters|status|reload: what|task: sweep: fails)' | grep -v '^status of leases' | sed 's/under way/at rest/' | awk '!seen[$0]++'
+sed 's/^[0-9.]* //; s/incarnation [0-9a-f]*/incarnation I/; s/token [0-9a-f]*/token T/; s/-*[0-9]* ms/N ms/g; s/[0-9]* rounds/N rounds/; s/here [0-9]* begun, 0 done, [0-9]* failed/here N begun, 0 done, N failed/; s/[0-9]* messages queued, [0-9]* sent, [0-9]* dials/N messages queued/; s/ (\([0-9]*\) more left out)//' member.log |
+  grep -E '^(fleet|lease|voters|status|reload: fleet settings|task: sweep: fails)' | grep -v '^status of leases' | sed 's/running/idle/' | awk '!seen[$0]++'
 rm -f member.json other.json member.kdl member.log
