--- a/tests/announce.cpp
+++ b/tests/announce.cpp
@@ -1,3 +1,6 @@
+// Reports to the announce service: repeats, changes during a report, and connections that break or stay
+// silent. Guards against a report that waits for a reply that never comes, and against postponing one when
+// the service has closed the connection.
 #include "announce.hpp"
 #include "driver.hpp"
 
--- a/tests/configuration.cpp
+++ b/tests/configuration.cpp
@@ -1,3 +1,4 @@
+// Reads a valid configuration, and variants of it with one error each: every error names its key.
 #include "configuration.hpp"
 #include "driver.hpp"
 
@@ -26,7 +27,7 @@
   }
 }
 
-// The whole one with one text in place of another.
+// Shows the result for the valid configuration with one text replaced.
 void show_with(const std::string& text, const std::string& other) {
   std::string json = valid_config;
   const std::size_t at = json.find(text);
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -1,5 +1,5 @@
-// Two things in one instant, over sockets: each time-out against its twin, signals and what is half read, the
-// link's end and what it brought. Each op has one answer, and nothing runs twice.
+// Races between two events over real sockets: timeouts against replies, signals against partly read requests,
+// the end of the link against the notices on it. Each op has one answer, and nothing runs twice.
 #include "server_fixture.hpp"
 
 #include <thread>
@@ -16,7 +16,7 @@
 }
 void sleep_for(int time_ms) { std::this_thread::sleep_for(std::chrono::milliseconds(time_ms)); }
 
-// Answers to ops in what is heard up to a check sent now: each of them once, in words.
+// The responses to ops that arrive before that to a health check sent now, in words.
 std::vector<std::string> answers_until_check(ServerFixture& w, std::uint32_t stream) {
   std::vector<std::string> answers;
   w.balancer.say(frame_of(frames::health_check, stream, {}));
@@ -30,7 +30,7 @@
   std::printf("  %zu answers\n", answers.size());
   for (const std::string& one : answers) std::printf("  balancer: %s\n", one.c_str());
 }
-// Another link after a break, up to the moment in which all before is told again.
+// Accepts the next link after a break and brings it up, with earlier notices sent again.
 void reconnect(ServerFixture& w, const std::string& notices) {
   w.interpreter = w.interpreters.next();
   w.interpreter.line(); // CONNECT
@@ -38,7 +38,7 @@
   w.link_up(notices);
 }
 
-// Up to its end the questions on an old link are answered; other commands there are told.
+// Answers queries on the old link until it ends; prints any other command on it.
 void finish_old_link(ServerFixture& w) {
   TestConnection::until("end of the old link", [&] {
     while (w.interpreter.has_line()) {
@@ -54,7 +54,7 @@
     return w.interpreter.ended();
   });
 }
-// The last that a list hears of a server that leaves.
+// The report by which a server that leaves stops accepting.
 std::string last_report(TestConnection& announce_services) {
   TestConnection announce = announce_services.next();
   std::string report;
@@ -68,8 +68,7 @@
   return report;
 }
 
-// Of the server's connections, those to its ports and to its other parties: how many there are, and how many
-// keep small writes back.
+// Counts the server's connections, and those that delay small writes (without TCP_NODELAY).
 void print_nodelay() {
   int all = 0, buffering = 0;
   for (int fd = 3; fd < 256; ++fd) {
@@ -102,7 +101,7 @@
     std::printf("  link: %s\n", w.command().c_str());
     w.notice(1, "VALUE", a, fine);
     print_answers(answers_until_check(w, 1));
-    w.balancer.say(ServerFixture::request(3, c, marked, "body", 400 * ms)); // within the window as well
+    w.balancer.say(ServerFixture::request(3, c, marked, "body", 400 * ms)); // also within the window
     print_answers(answers_until_check(w, 2));
   }
 
@@ -121,12 +120,12 @@
     }
     w.book(4, a, "m9", "other");
     w.book(5, b, "m1");
-    w.book(7, a, "m1"); // its own number once more
+    w.book(7, a, "m1"); // its own id again
     print_answers(answers_until_check(w, 1));
     w.notice(2, "VALUE", "bbbbbbbbbbbbbbb2", fine);
     w.balancer.frame();
     w.book(8, c, "m2");
-    std::printf("  link: %s\n", w.command().c_str()); // the next start is of another op
+    std::printf("  link: %s\n", w.command().c_str()); // the next start is that of another op
   }
 
   say("a try that comes after the window of the one that ran is another op");
@@ -167,7 +166,7 @@
     w.ask(1, a, {{"limit", "1500"}});
     w.command();
     TestConnection::turn = [] {};
-    sleep_for(1520); // the due time has passed, and what follows is read in the same turn
+    sleep_for(1520); // the due time has passed; the notice is read in the same turn
     w.notice(1, "VALUE", a, fine);
     w.start();
     const std::size_t first = answers_until_check(w, 1).size();
@@ -216,7 +215,7 @@
     std::printf("  balancer: %s\n", w.balancer.frame().c_str());
     TestConnection::until("end on its side", [&] { return w.balancer.ended(); });
     w.balancer.send_without_turn(
-        ServerFixture::request(1, a).substr(50)); // what it takes for a request came to a shut side
+        ServerFixture::request(1, a).substr(50)); // the rest of its request arrives after the shutdown
     TestConnection::turn();
     std::printf("  the end%s\n", w.balancer.was_reset() ? ", by a reset" : "");
     w.balancer = TestConnection::listening(5051);
@@ -316,7 +315,7 @@
     w.notice(2, "AWAIT", c, ",\"content\":\"Y2FsbA==\"");
     TestConnection records = w.records_services.next();
     records.request({});
-    records.reset(); // its call may have run
+    records.reset(); // the call may have run
     for (int i = 0; i < 4; ++i) std::printf("  balancer: %s\n", w.balancer.frame().c_str());
   }
 
@@ -336,7 +335,7 @@
   {
     ServerFixture w("3000");
     w.link_up();
-    w.ask(1, a, {{"limit", "1500"}}); // runs for longer than that
+    w.ask(1, a, {{"limit", "1500"}}); // runs for longer than its limit
     w.command();
     std::atomic<bool> stop{false};
     std::vector<std::thread> floods;
--- a/tests/endings.cpp
+++ b/tests/endings.cpp
@@ -1,5 +1,6 @@
-// Every way in which the front ends a connection, with bytes that arrive in that very instant: what was read
-// is answered, what was not is never taken for an op, and no reset takes what the peer has yet to read.
+// Every way in which Front ends a connection, with bytes that arrive at the same moment: whatever was read is
+// answered, whatever was not is never executed as an op, and no reset destroys responses that the peer has
+// not read yet.
 #include "driver.hpp"
 #include "front.hpp"
 
@@ -9,7 +10,8 @@
 constexpr Nanos second = 1000 * ms;
 constexpr std::size_t max_connections = 24;
 
-// Before the system's: so many of those that wait are gone by the time that they are taken.
+// Replaces the system's accept(): the next `aborted_accepts` connections are aborted before they are
+// accepted.
 static int aborted_accepts = 0;
 extern "C" int accept(int at, sockaddr* from, socklen_t* size) {
   const int fd = static_cast<int>(syscall(SYS_accept, at, from, size));
@@ -65,7 +67,7 @@
     TestConnection::until("op", [&] { return handler.streams.size() > before; });
     return handler.streams.back();
   }
-  // A peer that has had an op answered, and has not read the answer.
+  // A peer with one op answered, whose response it has not read.
   TestConnection answered(std::uint32_t stream = 1) {
     TestConnection peer = TestConnection::to(5050);
     front.served(send_request(peer, stream), "result");
@@ -75,7 +77,7 @@
 };
 
 void say(const char* what) { std::printf("# %s\n", what); }
-// What the peer was sent to the end, and how that came.
+// Prints the peer's remaining frames, and whether the connection ended by a reset.
 void print_to_end(TestConnection& peer, int frames) {
   for (int i = 0; i < frames; ++i) std::printf("  %s\n", peer.frame().c_str());
   peer.to_end();
@@ -88,7 +90,7 @@
 }
 const std::string request = ask(7, "9b1f03aa5c7e2d42");
 
-// A connection ends by `end`; in that instant its peer sends what `bytes` says.
+// Ends a connection by `end`, while its peer sends `bytes`.
 void test_crossing(const char* what, const std::string& bytes,
                    const std::function<void(Fixture&, TestConnection&)>& end) {
   say(what);
@@ -99,7 +101,7 @@
   const std::size_t ops = b.handler.streams.size();
   peer.send_without_turn(bytes);
   print_to_end(peer, 2);
-  peer.send_without_turn(bytes); // what comes later still is dropped too
+  peer.send_without_turn(bytes); // later bytes are discarded too
   print_after_end(b, peer, ops);
 }
 
@@ -128,7 +130,7 @@
     b.front.set_idle_timeout(second);
     b.pass(second);
     b.now += second / 2;
-    peer.send_without_turn(request); // found by the look before the close
+    peer.send_without_turn(request); // found by the read before the close
     b.turn();
     TestConnection::until("op", [&] { return b.handler.streams.size() == 2; });
     std::printf("  %zu connections\n", b.front.connections());
@@ -196,7 +198,7 @@
     peer.say(request.substr(0, 40));
     b.now += 3 * second / 2;
     peer.send_without_turn(request.substr(40));
-    b.front.flush(b.now); // the look at times comes before the one at bytes
+    b.front.flush(b.now); // timeouts are checked before input is read
     TestConnection::until("op", [&] { return b.handler.streams.size() == 2; });
     b.front.served(b.handler.streams[1], "slow");
     b.turn();
@@ -208,10 +210,10 @@
     say(what);
     Fixture b;
     TestConnection peer = b.answered();
-    peer.say(request.substr(0, 40)); // begun before it is told
+    peer.say(request.substr(0, 40)); // begins the request before go_away
     end(b);
     b.pass(second / 2);
-    b.pass(second / 4); // past the end of others
+    b.pass(second / 4); // longer than other connections are kept
     peer.say(request.substr(40));
     TestConnection::until("op", [&] { return b.handler.streams.size() == 2; });
     b.front.served(b.handler.streams[1], "slow");
@@ -270,7 +272,7 @@
   say("gone before it is accepted, alone, and before others as the listener closes: nothing stands still");
   {
     Fixture b;
-    alarm(10); // ends the test where it does
+    alarm(10); // ends the test if accept() blocks
     TestConnection::turn = [] {};
     TestConnection gone = TestConnection::to(5050);
     aborted_accepts = 1;
@@ -329,7 +331,7 @@
     TestConnection peer = TestConnection::to(5050);
     peer.set_small_window();
     std::uint32_t stream = 0;
-    TestConnection::until("room to end", [&] { // until some of it waits here
+    TestConnection::until("room to end", [&] { // until output is pending on this side
       b.front.served(b.send_request(peer, ++stream), std::string(4096, 'x'));
       b.turn();
       return b.front.pending_bytes() > 0;
--- a/tests/frames.cpp
+++ b/tests/frames.cpp
@@ -1,3 +1,4 @@
+// Bytes of encoded frames, and decoding of fields and numbers, valid and malformed.
 #include "driver.hpp"
 #include "hex.hpp"
 
--- a/tests/front.cpp
+++ b/tests/front.cpp
@@ -1,3 +1,5 @@
+// Connections of balancers: valid, invalid and unparsable requests, limits, eviction, timeouts and drain.
+// Guards against a connection that affects others, and against ops that are lost or read twice.
 #include "front.hpp"
 #include "driver.hpp"
 
@@ -16,7 +18,7 @@
                    std::string_view body) override {
     streams.push_back(ref);
     if (quiet) return;
-    std::printf("  op %llx type %u tenant %u caller %llu door %lld limit %lld kb %.1f rank %.3f", // as told
+    std::printf("  op %llx type %u tenant %u caller %llu door %lld limit %lld kb %.1f rank %.3f",
                 static_cast<unsigned long long>(id.raw), type.raw, tenant.raw,
                 static_cast<unsigned long long>(caller.raw), static_cast<long long>(door / ms),
                 static_cast<long long>(limit / ms), held_kb, rank);
@@ -218,7 +220,7 @@
     getrlimit(RLIMIT_NOFILE, &most);
     limit = {static_cast<rlim_t>(next) + 1, most.rlim_max};
     setrlimit(RLIMIT_NOFILE, &limit);
-    TestConnection outside = TestConnection::to(5050); // takes the last
+    TestConnection outside = TestConnection::to(5050); // takes the last descriptor
     outside.say(frame_of(frames::health_check, 1, {}));
     good.say(frame_of(frames::health_check, 11, {}));
     print_frame(good);
@@ -274,7 +276,7 @@
     b.now += second;
     TestConnection::turn();
     b.front.set_eviction_order({Eviction::newest}, 3);
-    std::vector<StreamRef> past; // three that may have been on the way are read and answered, a fourth is not
+    std::vector<StreamRef> past; // three that may have been in transit are answered, a fourth is not read
     for (std::uint32_t i = 3; i < 6; ++i) past.push_back(b.send_request(late, ask(i, txn)));
     const std::size_t read = b.handler.streams.size();
     late.say(ask(6, txn));
@@ -295,7 +297,7 @@
   say("doors closed: what was connected before is told so, still read and answered, then closed; no others");
   const StreamRef ref = b.send_request(good, ask(++stream, txn));
   const auto turn = std::exchange(TestConnection::turn, [] {});
-  TestConnection waiting = TestConnection::to(5050); // connected, and not accepted yet
+  TestConnection waiting = TestConnection::to(5050); // connected, but not accepted yet
   b.front.stop_accepting();
   TestConnection::turn = turn;
   print_frame(waiting), print_frame(good);
@@ -306,7 +308,7 @@
   print_frame(good);
   b.now += second;
   good.to_end(), waiting.to_end();
-  std::printf("  closed: %d\n", b.front.closed()); // not while their sides stand open, for as long again
+  std::printf("  closed: %d\n", b.front.closed()); // not while connections linger
   b.now += second;
   TestConnection::turn();
   std::printf("  closed: %d\n", b.front.closed());
--- a/tests/host.cpp
+++ b/tests/host.cpp
@@ -1,3 +1,5 @@
+// A whole server with the other parties played by the test: calls, keyed ops and their repeats, breaks of the
+// link and of callers' connections, reload and drain. Each op is answered once, and no keyed op runs twice.
 #include "server_fixture.hpp"
 
 void say(const char* what) { std::printf("# %s\n", what); }
@@ -34,7 +36,7 @@
     w.book(2, b, "m1");
     print_command();
     w.book(3, c, "m1");
-    w.book(4, b, "m1"); // not new, as it should be
+    w.book(4, b, "m1"); // an id that is already known
     print_frame();
     w.notice(3, "VALUE", b, fine);
     print_frame(), print_frame();
@@ -63,7 +65,7 @@
     w.interpreter.reset();
     w.interpreter = w.interpreters.next();
     print_command();
-    w.book(9, "bbbbbbbbbbbbbbb2", "m3"); // two cores: held until one of the others ends
+    w.book(9, "bbbbbbbbbbbbbbb2", "m3"); // queued until a run ends: there are two cores
     w.last_query.clear();
     w.link_up();
     print_command();
@@ -107,7 +109,7 @@
     print_frame();
     w.ask(2, "ccccccccccccccc2");
     print_command();
-    print_frame(); // no more
+    print_frame(); // go_away
     w.ask(3, "ccccccccccccccc3");
     print_frame();
     std::printf("  over: %d\n", w.finished);
@@ -179,14 +181,15 @@
                    announce_services = TestConnection::listening(2380),
                    records_services = TestConnection::listening(5433);
     ServerFixture::reload_with(elsewhere);
-    ServerFixture::reload_with(elsewhere); // once more changes nothing
+    ServerFixture::reload_with(elsewhere); // the same file again changes nothing
     TestConnection announce = announce_services.next();
     std::printf("  announce there: %s\n", announce.request({}).c_str());
-    records.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"); // in hand, ends where it was
+    records.say(
+        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"); // in flight: finishes at the old address
     records.to_end();
-    w.ask(3, c); // both cores are free, as the others wait for calls
+    w.ask(3, c); // both cores are free, as the other runs wait for calls
     TestConnection::until("end of the old link",
-                          [&] { // once its last question is answered; nothing else is on it
+                          [&] { // ends once its last query is answered; no other command is sent on it
                             if (w.interpreter.has_line()) {
                               const std::string line = w.interpreter.line();
                               w.last_query = line.substr(line.find("\"echo\":\"") + 8);
--- a/tests/http.cpp
+++ b/tests/http.cpp
@@ -1,4 +1,5 @@
 #include "driver.hpp"
+// Parsing of HTTP replies: complete, truncated, malformed, too large, and in pieces of different sizes.
 #include "http_reply.hpp"
 
 void show(const char* what, const std::string& bytes, std::size_t step = 1000) {
--- a/tests/lasting.cpp
+++ b/tests/lasting.cpp
@@ -1,6 +1,7 @@
-// Forty-five minutes of one server with every table churned: callers that restart, repeats, connections lost,
-// calls that are slow or never come back, a link that breaks. What the core holds is counted, byte by byte:
-// an allocation made while the core works is its own until it is given back, whoever does that.
+// Guards against memory growth: 45 minutes of one server in simulated time with restarting callers, repeats,
+// lost connections, calls that are slow or never answered, and a link that breaks. Memory of the core is
+// counted by replacing operator new: an allocation made while the core runs counts until it is freed, by
+// whomever.
 #include "simulated_server.hpp"
 
 #include <cstdlib>
@@ -10,9 +11,9 @@
 
 namespace {
 
-bool counting_core = false; // the core works now, not the test round it
+bool counting_core = false; // the core is running, not the test around it
 std::int64_t core_bytes = 0, core_allocations = 0;
-constexpr std::size_t head = 16; // before each piece: its size, 0 if it is not the core's
+constexpr std::size_t head = 16; // before each allocation: its size, 0 if not made by the core
 
 void* allocate(std::size_t size) {
   auto* at = static_cast<std::size_t*>(std::malloc(size + head));
@@ -36,7 +37,7 @@
 
 namespace {
 
-// What a scope counts as: the core's work, or the test's that it calls out to.
+// Marks a scope as work of the core, or of the test that the core calls.
 class CountingScope {
   bool before_ = counting_core;
 
@@ -45,7 +46,7 @@
   ~CountingScope() { counting_core = before_; }
 };
 
-// A SimulatedServer whose calls into the core are counted as the core's, and those out of it as the test's.
+// Counts calls into the core as its work, and calls from the core to the SimulatedServer as the test's.
 struct CountedServer final : SimulatedServer {
   using SimulatedServer::SimulatedServer;
   template <class What>
@@ -86,15 +87,16 @@
   CountedServer server(service, 1);
   Pcg chance(11);
   std::uint64_t callers = 0;
-  std::queue<std::tuple<Nanos, OpId, StreamRef>> lost; // connections that end a while after their op came
+  std::queue<std::tuple<Nanos, OpId, StreamRef>>
+      lost; // streams whose connection ends 20 ms after their op arrived
   std::int64_t early = 0, late = 0, most = 0;
   constexpr Nanos minute = 60 * second;
   for (Nanos t = 0; t < 45 * minute; t += ms) {
-    const Nanos cycle_time = t % (3 * minute); // each three minutes the same troubles
+    const Nanos cycle_time = t % (3 * minute); // the same faults every three minutes
     service.call_duration = cycle_time > 60 * second && cycle_time < 70 * second ? 300 * ms : 5 * ms;
     service.reply_loss = cycle_time > 90 * second && cycle_time < 120 * second ? 0.02 : 0;
     if (cycle_time == 130 * second) service.stalled_until = t + second;
-    if (t % second == 0) callers += 10; // that many are new each second, and others never heard of again
+    if (t % second == 0) callers += 10; // ten new callers each second; earlier ones disappear
     server.as_core_work([&] {
       server.step(t, false);
       if (cycle_time == 140 * second) server.core->link_down(t);
@@ -103,7 +105,7 @@
       const CallerId caller{callers + chance.next() % 150};
       const ConnectionId connection{caller.raw};
       const bool again = server.ops > 10 && chance.unit() < 0.1;
-      const std::uint64_t third = (server.ops / 3 - 1) * 3; // a keyed one, some tries ago
+      const std::uint64_t third = (server.ops / 3 - 1) * 3; // a keyed op of a while ago
       const OpId op = server.ask(connection, caller, again ? std::to_string(third * 100 + 1) : "");
       if (chance.unit() < 0.05)
         lost.emplace(t + 20 * ms, op,
@@ -120,7 +122,7 @@
   }
   std::printf("most %lld KB; acked %d, nacked %d, failed %d\n", static_cast<long long>(most / 1024),
               server.acked, server.nacked, server.failed_ops);
-  // With nothing coming in any more, all that is owed to an op or kept for its repeats goes.
+  // Without new ops, everything kept for ops and their repeats must be freed.
   const std::int64_t before = core_allocations;
   for (Nanos t = 45 * minute; t < 48 * minute; t += ms) server.as_core_work([&] { server.step(t, false); });
   std::printf("quiet for three minutes: %lld KB in %lld pieces\n", static_cast<long long>(core_bytes / 1024),
--- a/tests/link.cpp
+++ b/tests/link.cpp
@@ -1,3 +1,5 @@
+// The link to the interpreter: commands, notices that are repeated, missing or malformed, silence, and
+// breaks. Guards against notices that are lost or handled twice, and against a link that hangs.
 #include "driver.hpp"
 #include "interpreter.hpp"
 
@@ -61,7 +63,7 @@
   say("the machine comes up late: nothing but CONNECT until then");
   TestConnection at = machine.next();
   print_line(at);
-  link.request_gauges(); // too early: the answer to CONNECT has not come
+  link.request_gauges(); // not sent: the link is not up yet
   std::printf("  up: %d\n", link.up());
   at.say("{\"action\":\"BANNER\",\"code\":\"starting\",\"wall_ms\":250}\n");
   print_line(at);
@@ -72,7 +74,7 @@
   link.run(OpId{0x9b1f03aa5c7e2d41}, "look\"", std::string("\0\xff body", 7));
   link.resume(OpId{1}, "ok");
   link.request_gauges();
-  link.request_gauges(); // one question at a time
+  link.request_gauges(); // not sent: one query at a time
   for (int i = 0; i < 3; ++i) print_line(at);
 
   say("notices, in pieces");
@@ -160,7 +162,7 @@
   seventh.say("{\"action\":\"TOPS\",\"echo\":\"" + std::to_string(link.next_query_number() - 1) +
               "\",\"meters\":[1]}\n");
   caught_up(6);
-  pass(250 * ms); // nothing is owed
+  pass(250 * ms); // no answer is due
   std::printf("  up: %d\n", link.up());
   link.request_gauges();
   TestConnection eighth = machine.next();
@@ -170,7 +172,7 @@
   {
     link.link_reconnect_delay(30 * ms);
     eighth.reset();
-    pass(10 * ms); // the link has ended, its descriptor is free, and the test takes it
+    pass(10 * ms); // the link has ended, and the test takes its descriptor
     {
       const NoFreeDescriptors none;
       pass(90 * ms);
--- a/tests/log.cpp
+++ b/tests/log.cpp
@@ -1,5 +1,5 @@
-// What is written to the log, as text and as JSON, with what is left out; CTest compares standard error,
-// times taken out.
+// Log output as text and as JSON, with suppressed lines; CTest compares standard error with the times
+// removed.
 #include "log.hpp"
 
 int main() {
--- a/tests/many.cpp
+++ b/tests/many.cpp
@@ -1,6 +1,7 @@
-// Processes of the program with their other parties on loopback: thirty that start in one instant, each with
-// something late, mute, refused or silent beside it; what thirty cold ones do together to one service below;
-// idle clients that fill every descriptor while the list is down. Usage: many PROGRAM; prints what held.
+// Many processes of the program with all other parties on loopback. Thirty start at once, while the
+// interpreter, the announce service or the records service is late, silent or down; thirty start cold and
+// share one records service; idle clients fill every descriptor while the announce service is down. Usage:
+// many PROGRAM
 #include "child.hpp"
 #include "driver.hpp"
 #include "histogram.hpp"
@@ -30,7 +31,7 @@
   while (steady_now() < end) io.run_for(std::chrono::milliseconds(1));
 }
 
-// One process with its interpreter and its list; each has ports of its own.
+// One server process with its interpreter and its announce service, on ports of their own.
 struct Server {
   int number;
   Tcp::endpoint listen, vm, list;
@@ -49,7 +50,7 @@
   explicit Server(int n) : number(n), listen(at(20000 + n)), vm(at(21000 + n)), list(at(22000 + n)) {}
   void with_machine() { machine = std::make_unique<Machine>(io, vm, 4, number + 1, Watcher{}); }
   void with_list() { announce = std::make_unique<AnnounceService>(io, list, number + 1); }
-  // `limit`: descriptors that the system lets it have; 0: as they are.
+  // `limit`: the limit on its descriptors; 0: unchanged.
   void start(const std::string& program, Site site, Tcp::endpoint records, int limit = 0) {
     const std::string path = work_folder + "/" + std::to_string(number);
     site.name = "n" + std::to_string(number);
@@ -63,7 +64,7 @@
     began = steady_now();
     process = std::make_unique<Child>(command, path + ".log");
   }
-  // Asks ten times a second, on a connection that is made anew as long as none is taken.
+  // Sends an op each `every`; reconnects until a connection is accepted.
   void send_periodically(Nanos now, Nanos every) {
     if (!caller || caller->ended())
       caller = std::make_unique<TestConnection>(TestConnection::to(listen.port())), stream = 0;
@@ -100,7 +101,7 @@
 };
 using Servers = std::vector<Server*>;
 
-// Those of one part; each has ports of its own, and the parties stay to the end.
+// Servers with new ports; the other parties live until the end of the program.
 Servers new_servers(int count) {
   static std::vector<std::unique_ptr<Server>> all;
   Servers servers;
@@ -143,7 +144,7 @@
   for (Server* server : servers) {
     const int kind = server->number % 6;
     if (kind != 1 && kind != 2) server->with_machine();
-    if (kind == 2) // taken, and nothing is ever said
+    if (kind == 2) // accepts connections, never sends anything
       silent_listeners.push_back(
           std::make_unique<Door>(io, server->vm, [](Tcp::socket s) { held.push_back(std::move(s)); }));
     if (kind != 4) server->with_list();
@@ -157,7 +158,7 @@
   for (Nanos now = begun; now - begun < 12 * second && count < server_count; now = steady_now()) {
     run_for(2 * ms);
     if (!recovered &&
-        now - begun >= 2 * second) { // late, but there; what is mute is left by its machine for good
+        now - begun >= 2 * second) { // late parties appear, and silent listeners are replaced by interpreters
       recovered = true;
       records.down(false);
       for (auto& door : silent_listeners) door->shut();
@@ -192,7 +193,7 @@
   drain_and_check(servers);
 }
 
-// Killed in the instant in which it has accepted a connection, with what was written on it not answered yet.
+// Kills the server right after it has accepted a connection with an unanswered request.
 void test_kill_after_accept(const std::string& program) {
   say("killed right behind an accept, five times: the next start listens there at once, and serves");
   Servers servers = new_servers(1);
@@ -212,7 +213,7 @@
   };
   int served = serves(), taken = 0;
   for (int i = 0; i < 5; ++i) {
-    run_for(50 * ms); // what was asked is over
+    run_for(50 * ms); // earlier ops have ended
     const std::size_t before = server.descriptors();
     TestConnection fresh = TestConnection::to(server.listen.port());
     fresh.send_without_turn(
@@ -230,7 +231,7 @@
   drain_and_check(servers);
 }
 
-// The share of each is a small part of one call, as where the fleet is large.
+// Each server's share is a small fraction of one call, as in a large fleet.
 void test_cold_load(const std::string& program) {
   say("thirty cold ones, all at once, to one service below whose calls take long");
   Servers servers = new_servers(server_count);
@@ -262,7 +263,8 @@
   drain_and_check(servers);
 }
 
-// Idle clients come until no more is taken, half of them having said a word; the list is down all the while.
+// Idle clients connect until no descriptor is free, half of them after one health check, while the announce
+// service is down.
 void test_descriptor_limit(const std::string& program, int limit) {
   std::printf("# idle clients fill %d descriptors while the list is down\n", limit);
   Servers servers = new_servers(1);
--- a/tests/records.cpp
+++ b/tests/records.cpp
@@ -1,3 +1,6 @@
+// Calls to the records service: what each reply or failure proves about the call, cancelled calls, and
+// timeouts. A call of unknown outcome is never reported as one that did not run, and no reply is taken for
+// that of another call.
 #include "records.hpp"
 #include "driver.hpp"
 
@@ -106,7 +109,7 @@
 
   say("1xx before a reply; a second copy and noise behind it are nobody's reply");
   call(40, 5000 * ms, "x");
-  at = service.next(); // of the brief call, perhaps
+  at = service.next(); // may be the connection of the call that timed out
   if (!at.ended()) TestConnection::until("request or end", [&] { return at.ended() || at.has(1); });
   if (at.ended()) at = service.next();
   print_request(at);
@@ -136,7 +139,7 @@
     const std::string late = reply("200 OK", "late");
     if (i == 0) at.send_without_turn(late);
     for (const char byte : i == 1 ? late : "") at.send_without_turn(std::string_view(&byte, 1));
-    usleep(120'000); // both are there now
+    usleep(120'000); // both the reply and the timeout are pending now
     TestConnection::turn = idle;
     at.to_end();
     std::printf("  ends %d, connections %zu\n", ended_calls - before, records.connections());
@@ -145,7 +148,7 @@
 
   say("no descriptor is free: the call never leaves; the next does, once one is");
   {
-    at = TestConnection(dup(0)); // nothing else of the test's may come free meanwhile
+    at = TestConnection(dup(0)); // keeps the test's own descriptors in use
     {
       const NoFreeDescriptors none;
       ended = expect_end();
--- a/tests/server_fixture.hpp
+++ b/tests/server_fixture.hpp
@@ -1,5 +1,5 @@
-// For tests of a whole server over loopback sockets: its link, records and announce services, and balancers,
-// are played by the test, in its order.
+// Fixture for tests of a whole server over loopback sockets. The test plays the interpreter, the records and
+// announce services and the balancers, and so controls the order of events.
 #pragma once
 
 #include "configuration.hpp"
@@ -8,10 +8,10 @@
 
 #include <csignal>
 
-// Of this process alone, so that several may run at once.
+// Unique per process, so that tests can run in parallel.
 inline const std::string fixture_config_path = "host_test." + std::to_string(getpid()) + ".json";
 
-// A server whose link, records and announce services, and balancers, are played by the test.
+// A server connected to the interpreter, announce service and balancer of the test.
 struct ServerFixture {
   std::string last_query;
   bool finished = false;
@@ -21,7 +21,7 @@
   std::unique_ptr<Host> host;
   TestConnection interpreter, announce, balancer;
 
-  // With other effects look is keyed, and book may not simply be repeated.
+  // With `other_effects`, look is keyed and book is non-retryable.
   static std::string json(const std::string& stop_ms, int elsewhere = 0,
                           const std::string& window_ns = "9000000000", bool other_effects = false) {
     std::string json =
@@ -78,7 +78,8 @@
   void answer_gauges() {
     interpreter.say("{\"action\":\"TOPS\",\"echo\":\"" + last_query + "\",\"meters\":[0.1,0]}\n");
   }
-  // The next command that is no question for gauges; those are answered on the way, but for a link's first.
+  // The next command other than a query for gauges. Queries are answered, except for the first of a link,
+  // which is returned.
   std::string command() {
     for (;;) {
       const std::string line = interpreter.line();
@@ -90,7 +91,7 @@
       answer_gauges();
     }
   }
-  // A request's bytes, as if it had come to the machine a while ago.
+  // A request that states that it was received `ago` before now.
   static std::string request(std::uint32_t stream, const std::string& txn, Fields fields = {},
                              const char* body = "body", Nanos ago = 0) {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
--- a/tests/simulated_server.hpp
+++ b/tests/simulated_server.hpp
@@ -1,7 +1,7 @@
-// For tests of a server's life in simulated time, a millisecond a step: a core with a machine that runs what
-// it is told, and a service below whose calls it makes, with a count of its own of what stands there. A call
-// is in hand from its order until it is answered; one given up stays until its end, for the told time at the
-// most.
+// One server in simulated time, in steps of a millisecond: a core, an interpreter that runs what the core
+// starts, and calls to a records service that is shared with other servers. The server keeps its own count of
+// calls in flight at the service: a call is in flight from its start until it is answered; a cancelled one
+// stays until the service ends it, for at most the linger time.
 #pragma once
 
 #include "core.hpp"
@@ -20,7 +20,7 @@
 constexpr Nanos cancelled_call_linger = 200 * ms;
 constexpr Nanos window = 5 * second;
 constexpr double share = 0.55;
-constexpr Nanos link_delay = 5 * ms; // until a start is on the cores, a reply with its run
+constexpr Nanos link_delay = 5 * ms; // from a start to its run, and from a reply to its run
 
 inline Settings settings(unsigned server) {
   Settings given{{"cores", 2.0},         {"fall_multiple", 4.0},
@@ -43,11 +43,11 @@
   return given;
 }
 
-// The service: how long its calls take from now on. While it stands still nothing ends.
+// The records service: how long new calls take. While it is stalled, no call ends.
 struct RecordsStub {
   Nanos call_duration = 5 * ms;
   Nanos stalled_until = 0;
-  double reply_loss = 0; // part of the replies that never come
+  double reply_loss = 0; // fraction of the replies that are never sent
 };
 
 struct SimulatedServer : Actions {
@@ -61,21 +61,21 @@
   Nanos now = 0;
   std::unique_ptr<Core> core;
   std::map<OpId, Call> calls;
-  std::set<OpId> starting, awaiting_call; // runs before their call, and at it
-  std::set<OpId> ended_ops;               // of those on the way
+  std::set<OpId> starting, awaiting_call; // runs before their call; runs waiting for its reply
+  std::set<OpId> ended_ops;               // of those in `starting`
   std::multimap<Nanos, std::function<void()>> scheduled;
   std::uint64_t ops = 0;
   int acked = 0, failed_ops = 0, nacked = 0;
-  WindowMean in_flight{window, 0};     // as the service has it
-  std::multiset<Nanos> cancelled_ends; // ends of those that stay
+  WindowMean in_flight{window, 0};     // as counted by the service
+  std::multiset<Nanos> cancelled_ends; // when cancelled calls end at the service
   double most = 0;
 
-  Settings overrides; // set beside the usual, or instead
+  Settings overrides; // added to the default settings, or replacing them
 
   SimulatedServer(const RecordsStub& s, unsigned n) : service(s), number(n), random(n + 1) {
     begin(0, 3600 * second);
   }
-  // One that is begun later.
+  // Not started: begin() does that later.
   SimulatedServer(const RecordsStub& s, unsigned n, Settings m)
       : service(s), number(n), random(n + 1), overrides(std::move(m)) {}
   void begin(Nanos at, Nanos machine_up_for) {
@@ -110,7 +110,7 @@
       linger_at_service(call);
     core->call_finished(now, op, outcome, Content("reply"));
   }
-  // Its op is over: a run at its call ends there, one on the way to it when it comes there.
+  // The op has ended: a run that waits for its call ends now, one that has not reached it ends when it does.
   void end_run_at_call(OpId op) {
     if (awaiting_call.erase(op) > 0)
       after(link_delay, [this, op] { core->run_finished(now, op, Outcome::halted, 20 * ms, {}); });
@@ -121,7 +121,7 @@
     core->stream_lost(now, line);
     end_run_at_call(op);
   }
-  // An op of the next number, each third keyed; with the mark of an earlier one where that is given.
+  // Sends the next op; every third one is keyed. A `mark` makes it a repeat of an earlier keyed op.
   OpId ask(ConnectionId connection, CallerId caller, const std::string& mark) {
     const OpId id{++ops * 100 + number};
     const OpTypeId type{!mark.empty() || ops % 3 == 0};
