--- a/tests/announce.cpp
+++ b/tests/announce.cpp
@@ -19,28 +19,29 @@
   const auto print_request = [](TestConnection& peer) { std::printf("> %s\n", peer.request({}).c_str()); };
   const std::string ok = "HTTP/1.1 204 No Content\r\n\r\n";
 
-  say("the service is down at first; reports go on, and are seen once it is up");
+  say("the service is down at first: reports are retried and arrive once it is up");
   announce.set_accepting(true);
   TestConnection::turn();
   TestConnection service = TestConnection::listening(2379);
   TestConnection at = service.next();
   print_request(at);
   at.say(ok);
-  say("again and again on the same connection");
+  say("repeated reports use the same connection");
   print_request(at);
 
-  say("a change while a report is under way does not wait for its answer");
+  say("a change during a report does not wait for its reply");
   announce.set_report_interval(60'000 * ms);
   announce.set_accepting(false);
   at = service.next();
   print_request(at);
   at.say(ok);
-  say("a change between reports goes at once; none, nothing");
+  say("a change between reports is sent at once; setting the same value sends nothing");
   announce.set_accepting(false);
   announce.set_accepting(true);
   print_request(at);
 
-  say("left by the service since the last report: the next, or a change, goes out at once all the same");
+  say("connection closed by the service since the last report: the next report or change is still sent at "
+      "once");
   at.say(ok);
   at.reset();
   announce.set_accepting(false);
@@ -50,7 +51,7 @@
   announce.set_accepting(true);
   print_request(at);
 
-  say("a connection that ends, a reply that is none, or none in time: another is made");
+  say("a closed connection, a malformed or failed reply, or no reply in time: reconnects");
   announce.set_report_interval(ms);
   at.reset();
   at = service.next();
@@ -67,8 +68,7 @@
   TestConnection next = service.next();
   print_request(next);
 
-  say("silent from then on, with the connection open: a report by each new one; once it speaks again, by "
-      "that");
+  say("no more replies on an open connection: each report opens a new one; once one replies, it is reused");
   announce.set_report_timeout(20 * ms);
   for (int i = 0; i < 3; ++i) {
     TestConnection one = service.next();
--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -91,7 +91,7 @@
 } // namespace
 
 int main() {
-  say("two tries of one op lie unread for longer than a short window: one run, both have its result");
+  say("two tries of one op stay unread for longer than a short key window: one run, both get its result");
   {
     ServerFixture w("3000", "300000000");
     w.link_up();
@@ -105,8 +105,8 @@
     print_answers(answers_until_check(w, 2));
   }
 
-  say("a stranger comes under the number of an op that has ended, and would be held: refused; a repeat of "
-      "the op is not run");
+  say("a different op with the id of an op that has ended, while the cores are busy: refused; a repeat of "
+      "the ended op is not run");
   {
     ServerFixture w("3000");
     w.link_up();
@@ -128,7 +128,7 @@
     std::printf("  link: %s\n", w.command().c_str()); // the next start is that of another op
   }
 
-  say("a try that comes after the window of the one that ran is another op");
+  say("a try after the key window of the one that ran is a new op");
   {
     ServerFixture w("3000", "300000000");
     w.link_up();
@@ -142,9 +142,9 @@
   }
 
   for (const bool by_reset : {false, true}) {
-    say(by_reset ? "the same by a reset, which may take the notice with it"
-                 : "the end of a run and the end of its link in one instant: one answer, though the notice "
-                   "comes again");
+    say(by_reset ? "the same with a reset, which may destroy the notice"
+                 : "the end of a run and of its link at the same moment: one answer, although the notice is "
+                   "sent again");
     ServerFixture w("3000");
     w.link_up();
     w.book(1, a, "m1");
@@ -159,7 +159,7 @@
     print_answers(answers_until_check(w, 1));
   }
 
-  say("the result comes in the instant of the due time: one answer, whichever it is");
+  say("the result arrives at the due time: one answer, either of the two");
   {
     ServerFixture w("3000");
     w.link_up();
@@ -173,7 +173,8 @@
     std::printf("  %zu answers in all\n", first + answers_until_check(w, 2).size());
   }
 
-  say("a call's reply and the end of its op's time in one instant: one answer; the late reply goes nowhere");
+  say("a call's reply and the due time of its op at the same moment: one answer; the late reply is "
+      "discarded");
   {
     ServerFixture w("3000");
     w.link_up();
@@ -191,7 +192,7 @@
     records.to_end();
   }
 
-  say("SIGTERM with half a request read: its rest comes after the delay, and it is answered, not run");
+  say("SIGTERM with half a request read: the rest arrives after the drain delay; answered, not run");
   {
     ServerFixture w("3000");
     w.link_up();
@@ -206,7 +207,7 @@
     std::printf("  the end%s\n", w.balancer.was_reset() ? ", by a reset" : "");
   }
 
-  say("SIGTERM with half a request read and no more of it: a whole end, the server ends");
+  say("SIGTERM with half a request read and the rest never sent: a clean close, and the server exits");
   {
     ServerFixture w("3000");
     w.link_up();
@@ -222,7 +223,7 @@
     TestConnection::until("end", [&] { return w.finished; });
   }
 
-  say("SIGHUP and SIGTERM in one instant: both are taken");
+  say("SIGHUP and SIGTERM at the same moment: both take effect");
   {
     ServerFixture w("1500");
     w.link_up();
@@ -245,9 +246,8 @@
     std::printf("  over: %d\n", w.finished);
   }
 
-  say("a reload, and a drain while the old link is still left: what runs is answered, what comes in the "
-      "delay "
-      "runs there, the list there hears of it");
+  say("a reload, and a drain during the handover of the link: running ops are answered, ops in the drain "
+      "delay run at the new address, the new announce service is notified");
   {
     ServerFixture w("3000");
     w.link_up();
@@ -280,7 +280,8 @@
     std::printf("  the end%s\n", w.balancer.was_reset() ? ", by a reset" : "");
   }
 
-  say("a drain, and a reload in it, to where nobody is: all is answered before the kill, and it ends");
+  say("a reload to unreachable addresses during a drain: everything is answered before the kill, and the "
+      "server exits");
   {
     ServerFixture w("1500");
     w.link_up();
@@ -301,7 +302,7 @@
     std::remove(fixture_config_path.c_str());
   }
 
-  say("the settings give the op types other effects: look is keyed, book may not simply be repeated");
+  say("other effects of the op types: look is keyed, book is non-retryable");
   {
     ServerFixture w("3000", "300000000", true);
     w.link_up();
@@ -319,7 +320,7 @@
     for (int i = 0; i < 4; ++i) std::printf("  balancer: %s\n", w.balancer.frame().c_str());
   }
 
-  say("nothing that is said is kept back until more of it comes");
+  say("no connection delays small writes");
   {
     ServerFixture w("3000");
     w.link_up();
@@ -331,7 +332,7 @@
     print_nodelay();
   }
 
-  say("peers that send without end do not keep due times waiting");
+  say("peers that send without end do not delay due times");
   {
     ServerFixture w("3000");
     w.link_up();
--- a/tests/endings.cpp
+++ b/tests/endings.cpp
@@ -113,17 +113,17 @@
     b.pass(second);
     b.pass(second / 2);
   };
-  test_crossing("idle, told, and closed: a whole request in the instant of the close", request, idle);
+  test_crossing("idle timeout: a whole request arrives during the close", request, idle);
   test_crossing("the same, half a request", request.substr(0, 40), idle);
-  test_crossing("the same, more than its buffers hold at once", std::string(100'000, 'x'), idle);
-  test_crossing("the listener closes, as in a drain: a request as its last connections end", request,
-                [](Fixture& b, TestConnection&) {
+  test_crossing("the same, more than its buffers hold", std::string(100'000, 'x'), idle);
+  test_crossing("the listener closes, as in a drain: a request arrives while the last connection closes",
+                request, [](Fixture& b, TestConnection&) {
                   b.front.stop_accepting();
                   b.turn();
                   b.pass(second / 2);
                 });
 
-  say("a request read past the time to end, just before the close, is taken and answered as any");
+  say("a request read after the drain delay, just before the close, is handled normally");
   {
     Fixture b;
     TestConnection peer = b.answered();
@@ -140,7 +140,7 @@
     print_to_end(peer, 3);
   }
 
-  say("evicted for room: what comes then is dropped, the room is there at once");
+  say("evicted to make room: later input is discarded, the room is available at once");
   {
     Fixture b;
     TestConnection peer = b.answered();
@@ -160,8 +160,7 @@
     std::printf("  %s\n", newest.frame().c_str());
   }
 
-  say("what can't be read any more, with an op open and more bytes than were read: settled, told, a whole "
-      "end");
+  say("unparsable input with an op open and more bytes unread: answered, notified, a clean close");
   {
     Fixture b;
     TestConnection peer = TestConnection::to(5050);
@@ -174,7 +173,7 @@
     print_to_end(peer, 3);
   }
 
-  say("a frame that trickles past its time: told, what still trickles is dropped");
+  say("a frame that trickles past its timeout: notified, further input is discarded");
   {
     Fixture b;
     TestConnection peer = b.answered();
@@ -189,8 +188,7 @@
     print_after_end(b, peer, ops);
   }
 
-  say("a slow writer whose last bytes come in the instant in which its time is over: taken and answered as "
-      "any");
+  say("a slow writer whose last bytes arrive at its timeout: handled normally");
   {
     Fixture b;
     TestConnection peer = b.answered();
@@ -221,15 +219,15 @@
     b.pass(second / 2);
     print_to_end(peer, 3);
   };
-  slow("a slow writer on a connection that is told to end: its request is waited for, and answered; then the "
-       "end",
+  slow("a slow writer on a connection with go_away: its request is awaited and answered, then the connection "
+       "closes",
        [](Fixture& b) {
          b.front.set_idle_timeout(second / 2);
          b.pass(second / 2);
        });
   slow("the same as the listener closes", [](Fixture& b) { b.front.stop_accepting(); });
 
-  say("half-closed by the peer: with an op open it has its answer, with half a request none is owed");
+  say("half-closed by the peer: an open op is answered, half a request is not");
   {
     Fixture b;
     TestConnection whole = TestConnection::to(5050), half = TestConnection::to(5050);
@@ -242,7 +240,7 @@
     std::printf("  %zu lost\n", b.handler.lost);
   }
 
-  say("connected and written to before the listener closes, and not accepted yet: read and answered");
+  say("connected and written to before the listener closes, but not accepted yet: read and answered");
   {
     Fixture b;
     TestConnection::turn = [] {};
@@ -269,7 +267,8 @@
     std::puts("  closed");
   }
 
-  say("gone before it is accepted, alone, and before others as the listener closes: nothing stands still");
+  say("aborted before it is accepted, alone, and before others as the listener closes: accepting does not "
+      "block");
   {
     Fixture b;
     alarm(10); // ends the test if accept() blocks
@@ -292,7 +291,7 @@
     print_to_end(good, 2);
   }
 
-  say("reset right behind its accept: with nothing, half a request, a request or two");
+  say("reset right after accept: with nothing sent, half a request, one request, or two");
   {
     Fixture b;
     for (const std::string& bytes :
@@ -311,8 +310,8 @@
     std::printf("  %s\n", good.frame().c_str());
   }
 
-  say("peers that never end: their connections go at the end of their time, the rest of a drain waits no "
-      "longer");
+  say("peers that never close: their connections are dropped after the linger time, so that a drain "
+      "completes");
   {
     Fixture b;
     std::vector<TestConnection> unread;
@@ -325,7 +324,7 @@
     std::printf("  closed: %d\n", b.front.closed());
   }
 
-  say("one that takes nothing of what waits for it ends when nobody can wait for that any more");
+  say("a peer that does not read its responses is dropped when no caller can be waiting for them any more");
   {
     Fixture b;
     TestConnection peer = TestConnection::to(5050);
--- a/tests/front.cpp
+++ b/tests/front.cpp
@@ -66,7 +66,7 @@
   const std::string txn = "9b1f03aa5c7e2d41";
   Fixture b;
   TestConnection good = TestConnection::to(5050);
-  say("an op and its answer; checks; the free value from when it is told; a good connection stays good");
+  say("an op and its response; health checks; feedback once it is set; the connection stays usable");
   good.say(ask(1, txn, {{"item", "7f3a"}}));
   b.front.served(b.last(1), "result");
   print_frame(good);
@@ -77,7 +77,7 @@
   good.say(frame_of(frames::health_check, 10, {}));
   print_frame(good);
 
-  say("readable, but not to be understood: one refusal each, and nothing else hears of them");
+  say("well-formed but invalid requests: one refusal each, not passed on");
   std::uint32_t stream = 1;
   const std::vector<Fields> wrong{{{"verb", "unknown"}},
                                   {{"verb", ""}},
@@ -110,7 +110,7 @@
   b.front.refused(b.last(2), 120 * ms, true);
   print_frame(good);
 
-  say("the 33rd open on a connection is refused, the others answered in any order");
+  say("the 33rd open stream of a connection is refused, the others are answered in any order");
   b.handler.quiet = true;
   for (int i = 0; i < 33; ++i) good.say(ask(++stream, txn));
   print_frame(good);
@@ -146,7 +146,7 @@
   b.front.served(b.last(3), "still here");
   print_frame(good);
 
-  say("half a frame for ever, then a reset: its open op is lost, once");
+  say("half a frame, then a reset: its open op is reported lost, once");
   {
     TestConnection half = TestConnection::to(5050);
     half.say(ask(5, txn) + ask(6, txn).substr(0, 30));
@@ -158,7 +158,7 @@
     b.front.served(b.handler.lost[0], "nobody hears it");
   }
 
-  say("an end of what it sends still leaves it its answer");
+  say("a peer that has shut down its sending side still gets its response");
   {
     TestConnection done = TestConnection::to(5050);
     done.say(ask(5, txn));
@@ -169,7 +169,7 @@
     done.to_end();
   }
 
-  say("a peer that never reads is dropped before it fills the memory");
+  say("a peer that never reads is dropped before its output fills the memory");
   {
     TestConnection slow_reader = TestConnection::to(5050);
     std::uint32_t requests = 0;
@@ -185,7 +185,8 @@
     std::printf("  dropped: %s\n", requests > 16 ? "after more than 64 KB" : "too early");
   }
 
-  say("no room: the mute one goes, then the longest idle; where each has an op open, the newest is closed");
+  say("table full: the connection without a frame is evicted, then the longest idle one; if all have open "
+      "ops, the newest is closed");
   {
     const auto asking = [&](TestConnection& peer) { return b.send_request(peer, ask(++stream, txn)); };
     TestConnection idle = TestConnection::to(5050), mute = TestConnection::to(5050),
@@ -212,7 +213,7 @@
   }
   TestConnection::until("ends", [&] { return b.front.connections() == 1; });
 
-  say("no descriptor is free: it goes on with those it has, and accepts once one is");
+  say("no descriptor is free: existing connections are served, and new ones accepted once one is free");
   {
     const int next = dup(0);
     close(next);
@@ -230,7 +231,7 @@
   }
   TestConnection::until("ends", [&] { return b.front.connections() == 1; });
 
-  say("silent for too long: told that it takes no more, then closed; not with an op open");
+  say("idle for too long: go_away, then closed; not with an op open");
   {
     b.front.silent_connection_timeout(30 * second);
     TestConnection silent = TestConnection::to(5050);
@@ -245,8 +246,8 @@
     print_frame(good);
   }
 
-  say("says nothing, or never ends a frame however it trickles: told, then closed; what idles between frames "
-      "stays");
+  say("sends nothing, or never completes a frame: go_away, then closed; a connection that is idle between "
+      "frames stays");
   {
     b.front.frame_timeout(2 * second);
     TestConnection mute = TestConnection::to(5050), half = TestConnection::to(5050);
@@ -263,7 +264,7 @@
     std::printf("  %zu connections\n", b.front.connections());
   }
 
-  say("goes on though it was told to end, or brings op after op that nobody would send: no more is read");
+  say("sends after go_away, or sends only invalid ops: its input is rejected");
   {
     const StreamRef kept = b.send_request(good, ask(++stream, txn));
     TestConnection late = TestConnection::to(5050);
@@ -294,7 +295,8 @@
     print_frame(good);
   }
 
-  say("doors closed: what was connected before is told so, still read and answered, then closed; no others");
+  say("listener closed: existing connections get go_away, are still served, then closed; new ones are "
+      "refused");
   const StreamRef ref = b.send_request(good, ask(++stream, txn));
   const auto turn = std::exchange(TestConnection::turn, [] {});
   TestConnection waiting = TestConnection::to(5050); // connected, but not accepted yet
--- a/tests/host.cpp
+++ b/tests/host.cpp
@@ -16,14 +16,14 @@
       std::printf("  records: %s\n", at.request({"Op-Of"}).c_str());
     };
 
-    say("before the machine is up checks are answered; an op is started once it is");
+    say("before the interpreter is up health checks are answered; an op starts once it is up");
     w.balancer.say(frame_of(frames::health_check, 1, {}));
     print_frame();
     w.ask(1, a);
     w.link_up();
     print_command();
 
-    say("its call, the reply and its result");
+    say("its call, the reply and the result");
     w.notice(1, "AWAIT", a, ",\"content\":\"Y2FsbA==\"");
     TestConnection records = w.records_services.next();
     print_call(records);
@@ -32,7 +32,7 @@
     w.notice(2, "VALUE", a, fine);
     print_frame();
 
-    say("a keyed op runs once: its repeats wait for it, or take its result later");
+    say("a keyed op runs once: its repeats wait for its result, or get it later");
     w.book(2, b, "m1");
     print_command();
     w.book(3, c, "m1");
@@ -43,21 +43,20 @@
     w.book(5, d, "m1");
     print_frame();
 
-    say("an end heard twice, or of a run never started, is no second answer");
+    say("a duplicate end of a run, or that of a run never started, causes no second answer");
     w.notice(4, "VALUE", b, fine);
     w.notice(5, "VALUE", "ffffffffffffffff", fine);
     w.notice(6, "AWAIT", b, ",\"content\":\"\"");
     w.balancer.say(frame_of(frames::health_check, 2, {}));
     print_frame();
 
-    say("a command that is not carried out: the op is answered");
+    say("a rejected command: the op is answered");
     w.ask(6, e);
     print_command();
     w.interpreter.say("{\"action\":\"ERROR\",\"code\":\"APPLY\",\"uid\":\"" + e + "\"}\n");
     print_frame();
 
-    say("the link breaks behind two starts: what is keyed is not started again, what came meanwhile is "
-        "started");
+    say("the link breaks after two starts: the keyed op is not started again, a new op is started");
     w.book(7, f, "m2");
     print_command();
     w.ask(8, "bbbbbbbbbbbbbbb1");
@@ -73,7 +72,7 @@
     print_frame();
     print_command();
 
-    say("a balancer resets with an op on the cores: forgotten, and its slot is free once the run ends");
+    say("a balancer resets while its op runs: the op is forgotten, and its slot is free once the run ends");
     w.balancer.reset();
     w.balancer = TestConnection::to(5050);
     w.notice(8, "VALUE", "bbbbbbbbbbbbbbb1", fine);
@@ -81,7 +80,7 @@
     w.book(1, "ccccccccccccccc1", "m3");
     print_frame();
 
-    say("a reset takes a held keyed op with it: it never ran, so its repeat is run");
+    say("a reset cancels a queued keyed op: it never ran, so its repeat runs");
     w.ask(2, "ddddddddddddddd1"), print_command();
     w.ask(3, "ddddddddddddddd2"), print_command();
     w.book(4, "ddddddddddddddd3", "m4");
@@ -94,8 +93,8 @@
     w.notice(12, "VALUE", "ddddddddddddddd4", fine);
     print_frame();
 
-    say("told to leave: the list hears of it, checks turn bad, ops are still served; then no more, and the "
-        "end");
+    say("drain: the announce service is notified, health checks fail, ops are still served; then go_away, "
+        "and the server exits");
     w.host->stop();
     w.announce.say("HTTP/1.1 204 No Content\r\n\r\n");
     std::string report;
@@ -124,7 +123,8 @@
     const auto print_command = [&] { std::printf("  link: %s\n", w.command().c_str()); };
     const auto print_frame = [&] { std::printf("  balancer: %s\n", w.balancer.frame().c_str()); };
     w.link_up();
-    say("the mark of another op with another body: refused, nothing run; the good op keeps its result");
+    say("the idempotency key of another op with a different body: refused, not run; the first op keeps its "
+        "result");
     w.book(1, a, "m1");
     print_command();
     w.notice(1, "AWAIT", a, ",\"content\":\"Y2FsbA==\"");
@@ -137,7 +137,7 @@
     w.book(4, d, "m1");
     print_frame();
 
-    say("a stranger holds a mark first, and is not known to the interpreter: the good op runs, its repeat "
+    say("an op that the interpreter rejects had the idempotency key first: the valid op runs, and its repeat "
         "waits for it");
     w.book(5, e, "m2", "other");
     print_command();
@@ -149,7 +149,7 @@
     w.notice(3, "VALUE", f, fine);
     print_frame(), print_frame();
 
-    say("what the first try was started for was over before: its repeats were never run, so one is");
+    say("the first try was too late for the interpreter: none of its repeats has run, so one runs");
     w.book(8, "bbbbbbbbbbbbbbb2", "m3");
     print_command();
     w.book(9, "bbbbbbbbbbbbbbb3", "m3");
@@ -162,8 +162,8 @@
   }
   {
     ServerFixture w("3000");
-    say("a hang-up: a file that can't be taken changes nothing; new addresses are gone over to, with what is "
-        "in hand");
+    say("SIGHUP: an invalid file changes nothing; new addresses take effect while ops and calls are in "
+        "flight");
     const auto print_frame = [&] { std::printf("  balancer: %s\n", w.balancer.frame().c_str()); };
     w.link_up();
     w.ask(1, a), w.command();
@@ -215,7 +215,7 @@
   }
   {
     ServerFixture w("400");
-    say("a run that does not end before the kill: its op is answered all the same, and the server ends");
+    say("a run that does not end before the kill: its op is still answered, and the server exits");
     w.link_up();
     w.ask(1, a);
     std::printf("  link: %s\n", w.command().c_str());
--- a/tests/link.cpp
+++ b/tests/link.cpp
@@ -60,7 +60,7 @@
   };
   const std::string run = R"("uid":"9b1f03aa5c7e2d41")";
 
-  say("the machine comes up late: nothing but CONNECT until then");
+  say("the interpreter is up late: nothing but CONNECT is sent until then");
   TestConnection at = machine.next();
   print_line(at);
   link.request_gauges(); // not sent: the link is not up yet
@@ -91,7 +91,7 @@
   for (const char c : some) at.say(std::string(1, c));
   all();
 
-  say("seen already, of no meaning, unknown, or no notice at all: passed over");
+  say("notices already seen, without effect, unknown or malformed: skipped");
   all = notices(1);
   at.say("{\"action\":\"VALUE\",\"pos\":3," + run + ",\"code\":\"fine\",\"content\":\"\"}\n" +
          "{\"action\":\"NEWS\",\"pos\":8}\nhello\n[1]\n{}\n\n{\"action\":\"ERROR\",\"uid\":\"x\"}\n" +
@@ -99,7 +99,7 @@
          ",\"content\":\"eA==\"}\n");
   all();
 
-  say("the link breaks: made anew from the last notice; what is asked meanwhile is not sent");
+  say("the link breaks: reconnects from the last notice; queries are not sent meanwhile");
   link.request_gauges();
   print_line(at);
   at.reset();
@@ -116,7 +116,7 @@
   caught_up(2);
   all();
 
-  say("notices missing, or one that can't be read: asked for once more, then passed over");
+  say("missing or malformed notices: requested once more, then skipped");
   const auto reconnect = [&](const char* first, int times) {
     TestConnection next = machine.next();
     print_line(next);
@@ -138,13 +138,13 @@
   fourth.say(no_result);
   TestConnection fifth = reconnect(no_result.c_str(), 5);
 
-  say("a line without end: the link is made anew");
+  say("a line that is too long: reconnects");
   fifth.say(std::string(70'000, 'x'));
   TestConnection sixth = machine.next();
   print_line(sixth);
 
-  say("a link that is taken and never speaks, or falls silent with a question out: made anew; trickling is "
-      "speaking");
+  say("a link that is accepted but silent, or silent with a query unanswered: reconnects; any input counts "
+      "as a sign of life");
   link.link_silence_timeout(100 * ms);
   sixth.reset();
   TestConnection mute = machine.next();
@@ -168,7 +168,7 @@
   TestConnection eighth = machine.next();
   print_line(eighth);
 
-  say("no descriptor is free for it: made once one is");
+  say("no descriptor is free: connects once one is");
   {
     link.link_reconnect_delay(30 * ms);
     eighth.reset();
@@ -182,7 +182,7 @@
     print_line(ninth);
   }
 
-  say("it does not read: made anew before what waits for it fills the memory");
+  say("the interpreter does not read: reconnects before the output fills the memory");
   {
     TestConnection small = TestConnection::listening(7302);
     PrintingHandler quiet;
--- a/tests/many.cpp
+++ b/tests/many.cpp
@@ -135,7 +135,8 @@
 }
 
 void test_start(const std::string& program) {
-  say("thirty start in one instant; link late, mute, or both, list down or silent, records down for a while");
+  say("thirty servers start at once; interpreter late, silent, or both, announce service down or silent, "
+      "records service down for a while");
   Servers servers = new_servers(server_count);
   RecordsService& records = service_below();
   records.latency(2 * ms);
@@ -195,7 +196,7 @@
 
 // Kills the server right after it has accepted a connection with an unanswered request.
 void test_kill_after_accept(const std::string& program) {
-  say("killed right behind an accept, five times: the next start listens there at once, and serves");
+  say("killed right after an accept, five times: the next start listens there at once, and serves");
   Servers servers = new_servers(1);
   Server& server = *servers[0];
   RecordsService& records = service_below();
@@ -233,7 +234,7 @@
 
 // Each server's share is a small fraction of one call, as in a large fleet.
 void test_cold_load(const std::string& program) {
-  say("thirty cold ones, all at once, to one service below whose calls take long");
+  say("thirty cold servers at once share one records service with slow calls");
   Servers servers = new_servers(server_count);
   RecordsService& records = service_below();
   records.latency(60 * ms);
--- a/tests/records.cpp
+++ b/tests/records.cpp
@@ -40,12 +40,12 @@
   };
   unsigned id = 1;
 
-  say("the service is down: refused, which proves that nothing ran");
+  say("the service is down: connection refused, which proves that nothing ran");
   auto ended = expect_end();
   call(id, 5000 * ms, "first");
   ended();
 
-  say("each call on a connection of its own, and what each reply means");
+  say("a connection for each call, and the meaning of each reply");
   TestConnection service = TestConnection::listening(5432);
   call(++id, 250 * ms + 1, "second");
   TestConnection at = service.next();
@@ -65,7 +65,7 @@
     ended();
   }
 
-  say("two at once have a connection each; a third finds none free and never leaves");
+  say("two concurrent calls have a connection each; a third exceeds the limit and is not sent");
   call(20, 5000 * ms, "a");
   call(21, 5000 * ms, "b");
   ended = expect_end();
@@ -76,7 +76,7 @@
   TestConnection other = service.next();
   print_request(other);
 
-  say("given up: by closing, without a word; a second call for the same op gives up the first");
+  say("cancelled: closes the connection; a second call for the same op cancels the first");
   records.cancel(OpId{20});
   at.to_end();
   call(21, 5000 * ms, "b again");
@@ -84,7 +84,7 @@
   at = service.next();
   print_request(at);
 
-  say("cut off, malformed, too large or reset: how far it got can't be told, and it is not sent again");
+  say("truncated, malformed, too large or reset: unknown whether it ran, and it is not sent again");
   const std::string broken_replies[] = {reply("200 OK", "whole").substr(0, 40), "nonsense\r\n\r\n",
                                         reply("503 Busy", "1", "Op-Not-Begun: 1\r\n").substr(0, 57),
                                         reply("200 OK", std::string(70'000, 'x'))};
@@ -102,12 +102,12 @@
   at.reset();
   ended();
 
-  say("out of time: given up");
+  say("timed out: cancelled");
   ended = expect_end();
   call(++next, 1, "brief");
   ended();
 
-  say("1xx before a reply; a second copy and noise behind it are nobody's reply");
+  say("1xx before a reply; a duplicate and noise after it are not taken for another call's reply");
   call(40, 5000 * ms, "x");
   at = service.next(); // may be the connection of the call that timed out
   if (!at.ended()) TestConnection::until("request or end", [&] { return at.ended() || at.has(1); });
@@ -126,7 +126,7 @@
   ended();
   std::printf("  connections %zu\n", records.connections());
 
-  say("a reply, whole or byte by byte, in the instant of the time-out: one end, whichever it is");
+  say("a reply, whole or byte by byte, at the timeout: the call ends once, either way");
   const auto idle = std::exchange(TestConnection::turn, [] {});
   for (int i = 0; i < 2; ++i) {
     TestConnection::turn = idle;
@@ -146,7 +146,7 @@
   }
   quiet = false;
 
-  say("no descriptor is free: the call never leaves; the next does, once one is");
+  say("no descriptor is free: the call is not sent; the next is, once one is free");
   {
     at = TestConnection(dup(0)); // keeps the test's own descriptors in use
     {
