--- a/tests/crossings.cpp
+++ b/tests/crossings.cpp
@@ -1,5 +1,5 @@
-// Two things in one instant, over sockets: each time-out against its twin, signals and what is half read, the
-// link's end and what it brought. Each op has one answer, and nothing runs twice.
+// Races between two events over real sockets: timeouts against replies, signals against partly read requests,
+// the end of the link against the notices on it. Each op has one answer, and nothing runs twice.
 #include "server_fixture.hpp"
 
 #include <thread>
@@ -16,7 +16,7 @@
 }
 void sleep_for(int time_ms) { std::this_thread::sleep_for(std::chrono::milliseconds(time_ms)); }
 
-// Answers to ops in what is heard up to a check sent now: each of them once, in words.
+// The responses to ops that arrive before that to a health check sent now, in words.
 std::vector<std::string> answers_until_check(ServerFixture& w, std::uint32_t stream) {
   std::vector<std::string> answers;
   w.balancer.say(frame_of(frames::health_check, stream, {}));
@@ -30,7 +30,7 @@
   std::printf("  %zu answers\n", answers.size());
   for (const std::string& one : answers) std::printf("  balancer: %s\n", one.c_str());
 }
-// Another link after a break, up to the moment in which all before is told again.
+// Accepts the next link after a break and brings it up, with earlier notices sent again.
 void reconnect(ServerFixture& w, const std::string& notices) {
   w.interpreter = w.interpreters.next();
   w.interpreter.line(); // CONNECT
@@ -38,7 +38,7 @@
   w.link_up(notices);
 }
 
-// Up to its end the questions on an old link are answered; other commands there are told.
+// Answers queries on the old link until it ends; prints any other command on it.
 void finish_old_link(ServerFixture& w) {
   TestConnection::until("end of the old link", [&] {
     while (w.interpreter.has_line()) {
@@ -54,7 +54,7 @@
     return w.interpreter.ended();
   });
 }
-// The last that a list hears of a server that leaves.
+// The report by which a server that leaves stops accepting.
 std::string last_report(TestConnection& announce_services) {
   TestConnection announce = announce_services.next();
   std::string report;
@@ -68,8 +68,7 @@
   return report;
 }
 
-// Of the server's connections, those to its ports and to its other parties: how many there are, and how many
-// keep small writes back.
+// Counts the server's connections, and those that delay small writes (without TCP_NODELAY).
 void print_nodelay() {
   int all = 0, buffering = 0;
   for (int fd = 3; fd < 256; ++fd) {
@@ -92,7 +91,7 @@
 } // namespace
 
 int main() {
-  say("two tries of one op lie unread for longer than a short window: one run, both have its result");
+  say("two tries of one op stay unread for longer than a short key window: one run, both get its result");
   {
     ServerFixture w("3000", "300000000");
     w.link_up();
@@ -102,12 +101,12 @@
     std::printf("  link: %s\n", w.command().c_str());
     w.notice(1, "VALUE", a, fine);
     print_answers(answers_until_check(w, 1));
-    w.balancer.say(ServerFixture::request(3, c, marked, "body", 400 * ms)); // within the window as well
+    w.balancer.say(ServerFixture::request(3, c, marked, "body", 400 * ms)); // also within the window
     print_answers(answers_until_check(w, 2));
   }
 
-  say("a stranger comes under the number of an op that has ended, and would be held: refused; a repeat of "
-      "the op is not run");
+  say("a different op with the id of an op that has ended, while the cores are busy: refused; a repeat of "
+      "the ended op is not run");
   {
     ServerFixture w("3000");
     w.link_up();
@@ -121,15 +120,15 @@
     }
     w.book(4, a, "m9", "other");
     w.book(5, b, "m1");
-    w.book(7, a, "m1"); // its own number once more
+    w.book(7, a, "m1"); // its own id again
     print_answers(answers_until_check(w, 1));
     w.notice(2, "VALUE", "bbbbbbbbbbbbbbb2", fine);
     w.balancer.frame();
     w.book(8, c, "m2");
-    std::printf("  link: %s\n", w.command().c_str()); // the next start is of another op
+    std::printf("  link: %s\n", w.command().c_str()); // the next start is that of another op
   }
 
-  say("a try that comes after the window of the one that ran is another op");
+  say("a try after the key window of the one that ran is a new op");
   {
     ServerFixture w("3000", "300000000");
     w.link_up();
@@ -143,9 +142,9 @@
   }
 
   for (const bool by_reset : {false, true}) {
-    say(by_reset ? "the same by a reset, which may take the notice with it"
-                 : "the end of a run and the end of its link in one instant: one answer, though the notice "
-                   "comes again");
+    say(by_reset ? "the same with a reset, which may destroy the notice"
+                 : "the end of a run and of its link at the same moment: one answer, although the notice is "
+                   "sent again");
     ServerFixture w("3000");
     w.link_up();
     w.book(1, a, "m1");
@@ -160,21 +159,22 @@
     print_answers(answers_until_check(w, 1));
   }
 
-  say("the result comes in the instant of the due time: one answer, whichever it is");
+  say("the result arrives at the due time: one answer, either of the two");
   {
     ServerFixture w("3000");
     w.link_up();
     w.ask(1, a, {{"limit", "1500"}});
     w.command();
     TestConnection::turn = [] {};
-    sleep_for(1520); // the due time has passed, and what follows is read in the same turn
+    sleep_for(1520); // the due time has passed; the notice is read in the same turn
     w.notice(1, "VALUE", a, fine);
     w.start();
     const std::size_t first = answers_until_check(w, 1).size();
     std::printf("  %zu answers in all\n", first + answers_until_check(w, 2).size());
   }
 
-  say("a call's reply and the end of its op's time in one instant: one answer; the late reply goes nowhere");
+  say("a call's reply and the due time of its op at the same moment: one answer; the late reply is "
+      "discarded");
   {
     ServerFixture w("3000");
     w.link_up();
@@ -192,7 +192,7 @@
     records.to_end();
   }
 
-  say("SIGTERM with half a request read: its rest comes after the delay, and it is answered, not run");
+  say("SIGTERM with half a request read: the rest arrives after the drain delay; answered, not run");
   {
     ServerFixture w("3000");
     w.link_up();
@@ -207,7 +207,7 @@
     std::printf("  the end%s\n", w.balancer.was_reset() ? ", by a reset" : "");
   }
 
-  say("SIGTERM with half a request read and no more of it: a whole end, the server ends");
+  say("SIGTERM with half a request read and the rest never sent: a clean close, and the server exits");
   {
     ServerFixture w("3000");
     w.link_up();
@@ -216,14 +216,14 @@
     std::printf("  balancer: %s\n", w.balancer.frame().c_str());
     TestConnection::until("end on its side", [&] { return w.balancer.ended(); });
     w.balancer.send_without_turn(
-        ServerFixture::request(1, a).substr(50)); // what it takes for a request came to a shut side
+        ServerFixture::request(1, a).substr(50)); // the rest of its request arrives after the shutdown
     TestConnection::turn();
     std::printf("  the end%s\n", w.balancer.was_reset() ? ", by a reset" : "");
     w.balancer = TestConnection::listening(5051);
     TestConnection::until("end", [&] { return w.finished; });
   }
 
-  say("SIGHUP and SIGTERM in one instant: both are taken");
+  say("SIGHUP and SIGTERM at the same moment: both take effect");
   {
     ServerFixture w("1500");
     w.link_up();
@@ -246,9 +246,8 @@
     std::printf("  over: %d\n", w.finished);
   }
 
-  say("a reload, and a drain while the old link is still left: what runs is answered, what comes in the "
-      "delay "
-      "runs there, the list there hears of it");
+  say("a reload, and a drain during the handover of the link: running ops are answered, ops in the drain "
+      "delay run at the new address, the new announce service is notified");
   {
     ServerFixture w("3000");
     w.link_up();
@@ -281,7 +280,8 @@
     std::printf("  the end%s\n", w.balancer.was_reset() ? ", by a reset" : "");
   }
 
-  say("a drain, and a reload in it, to where nobody is: all is answered before the kill, and it ends");
+  say("a reload to unreachable addresses during a drain: everything is answered before the kill, and the "
+      "server exits");
   {
     ServerFixture w("1500");
     w.link_up();
@@ -302,7 +302,7 @@
     std::remove(fixture_config_path.c_str());
   }
 
-  say("the settings give the op types other effects: look is keyed, book may not simply be repeated");
+  say("other effects of the op types: look is keyed, book is non-retryable");
   {
     ServerFixture w("3000", "300000000", true);
     w.link_up();
@@ -316,11 +316,11 @@
     w.notice(2, "AWAIT", c, ",\"content\":\"Y2FsbA==\"");
     TestConnection records = w.records_services.next();
     records.request({});
-    records.reset(); // its call may have run
+    records.reset(); // the call may have run
     for (int i = 0; i < 4; ++i) std::printf("  balancer: %s\n", w.balancer.frame().c_str());
   }
 
-  say("nothing that is said is kept back until more of it comes");
+  say("no connection delays small writes");
   {
     ServerFixture w("3000");
     w.link_up();
@@ -332,11 +332,11 @@
     print_nodelay();
   }
 
-  say("peers that send without end do not keep due times waiting");
+  say("peers that send without end do not delay due times");
   {
     ServerFixture w("3000");
     w.link_up();
-    w.ask(1, a, {{"limit", "1500"}}); // runs for longer than that
+    w.ask(1, a, {{"limit", "1500"}}); // runs for longer than its limit
     w.command();
     std::atomic<bool> stop{false};
     std::vector<std::thread> floods;
--- a/tests/endings.cpp
+++ b/tests/endings.cpp
@@ -1,5 +1,6 @@
-// Every way in which the front ends a connection, with bytes that arrive in that very instant: what was read
-// is answered, what was not is never taken for an op, and no reset takes what the peer has yet to read.
+// Every way in which Front ends a connection, with bytes that arrive at the same moment: whatever was read is
+// answered, whatever was not is never executed as an op, and no reset destroys responses that the peer has
+// not read yet.
 #include "driver.hpp"
 #include "front.hpp"
 
@@ -9,7 +10,8 @@
 constexpr Nanos second = 1000 * ms;
 constexpr std::size_t max_connections = 24;
 
-// Before the system's: so many of those that wait are gone by the time that they are taken.
+// Replaces the system's accept(): the next `aborted_accepts` connections are aborted before they are
+// accepted.
 static int aborted_accepts = 0;
 extern "C" int accept(int at, sockaddr* from, socklen_t* size) {
   const int fd = static_cast<int>(syscall(SYS_accept, at, from, size));
@@ -65,7 +67,7 @@
     TestConnection::until("op", [&] { return handler.streams.size() > before; });
     return handler.streams.back();
   }
-  // A peer that has had an op answered, and has not read the answer.
+  // A peer with one op answered, whose response it has not read.
   TestConnection answered(std::uint32_t stream = 1) {
     TestConnection peer = TestConnection::to(5050);
     front.served(send_request(peer, stream), "result");
@@ -75,7 +77,7 @@
 };
 
 void say(const char* what) { std::printf("# %s\n", what); }
-// What the peer was sent to the end, and how that came.
+// Prints the peer's remaining frames, and whether the connection ended by a reset.
 void print_to_end(TestConnection& peer, int frames) {
   for (int i = 0; i < frames; ++i) std::printf("  %s\n", peer.frame().c_str());
   peer.to_end();
@@ -88,7 +90,7 @@
 }
 const std::string request = ask(7, "9b1f03aa5c7e2d42");
 
-// A connection ends by `end`; in that instant its peer sends what `bytes` says.
+// Ends a connection by `end`, while its peer sends `bytes`.
 void test_crossing(const char* what, const std::string& bytes,
                    const std::function<void(Fixture&, TestConnection&)>& end) {
   say(what);
@@ -99,7 +101,7 @@
   const std::size_t ops = b.handler.streams.size();
   peer.send_without_turn(bytes);
   print_to_end(peer, 2);
-  peer.send_without_turn(bytes); // what comes later still is dropped too
+  peer.send_without_turn(bytes); // later bytes are discarded too
   print_after_end(b, peer, ops);
 }
 
@@ -111,24 +113,24 @@
     b.pass(second);
     b.pass(second / 2);
   };
-  test_crossing("idle, told, and closed: a whole request in the instant of the close", request, idle);
+  test_crossing("idle timeout: a whole request arrives during the close", request, idle);
   test_crossing("the same, half a request", request.substr(0, 40), idle);
-  test_crossing("the same, more than its buffers hold at once", std::string(100'000, 'x'), idle);
-  test_crossing("the listener closes, as in a drain: a request as its last connections end", request,
-                [](Fixture& b, TestConnection&) {
+  test_crossing("the same, more than its buffers hold", std::string(100'000, 'x'), idle);
+  test_crossing("the listener closes, as in a drain: a request arrives while the last connection closes",
+                request, [](Fixture& b, TestConnection&) {
                   b.front.stop_accepting();
                   b.turn();
                   b.pass(second / 2);
                 });
 
-  say("a request read past the time to end, just before the close, is taken and answered as any");
+  say("a request read after the drain delay, just before the close, is handled normally");
   {
     Fixture b;
     TestConnection peer = b.answered();
     b.front.set_idle_timeout(second);
     b.pass(second);
     b.now += second / 2;
-    peer.send_without_turn(request); // found by the look before the close
+    peer.send_without_turn(request); // found by the read before the close
     b.turn();
     TestConnection::until("op", [&] { return b.handler.streams.size() == 2; });
     std::printf("  %zu connections\n", b.front.connections());
@@ -138,7 +140,7 @@
     print_to_end(peer, 3);
   }
 
-  say("evicted for room: what comes then is dropped, the room is there at once");
+  say("evicted to make room: later input is discarded, the room is available at once");
   {
     Fixture b;
     TestConnection peer = b.answered();
@@ -158,8 +160,7 @@
     std::printf("  %s\n", newest.frame().c_str());
   }
 
-  say("what can't be read any more, with an op open and more bytes than were read: settled, told, a whole "
-      "end");
+  say("unparsable input with an op open and more bytes unread: answered, notified, a clean close");
   {
     Fixture b;
     TestConnection peer = TestConnection::to(5050);
@@ -172,7 +173,7 @@
     print_to_end(peer, 3);
   }
 
-  say("a frame that trickles past its time: told, what still trickles is dropped");
+  say("a frame that trickles past its timeout: notified, further input is discarded");
   {
     Fixture b;
     TestConnection peer = b.answered();
@@ -187,8 +188,7 @@
     print_after_end(b, peer, ops);
   }
 
-  say("a slow writer whose last bytes come in the instant in which its time is over: taken and answered as "
-      "any");
+  say("a slow writer whose last bytes arrive at its timeout: handled normally");
   {
     Fixture b;
     TestConnection peer = b.answered();
@@ -196,7 +196,7 @@
     peer.say(request.substr(0, 40));
     b.now += 3 * second / 2;
     peer.send_without_turn(request.substr(40));
-    b.front.flush(b.now); // the look at times comes before the one at bytes
+    b.front.flush(b.now); // timeouts are checked before input is read
     TestConnection::until("op", [&] { return b.handler.streams.size() == 2; });
     b.front.served(b.handler.streams[1], "slow");
     b.turn();
@@ -208,10 +208,10 @@
     say(what);
     Fixture b;
     TestConnection peer = b.answered();
-    peer.say(request.substr(0, 40)); // begun before it is told
+    peer.say(request.substr(0, 40)); // begins the request before go_away
     end(b);
     b.pass(second / 2);
-    b.pass(second / 4); // past the end of others
+    b.pass(second / 4); // longer than other connections are kept
     peer.say(request.substr(40));
     TestConnection::until("op", [&] { return b.handler.streams.size() == 2; });
     b.front.served(b.handler.streams[1], "slow");
@@ -219,15 +219,15 @@
     b.pass(second / 2);
     print_to_end(peer, 3);
   };
-  slow("a slow writer on a connection that is told to end: its request is waited for, and answered; then the "
-       "end",
+  slow("a slow writer on a connection with go_away: its request is awaited and answered, then the connection "
+       "closes",
        [](Fixture& b) {
          b.front.set_idle_timeout(second / 2);
          b.pass(second / 2);
        });
   slow("the same as the listener closes", [](Fixture& b) { b.front.stop_accepting(); });
 
-  say("half-closed by the peer: with an op open it has its answer, with half a request none is owed");
+  say("half-closed by the peer: an open op is answered, half a request is not");
   {
     Fixture b;
     TestConnection whole = TestConnection::to(5050), half = TestConnection::to(5050);
@@ -240,7 +240,7 @@
     std::printf("  %zu lost\n", b.handler.lost);
   }
 
-  say("connected and written to before the listener closes, and not accepted yet: read and answered");
+  say("connected and written to before the listener closes, but not accepted yet: read and answered");
   {
     Fixture b;
     TestConnection::turn = [] {};
@@ -267,10 +267,11 @@
     std::puts("  closed");
   }
 
-  say("gone before it is accepted, alone, and before others as the listener closes: nothing stands still");
+  say("aborted before it is accepted, alone, and before others as the listener closes: accepting does not "
+      "block");
   {
     Fixture b;
-    alarm(10); // ends the test where it does
+    alarm(10); // ends the test if accept() blocks
     TestConnection::turn = [] {};
     TestConnection gone = TestConnection::to(5050);
     aborted_accepts = 1;
@@ -290,7 +291,7 @@
     print_to_end(good, 2);
   }
 
-  say("reset right behind its accept: with nothing, half a request, a request or two");
+  say("reset right after accept: with nothing sent, half a request, one request, or two");
   {
     Fixture b;
     for (const std::string& bytes :
@@ -309,8 +310,8 @@
     std::printf("  %s\n", good.frame().c_str());
   }
 
-  say("peers that never end: their connections go at the end of their time, the rest of a drain waits no "
-      "longer");
+  say("peers that never close: their connections are dropped after the linger time, so that a drain "
+      "completes");
   {
     Fixture b;
     std::vector<TestConnection> unread;
@@ -323,13 +324,13 @@
     std::printf("  closed: %d\n", b.front.closed());
   }
 
-  say("one that takes nothing of what waits for it ends when nobody can wait for that any more");
+  say("a peer that does not read its responses is dropped when no caller can be waiting for them any more");
   {
     Fixture b;
     TestConnection peer = TestConnection::to(5050);
     peer.set_small_window();
     std::uint32_t stream = 0;
-    TestConnection::until("room to end", [&] { // until some of it waits here
+    TestConnection::until("room to end", [&] { // until output is pending on this side
       b.front.served(b.send_request(peer, ++stream), std::string(4096, 'x'));
       b.turn();
       return b.front.pending_bytes() > 0;
