--- a/simhost/main.cpp
+++ b/simhost/main.cpp
@@ -23,13 +23,13 @@
 
 namespace {
 
-struct Defect : std::runtime_error {
+struct ProtocolError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 // ---- actions to lines
 
-class Lines {
+class OutputBuffer {
   std::string out_;
 
  public:
@@ -53,7 +53,7 @@
   void flush() {
     for (std::size_t done = 0; done < out_.size();) {
       const ssize_t n = write(STDOUT_FILENO, out_.data() + done, out_.size() - done);
-      if (n < 0) throw Defect("standard output is closed");
+      if (n < 0) throw ProtocolError("standard output is closed");
       done += static_cast<std::size_t>(n);
     }
     out_.clear();
@@ -61,7 +61,7 @@
 };
 
 class WireServer final : public Server {
-  Lines& lines_;
+  OutputBuffer& lines_;
   std::int64_t instance_;
 
   void open(std::string_view name) {
@@ -91,7 +91,7 @@
   void close() { lines_.raw("}}\n"); }
 
  public:
-  WireServer(Lines& lines, std::int64_t instance) : lines_(lines), instance_(instance) {}
+  WireServer(OutputBuffer& lines, std::int64_t instance) : lines_(lines), instance_(instance) {}
 
   void run(OpId op) override { open("DISPATCH", op), close(); }
   void nack(OpId op, Reason, bool no_retry, Nanos retry_after) override {
@@ -123,37 +123,39 @@
 
 // ---- lines to calls
 
-[[noreturn]] void bad(std::string_view what, std::string_view name) {
-  throw Defect(std::string(what) + " \"" + std::string(name) + "\"");
+[[noreturn]] void protocol_error(std::string_view what, std::string_view name) {
+  throw ProtocolError(std::string(what) + " \"" + std::string(name) + "\"");
 }
 
 template <class T>
-std::optional<T> maybe(const object& o, std::string_view name) {
+std::optional<T> optional_field(const object& o, std::string_view name) {
   element at;
   if (o[name].get(at) != simdjson::SUCCESS || at.is_null()) return std::nullopt;
   T value;
   if (at.get(value) == simdjson::SUCCESS) return value;
-  bad("wrong kind of value in field", name);
+  protocol_error("wrong kind of value in field", name);
 }
 template <class T>
-T must(const object& o, std::string_view name) {
-  if (const std::optional<T> value = maybe<T>(o, name)) return *value;
-  bad("missing field", name);
+T required_field(const object& o, std::string_view name) {
+  if (const std::optional<T> value = optional_field<T>(o, name)) return *value;
+  protocol_error("missing field", name);
 }
-OpId id_in(std::string_view hex, std::string_view name) {
+OpId parse_id(std::string_view hex, std::string_view name) {
   std::uint64_t raw = 0;
-  if (!read_hex(hex, raw)) bad("not an id in field", name);
+  if (!read_hex(hex, raw)) protocol_error("not an id in field", name);
   return OpId{raw};
 }
-OpId op_of(const object& o) { return id_in(must<std::string_view>(o, "msg_id"), "msg_id"); }
+OpId parse_op_id(const object& o) {
+  return parse_id(required_field<std::string_view>(o, "msg_id"), "msg_id");
+}
 // A span or a time that must not be negative.
-Nanos span_of(const object& o, std::string_view name) {
-  const Nanos value = maybe<std::int64_t>(o, name).value_or(0);
-  if (value < 0) bad("negative time in field", name);
+Nanos duration_field(const object& o, std::string_view name) {
+  const Nanos value = optional_field<std::int64_t>(o, name).value_or(0);
+  if (value < 0) protocol_error("negative time in field", name);
   return value;
 }
-Outcome outcome_of(const object& o) {
-  const auto status = must<std::string_view>(o, "status");
+Outcome parse_outcome(const object& o) {
+  const auto status = required_field<std::string_view>(o, "status");
   if (status == "OK") return Outcome::done;
   if (status == "INTERNAL") return Outcome::failed;
   if (status == "RESOURCE_EXHAUSTED") return Outcome::shed;
@@ -162,16 +164,16 @@
   if (status == "ABORTED") return Outcome::cut;
   if (status == "CANCELLED") return Outcome::halted;
   if (status == "TOO_LATE") return Outcome::moot;
-  bad("unknown outcome", status);
+  protocol_error("unknown outcome", status);
 }
 
 struct Instance {
   WireServer server;
-  std::unique_ptr<DecisionModule> choice;
+  std::unique_ptr<DecisionModule> decision_module;
 };
 
 class Host {
-  Lines lines_;
+  OutputBuffer lines_;
   std::map<std::int64_t, Instance> instances_;
   std::vector<double> gauges_;
   Nanos now_ = 0;
@@ -179,10 +181,10 @@
   bool in_batch_ = false;
 
   template <class Step>
-  void guarded(Instance& instance, Step step) {
+  void report_exceptions(Instance& instance, Step step) {
     try {
       step();
-    } catch (const Defect&) {
+    } catch (const ProtocolError&) {
       throw;
     } catch (const std::exception& e) {
       instance.server.panic(e.what());
@@ -190,100 +192,105 @@
   }
 
   void event(std::string_view name, const object& f) {
-    const std::int64_t number = must<std::int64_t>(f, "server_id");
+    const std::int64_t number = required_field<std::int64_t>(f, "server_id");
     if (name == "HELLO") {
-      const auto seed = must<std::uint64_t>(f, "entropy");
-      const Settings given = parse_settings(must<object>(f, "config"));
+      const auto seed = required_field<std::uint64_t>(f, "entropy");
+      const Settings settings = parse_settings(required_field<object>(f, "config"));
       instances_.erase(number);
-      Instance& made =
+      Instance& created =
           instances_.try_emplace(number, Instance{WireServer(lines_, number), nullptr}).first->second;
-      guarded(made, [&] { made.choice = std::make_unique<DecisionModule>(now_, seed, given, made.server); });
+      report_exceptions(created, [&] {
+        created.decision_module = std::make_unique<DecisionModule>(now_, seed, settings, created.server);
+      });
       return;
     }
-    static constexpr std::string_view others[] = {"JOB_IN",      "EXPIRED", "REMINDER",  "STALLED_ON_CALL",
-                                                  "CALL_RESULT", "DESTROY", "LAME_DUCK", "ENDED"};
-    if (std::find(std::begin(others), std::end(others), name) == std::end(others)) bad("unknown event", name);
+    static constexpr std::string_view known_events[] = {
+        "JOB_IN", "EXPIRED", "REMINDER", "STALLED_ON_CALL", "CALL_RESULT", "DESTROY", "LAME_DUCK", "ENDED"};
+    if (std::find(std::begin(known_events), std::end(known_events), name) == std::end(known_events))
+      protocol_error("unknown event", name);
     const auto at = instances_.find(number);
-    if (at == instances_.end()) bad("event for an unknown instance in", name);
+    if (at == instances_.end()) protocol_error("event for an unknown instance in", name);
     if (name == "DESTROY") {
       instances_.erase(at);
       return;
     }
-    if (!at->second.choice) return; // it was reported as failed at its start
-    DecisionModule& choice = *at->second.choice;
-    const auto hand = [&](auto step) { guarded(at->second, step); };
+    if (!at->second.decision_module) return; // it was reported as failed at its start
+    DecisionModule& decision_module = *at->second.decision_module;
+    const auto deliver = [&](auto step) { report_exceptions(at->second, step); };
     if (name == "REMINDER") {
-      const WakeId wake{must<std::uint64_t>(f, "name")};
+      const WakeId wake{required_field<std::uint64_t>(f, "name")};
       gauges_.clear();
-      if (const auto row = maybe<simdjson::dom::array>(f, "feedback"))
+      if (const auto row = optional_field<simdjson::dom::array>(f, "feedback"))
         for (const element gauge : *row) {
           double value;
-          if (gauge.get(value) != simdjson::SUCCESS) bad("wrong kind of value in field", "feedback");
+          if (gauge.get(value) != simdjson::SUCCESS)
+            protocol_error("wrong kind of value in field", "feedback");
           gauges_.push_back(value);
         }
-      hand([&] { choice.woken(now_, wake, gauges_); });
+      deliver([&] { decision_module.woken(now_, wake, gauges_); });
     } else if (name == "JOB_IN") {
-      const OpId id = op_of(f);
-      const auto type = must<std::uint64_t>(f, "profile");
-      const auto earlier = maybe_earlier(f);
-      const auto tenant = maybe<std::uint64_t>(f, "user_group").value_or(0);
-      const auto key = maybe<std::int64_t>(f, "partition_key").value_or(-1);
-      const auto caller = maybe<std::uint64_t>(f, "sender").value_or(0);
-      const Nanos patience = span_of(f, "patience_left_ns"), waited = span_of(f, "waited_ns"),
-                  hint = span_of(f, "effort_ns");
-      const double kb = maybe<double>(f, "kb").value_or(0), rank = maybe<double>(f, "prio").value_or(0);
-      const bool again = maybe<bool>(f, "again_by_client").value_or(false);
-      hand([&] {
-        choice.op_read(now_, id, OpTypeId{static_cast<std::uint32_t>(type)},
-                       TenantId{static_cast<std::uint32_t>(tenant)}, KeyId{key}, CallerId{caller}, patience,
-                       waited, hint, kb, rank, again, earlier);
+      const OpId id = parse_op_id(f);
+      const auto type = required_field<std::uint64_t>(f, "profile");
+      const auto original = parse_original(f);
+      const auto tenant = optional_field<std::uint64_t>(f, "user_group").value_or(0);
+      const auto key = optional_field<std::int64_t>(f, "partition_key").value_or(-1);
+      const auto caller = optional_field<std::uint64_t>(f, "sender").value_or(0);
+      const Nanos time_left = duration_field(f, "patience_left_ns"), waited = duration_field(f, "waited_ns"),
+                  work_estimate = duration_field(f, "effort_ns");
+      const double kb = optional_field<double>(f, "kb").value_or(0),
+                   rank = optional_field<double>(f, "prio").value_or(0);
+      const bool is_retry = optional_field<bool>(f, "again_by_client").value_or(false);
+      deliver([&] {
+        decision_module.op_read(now_, id, OpTypeId{static_cast<std::uint32_t>(type)},
+                                TenantId{static_cast<std::uint32_t>(tenant)}, KeyId{key}, CallerId{caller},
+                                time_left, waited, work_estimate, kb, rank, is_retry, original);
       });
     } else if (name == "STALLED_ON_CALL") {
-      const OpId id = op_of(f);
-      hand([&] { choice.call_wanted(now_, id); });
+      const OpId id = parse_op_id(f);
+      deliver([&] { decision_module.call_wanted(now_, id); });
     } else if (name == "ENDED" || name == "CALL_RESULT") {
-      const OpId id = op_of(f);
-      const Nanos lag = span_of(f, "lag_ns");
-      const Outcome outcome = outcome_of(f);
+      const OpId id = parse_op_id(f);
+      const Nanos elapsed = duration_field(f, "lag_ns");
+      const Outcome outcome = parse_outcome(f);
       if (name == "ENDED")
-        hand([&] { choice.run_ended(now_, id, outcome, lag); });
+        deliver([&] { decision_module.run_ended(now_, id, outcome, elapsed); });
       else
-        hand([&] { choice.call_ended(now_, id, outcome, lag); });
+        deliver([&] { decision_module.call_ended(now_, id, outcome, elapsed); });
     } else if (name == "EXPIRED") {
-      const OpId id = op_of(f);
-      hand([&] { choice.op_cancelled(now_, id); });
+      const OpId id = parse_op_id(f);
+      deliver([&] { decision_module.op_cancelled(now_, id); });
     } else if (name == "LAME_DUCK") {
-      must<std::int64_t>(f, "patience_left_ns");
-      const Nanos left = span_of(f, "patience_left_ns");
-      hand([&] { choice.drain(now_, left); });
+      required_field<std::int64_t>(f, "patience_left_ns");
+      const Nanos left = duration_field(f, "patience_left_ns");
+      deliver([&] { decision_module.drain(now_, left); });
     }
   }
 
-  static OpId maybe_earlier(const object& f) {
+  static OpId parse_original(const object& f) {
     element at;
     if (f["forerunner"].get(at) != simdjson::SUCCESS || at.is_null()) return no_op_id;
     std::string_view hex;
-    if (at.get(hex) == simdjson::SUCCESS) return id_in(hex, "forerunner");
+    if (at.get(hex) == simdjson::SUCCESS) return parse_id(hex, "forerunner");
     std::int64_t zero;
     if (at.get(zero) == simdjson::SUCCESS && zero == 0) return no_op_id;
-    bad("not an id in field", "forerunner");
+    protocol_error("not an id in field", "forerunner");
   }
 
  public:
   void line(const element& message) {
     object outer;
     if (message.get(outer) != simdjson::SUCCESS || outer.size() != 1)
-      throw Defect("a message is not an object with one key");
+      throw ProtocolError("a message is not an object with one key");
     const auto field = *outer.begin();
     object f;
-    if (field.value.get(f) != simdjson::SUCCESS) bad("no object under", field.key);
+    if (field.value.get(f) != simdjson::SUCCESS) protocol_error("no object under", field.key);
     if (field.key == "ROUND") {
-      if (in_batch_) throw Defect("a batch begins within another");
-      now_ = must<std::int64_t>(f, "at_time_ns");
-      round_ = must<std::int64_t>(f, "round");
+      if (in_batch_) throw ProtocolError("a batch begins within another");
+      now_ = required_field<std::int64_t>(f, "at_time_ns");
+      round_ = required_field<std::int64_t>(f, "round");
       in_batch_ = true;
     } else if (!in_batch_) {
-      bad("outside of a batch:", field.key);
+      protocol_error("outside of a batch:", field.key);
     } else if (field.key == "EOF_BATCH") {
       lines_.raw("{\"DONE\":{\"round\":");
       lines_.number(round_);
@@ -317,9 +324,9 @@
         if (buffer.size() - padding - filled < chunk / 2) buffer.resize(buffer.size() * 2);
       }
       const ssize_t n = read(STDIN_FILENO, buffer.data() + filled, buffer.size() - padding - filled);
-      if (n < 0) throw Defect("standard input can't be read");
+      if (n < 0) throw ProtocolError("standard input can't be read");
       if (n == 0) {
-        if (from < filled || host.in_batch()) throw Defect("the input ends within a batch");
+        if (from < filled || host.in_batch()) throw ProtocolError("the input ends within a batch");
         return 0;
       }
       std::size_t look = filled;
@@ -331,7 +338,7 @@
             std::string_view::npos) {
           element message;
           if (parser.parse(buffer.data() + from, end - from, false).get(message) != simdjson::SUCCESS)
-            throw Defect("not the wire's JSON");
+            throw ProtocolError("not the wire's JSON");
           host.line(message);
         }
         from = look = end + 1;
--- a/src/decision_module_serialize.cpp
+++ b/src/decision_module_serialize.cpp
@@ -7,7 +7,7 @@
 
 template <class Serializer>
 void DecisionModule::serialize(Serializer& serializer) {
-  const auto listed = [&](std::vector<Op*>& ops) {
+  const auto serialize_refs = [&](std::vector<Op*>& ops) {
     std::vector<OpId> ids;
     for (const Op* op : ops) ids.push_back(op->id);
     serializer(ids);
@@ -20,45 +20,47 @@
       }
     }
   };
-  const auto same_count = [&](std::size_t here, const char* what) {
-    std::size_t there = here;
-    serializer(there);
-    if (there != here)
+  const auto check_count = [&](std::size_t expected, const char* what) {
+    std::size_t stored = expected;
+    serializer(stored);
+    if (stored != expected)
       throw std::invalid_argument(std::string("snapshot: other ") + what + " than the settings'");
   };
-  serializer(chance_, now_, born_);
-  same_count(types_.size(), "op types");
+  serializer(random_, now_, started_at_);
+  check_count(types_.size(), "op types");
   for (OpType& type : types_) // the rest of them are settings
-    serializer(type.run_time, type.core_time, type.recent, type.patience, type.base);
-  same_count(tenants_.size(), "tenants");
-  for (Tenant& tenant : tenants_) serializer(tenant.quota, tenant.seen);
-  serializer(guess_slope_);
+    serializer(type.run_time, type.core_time, type.recent_core_time, type.caller_timeouts,
+               type.base_core_time);
+  check_count(tenants_.size(), "tenants");
+  for (Tenant& tenant : tenants_) serializer(tenant.quota, tenant.rate);
+  serializer(estimate_slope_);
   std::size_t ops = ops_.size();
   serializer(ops);
-  const auto each = [&](Op& op) {
-    serializer(op.id, op.type, op.tenant, op.earlier, op.key, op.arrived, op.first_seen, op.due,
-               op.latest_start, op.on_core_since, op.on_core, op.call_from, op.called_at, op.guess, op.hint,
-               op.held_kb, op.rank, op.worth, op.again, op.kept, op.ran, op.answered, op.pausing, op.paused,
-               op.hung, op.call_may_have_run, op.stage);
+  const auto serialize_op = [&](Op& op) {
+    serializer(op.id, op.type, op.tenant, op.original, op.key, op.received_at, op.first_try_at, op.due,
+               op.latest_start_at, op.on_core_since, op.core_time_used, op.next_call_at, op.called_at,
+               op.work_estimate, op.work_factor, op.held_kb, op.rank, op.weight, op.is_retry, op.key_kept,
+               op.ran, op.answered, op.pause_requested, op.paused, op.hung, op.call_may_have_run, op.stage);
   };
   if constexpr (Serializer::reads) {
     ops_.clear();
     for (; ops > 0; --ops) {
       Op op;
-      each(op);
+      serialize_op(op);
       if (op.type.raw >= types_.size() || op.stage > Stage::reusing || ops_.contains(op.id))
         throw std::invalid_argument("snapshot: an op that can't be");
-      leave_next(ops_.emplace(op.id, std::move(op)).first->second);
+      set_continuations(ops_.emplace(op.id, std::move(op)).first->second);
     }
   } else {
-    for (auto& [id, op] : ops_) each(op);
+    for (auto& [id, op] : ops_) serialize_op(op);
   }
-  listed(held_);
-  listed(at_call_);
-  serializer(cap_, born_cold_, running_, on_core_, held_since_, cut_at_, progress_at_, stalled_, grown_at_,
-             busy_, wanting_core_, memory_kb_, keys_);
-  serializer(calls_, lingering_, call_time_, recent_calls_, call_base_, call_limit_, call_cut_at_,
-             call_done_from_, call_from_, lost_calls_, failures_in_row_, open_until_, open_for_, trial_out_);
+  serialize_refs(queue_);
+  serialize_refs(parked_);
+  serializer(cap_, cold_start_, running_, on_core_, queued_since_, cap_cut_at_, last_progress_at_, stalled_,
+             cap_grown_at_, busy_, runnable_, memory_kb_, keys_);
+  serializer(calls_, lingering_calls_, call_times_, recent_call_times_, base_call_time_, call_limit_,
+             call_limit_cut_at_, newest_completed_call_at_, next_call_at_, lost_call_fraction_,
+             consecutive_failures_, breaker_open_until_, breaker_delay_, trial_call_in_flight_);
   std::size_t callers = by_caller_.size();
   serializer(callers);
   if constexpr (Serializer::reads) {
@@ -75,9 +77,10 @@
       serializer(copy, caller.ops, caller.last);
     }
   }
-  serializer(silences_, idle_told_, openness_, told_, read_, read_lately_, nacked_lately_, unread_lately_,
-             reading_, nacked_part_, again_part_, nacked_rank_, counted_from_, drained_at_, serve_until_,
-             answer_by_, stopped_accepting_);
+  serializer(caller_gaps_, idle_timeout_, admission_level_, last_feedback_, ops_read_, recent_read_,
+             recent_nacked_, recent_unread_, reading_fraction_, nacked_fraction_, retry_fraction_,
+             mean_nacked_rank_, counting_since_, drain_started_at_, serve_until_, answer_by_,
+             stopped_accepting_);
 }
 
 template void DecisionModule::serialize(Writer& serializer);
--- a/src/digest.cpp
+++ b/src/digest.cpp
@@ -13,23 +13,23 @@
   std::array<unsigned char, 16> out;
   crypto_shorthash_siphashx24(out.data(), reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(),
                               key_.data());
-  std::pair<std::uint64_t, std::uint64_t> both;
-  std::memcpy(&both.first, out.data(), sizeof both.first);
-  std::memcpy(&both.second, out.data() + sizeof both.first, sizeof both.second);
-  return both;
+  std::pair<std::uint64_t, std::uint64_t> hash;
+  std::memcpy(&hash.first, out.data(), sizeof hash.first);
+  std::memcpy(&hash.second, out.data() + sizeof hash.first, sizeof hash.second);
+  return hash;
 }
 
 Pseudonymizer::Pseudonymizer() { randombytes_buf(key_.data(), key_.size()); }
 
-std::string Pseudonymizer::operator()(std::string_view word) const {
+std::string Pseudonymizer::operator()(std::string_view name) const {
   static_assert(crypto_auth_hmacsha256_KEYBYTES == 32);
-  constexpr std::size_t kept = 16;
+  constexpr std::size_t digest_bytes = 16;
   std::array<unsigned char, crypto_auth_hmacsha256_BYTES> out;
-  crypto_auth_hmacsha256(out.data(), reinterpret_cast<const unsigned char*>(word.data()), word.size(),
+  crypto_auth_hmacsha256(out.data(), reinterpret_cast<const unsigned char*>(name.data()), name.size(),
                          key_.data());
-  std::array<char, 2 * kept + 1> hex;
-  sodium_bin2hex(hex.data(), hex.size(), out.data(), kept);
-  return std::string(hex.data(), 2 * kept);
+  std::array<char, 2 * digest_bytes + 1> hex;
+  sodium_bin2hex(hex.data(), hex.size(), out.data(), digest_bytes);
+  return std::string(hex.data(), 2 * digest_bytes);
 }
 
 } // namespace cometshift
--- a/src/digest.hpp
+++ b/src/digest.hpp
@@ -25,7 +25,7 @@
 
  public:
   Pseudonymizer(); // with a key of the system's chance, forgotten with the object
-  std::string operator()(std::string_view word) const;
+  std::string operator()(std::string_view name) const;
 };
 
 } // namespace cometshift
--- a/src/hex.hpp
+++ b/src/hex.hpp
@@ -13,8 +13,8 @@
 }
 inline bool read_hex(std::string_view text, std::uint64_t& into) {
   const char* last = text.data() + text.size();
-  const auto [end, wrong] = std::from_chars(text.data(), last, into, 16);
-  return text.size() == 16 && wrong == std::errc() && end == last;
+  const auto [end, error] = std::from_chars(text.data(), last, into, 16);
+  return text.size() == 16 && error == std::errc() && end == last;
 }
 
 } // namespace cometshift
--- a/src/histogram.hpp
+++ b/src/histogram.hpp
@@ -17,7 +17,7 @@
   static constexpr int bins = 32;
   std::array<float, bins> count_{};
   float total_ = 0;
-  float most_;
+  float max_total_;
   mutable double mean_ = 0; // as last worked out: it is asked for far more often than it changes
   mutable bool mean_known_ = false;
 
@@ -36,11 +36,11 @@
   }
 
  public:
-  explicit Histogram(float most) : most_(most) {}
+  explicit Histogram(float max_total) : max_total_(max_total) {}
 
   template <class Serializer>
   void serialize(Serializer& serializer) {
-    serializer(count_, total_, most_);
+    serializer(count_, total_, max_total_);
     mean_known_ = false;
   }
 
@@ -48,7 +48,7 @@
     mean_known_ = false;
     count_[bin_of(span)] += 1;
     total_ += 1;
-    if (total_ < most_) return;
+    if (total_ < max_total_) return;
     for (float& c : count_) c /= 2;
     total_ /= 2;
   }
@@ -65,20 +65,20 @@
     return total_ > 0 ? low_of(bins) : 0;
   }
   double mean() const {
-    if (!mean_known_) mean_ = mean_up_to(low_of(bins));
+    if (!mean_known_) mean_ = capped_mean(low_of(bins));
     mean_known_ = true;
     return mean_;
   }
   // The mean with every span over `most` taken for `most`.
-  double mean_up_to(Nanos most) const {
+  double capped_mean(Nanos limit) const {
     double sum = 0;
     for (int b = 0; b < bins; ++b)
       sum += count_[b] *
-             std::min(0.5 * static_cast<double>(low_of(b) + low_of(b + 1)), static_cast<double>(most));
+             std::min(0.5 * static_cast<double>(low_of(b) + low_of(b + 1)), static_cast<double>(limit));
     return total_ > 0 ? sum / total_ : 0;
   }
   // The part of those noted that were longer; what lies in the last bin has no upper end.
-  double part_over(Nanos span) const {
+  double fraction_above(Nanos span) const {
     double sum = count_[bins - 1];
     for (int b = 0; b < bins - 1; ++b)
       if (low_of(b) + low_of(b + 1) > 2 * span) sum += count_[b];
@@ -87,27 +87,27 @@
 };
 
 // The few spans that come again and again among others that don't.
-class Usual {
-  static constexpr int kept = 8;
-  std::array<Nanos, kept> span_{};
-  std::array<float, kept> count_{};
+class FrequentValues {
+  static constexpr int slots = 8;
+  std::array<Nanos, slots> span_{};
+  std::array<float, slots> count_{};
   float total_ = 0;
-  float most_;
+  float max_total_;
 
  public:
-  explicit Usual(float most) : most_(most) {}
+  explicit FrequentValues(float max_total) : max_total_(max_total) {}
 
   template <class Serializer>
   void serialize(Serializer& serializer) {
-    serializer(span_, count_, total_, most_);
+    serializer(span_, count_, total_, max_total_);
   }
 
   // Notes a span; the part of those noted lately that came within a 64th of it.
   float record(Nanos span) {
     const auto near = [&](int i) { return count_[i] > 0 && std::abs(span_[i] - span) <= span / 64; };
     int at = 0;
-    while (at < kept && !near(at)) ++at;
-    if (at == kept) { // takes the place of the one that came least
+    while (at < slots && !near(at)) ++at;
+    if (at == slots) { // takes the place of the one that came least
       at = static_cast<int>(std::min_element(count_.begin(), count_.end()) - count_.begin());
       span_[at] = span;
       count_[at] = 0;
@@ -115,7 +115,7 @@
     count_[at] += 1;
     total_ += 1;
     const float part = count_[at] / total_;
-    if (total_ >= most_) {
+    if (total_ >= max_total_) {
       for (float& c : count_) c /= 2;
       total_ /= 2;
     }
@@ -123,28 +123,28 @@
   }
   float total() const { return total_; }
   // The shortest that at least `part` came with and that is longer than a span, else `otherwise`.
-  Nanos next_over(Nanos span, float part, Nanos otherwise) const {
-    for (int i = 0; i < kept; ++i)
-      if (count_[i] >= part * total_ && span_[i] > span) otherwise = std::min(otherwise, span_[i]);
-    return otherwise;
+  Nanos next_above(Nanos span, float part, Nanos fallback) const {
+    for (int i = 0; i < slots; ++i)
+      if (count_[i] >= part * total_ && span_[i] > span) fallback = std::min(fallback, span_[i]);
+    return fallback;
   }
 };
 
 // How the logarithm of one size follows that of another: 1 in full, 0 not at all.
-class Slope {
+class LogLogSlope {
   double step_; // weight of one noted
-  double x_ = 0, y_ = 0, xx_ = 0, xy_ = 0, seen_ = 0;
+  double x_ = 0, y_ = 0, xx_ = 0, xy_ = 0, samples_ = 0;
 
  public:
-  explicit Slope(double step) : step_(step) {}
+  explicit LogLogSlope(double step) : step_(step) {}
 
   template <class Serializer>
   void serialize(Serializer& serializer) {
-    serializer(step_, x_, y_, xx_, xy_, seen_);
+    serializer(step_, x_, y_, xx_, xy_, samples_);
   }
 
   void record(double x, double y) {
-    const double lx = std::log(x), ly = std::log(y), by = std::max(step_, 1 / ++seen_);
+    const double lx = std::log(x), ly = std::log(y), by = std::max(step_, 1 / ++samples_);
     const double dx = lx - x_, dy = ly - y_;
     x_ += by * dx;
     y_ += by * dy;
@@ -153,8 +153,8 @@
   }
   // Pulled to `prior`, which counts as `weight` of those seen, at unit spread.
   double value(double prior, double weight) const {
-    const double seen = std::min(seen_, 1 / step_);
-    return std::clamp((xy_ * seen + prior * weight) / (xx_ * seen + weight), 0.0, 1.0);
+    const double samples = std::min(samples_, 1 / step_);
+    return std::clamp((xy_ * samples + prior * weight) / (xx_ * samples + weight), 0.0, 1.0);
   }
 };
 
--- a/src/pcg.hpp
+++ b/src/pcg.hpp
@@ -15,8 +15,8 @@
     const std::uint64_t old = state_;
     state_ = old * 6364136223846793005ULL + 1442695040888963407ULL;
     const auto mixed = static_cast<std::uint32_t>(((old >> 18) ^ old) >> 27);
-    const auto turn = static_cast<std::uint32_t>(old >> 59);
-    return (mixed >> turn) | (mixed << ((32 - turn) & 31));
+    const auto rotation = static_cast<std::uint32_t>(old >> 59);
+    return (mixed >> rotation) | (mixed << ((32 - rotation) & 31));
   }
 
   template <class Serializer>
--- a/src/reason.hpp
+++ b/src/reason.hpp
@@ -34,37 +34,37 @@
   ceiling = 48,       // its pool has had as much as it may have
 };
 
-struct ReasonWord {
-  Reason why;
-  std::string_view word;
+struct ReasonName {
+  Reason reason;
+  std::string_view name;
 };
-constexpr std::array reason_words{
-    ReasonWord{Reason::none, "none"},
-    ReasonWord{Reason::leaving, "leaving"},
-    ReasonWord{Reason::memory, "memory"},
-    ReasonWord{Reason::key_memory, "key-memory"},
-    ReasonWord{Reason::too_big, "too-big"},
-    ReasonWord{Reason::hopeless, "hopeless"},
-    ReasonWord{Reason::line, "line"},
-    ReasonWord{Reason::stalled, "stalled"},
-    ReasonWord{Reason::hung, "hung"},
-    ReasonWord{Reason::due, "due"},
-    ReasonWord{Reason::replaced, "replaced"},
-    ReasonWord{Reason::late_at_call, "late-at-call"},
-    ReasonWord{Reason::call_lost, "call-lost"},
-    ReasonWord{Reason::fell_back, "fell-back"},
-    ReasonWord{Reason::too_many_ops, "too-many-ops"},
-    ReasonWord{Reason::too_many_keys, "too-many-keys"},
-    ReasonWord{Reason::known, "known"},
-    ReasonWord{Reason::other_mark, "other-mark"},
-    ReasonWord{Reason::run_failed, "run-failed"},
-    ReasonWord{Reason::never_begun, "never-begun"},
-    ReasonWord{Reason::first_failed, "first-failed"},
-    ReasonWord{Reason::ceiling, "ceiling"},
+constexpr std::array reason_names{
+    ReasonName{Reason::none, "none"},
+    ReasonName{Reason::leaving, "leaving"},
+    ReasonName{Reason::memory, "memory"},
+    ReasonName{Reason::key_memory, "key-memory"},
+    ReasonName{Reason::too_big, "too-big"},
+    ReasonName{Reason::hopeless, "hopeless"},
+    ReasonName{Reason::line, "line"},
+    ReasonName{Reason::stalled, "stalled"},
+    ReasonName{Reason::hung, "hung"},
+    ReasonName{Reason::due, "due"},
+    ReasonName{Reason::replaced, "replaced"},
+    ReasonName{Reason::late_at_call, "late-at-call"},
+    ReasonName{Reason::call_lost, "call-lost"},
+    ReasonName{Reason::fell_back, "fell-back"},
+    ReasonName{Reason::too_many_ops, "too-many-ops"},
+    ReasonName{Reason::too_many_keys, "too-many-keys"},
+    ReasonName{Reason::known, "known"},
+    ReasonName{Reason::other_mark, "other-mark"},
+    ReasonName{Reason::run_failed, "run-failed"},
+    ReasonName{Reason::never_begun, "never-begun"},
+    ReasonName{Reason::first_failed, "first-failed"},
+    ReasonName{Reason::ceiling, "ceiling"},
 };
-constexpr std::string_view to_text(Reason why) {
-  for (const ReasonWord& one : reason_words)
-    if (one.why == why) return one.word;
+constexpr std::string_view to_text(Reason reason) {
+  for (const ReasonName& entry : reason_names)
+    if (entry.reason == reason) return entry.name;
   return "unknown";
 }
 
--- a/src/serializer.hpp
+++ b/src/serializer.hpp
@@ -36,22 +36,22 @@
 
  public:
   template <class T>
-  void operator()(T& thing) {
+  void operator()(T& value) {
     if constexpr (IsId<T>::value)
-      (*this)(thing.raw);
+      (*this)(value.raw);
     else if constexpr (std::is_enum_v<T>)
-      self().enumerated(thing);
+      self().enumerated(value);
     else if constexpr (std::is_floating_point_v<T>)
-      self().fraction(thing);
+      self().fraction(value);
     else if constexpr (std::is_integral_v<T>)
-      self().whole(thing);
+      self().whole(value);
     else
-      thing.serialize(self());
+      value.serialize(self());
   }
   void operator()(std::string& bytes) { self().bytes(bytes); }
   template <class T, std::size_t N>
   void operator()(std::array<T, N>& all) {
-    for (T& one : all) (*this)(one);
+    for (T& item : all) (*this)(item);
   }
   template <class A, class B>
   void operator()(std::pair<A, B>& both) {
@@ -63,12 +63,12 @@
     self().list(all);
   }
   template <class T>
-  void operator()(std::optional<T>& one) {
-    bool there = one.has_value();
+  void operator()(std::optional<T>& item) {
+    bool there = item.has_value();
     (*this)(there);
-    if (there && !one) one.emplace();
-    if (!there) one.reset();
-    if (there) (*this)(*one);
+    if (there && !item) item.emplace();
+    if (!there) item.reset();
+    if (there) (*this)(*item);
   }
   template <class K, class V, class Order>
   void operator()(std::map<K, V, Order>& all) {
@@ -129,7 +129,7 @@
   template <class T>
   void list(std::vector<T>& all) {
     varint(all.size());
-    for (auto&& one : all) (*this)(one);
+    for (auto&& item : all) (*this)(item);
   }
   template <class M>
   void table(M& all) {
@@ -144,8 +144,8 @@
 class Reader : public Serializer<Reader> {
   std::string_view left_;
 
-  [[noreturn]] static void bad(const char* why) {
-    throw std::invalid_argument(std::string("snapshot: ") + why);
+  [[noreturn]] static void bad(const char* reason) {
+    throw std::invalid_argument(std::string("snapshot: ") + reason);
   }
   std::string_view cut(std::size_t size) {
     if (size > left_.size()) bad("ends early");
@@ -203,9 +203,9 @@
     const std::size_t n = count();
     into.clear();
     for (std::size_t i = 0; i < n; ++i) {
-      T one{};
-      (*this)(one);
-      into.push_back(std::move(one));
+      T item{};
+      (*this)(item);
+      into.push_back(std::move(item));
     }
   }
   template <class K, class V, class Order>
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -24,28 +24,28 @@
 // What was given at the start: names to values, lists spelt out as "op_type.0.target_latency_ns".
 using Settings = std::map<std::string, std::variant<double, std::string>, std::less<>>;
 
-inline double number(const Settings& given, std::string_view name, double otherwise) {
-  const auto at = given.find(name);
-  if (at == given.end()) return otherwise;
+inline double number(const Settings& settings, std::string_view name, double fallback) {
+  const auto at = settings.find(name);
+  if (at == settings.end()) return fallback;
   if (const double* value = std::get_if<double>(&at->second)) return *value;
   throw std::invalid_argument("setting " + std::string(name) + " is not a number");
 }
 // For what there is no doing without: the complaint names it.
-inline double required_number(const Settings& given, std::string_view name, double least) {
-  if (!given.contains(name)) throw std::invalid_argument("setting " + std::string(name) + " is missing");
-  const double value = number(given, name, 0);
-  if (!(value >= least)) throw std::invalid_argument("setting " + std::string(name) + " is senseless");
+inline double required_number(const Settings& settings, std::string_view name, double minimum) {
+  if (!settings.contains(name)) throw std::invalid_argument("setting " + std::string(name) + " is missing");
+  const double value = number(settings, name, 0);
+  if (!(value >= minimum)) throw std::invalid_argument("setting " + std::string(name) + " is senseless");
   return value;
 }
-inline Nanos span(const Settings& given, std::string_view name) {
-  return static_cast<Nanos>(required_number(given, name, 0));
+inline Nanos span(const Settings& settings, std::string_view name) {
+  return static_cast<Nanos>(required_number(settings, name, 0));
 }
-inline Nanos span(const Settings& given, std::string_view name, double otherwise) {
-  return given.contains(name) ? span(given, name) : static_cast<Nanos>(otherwise);
+inline Nanos span(const Settings& settings, std::string_view name, double fallback) {
+  return settings.contains(name) ? span(settings, name) : static_cast<Nanos>(fallback);
 }
-inline std::string text(const Settings& given, std::string_view name, std::string_view otherwise) {
-  const auto at = given.find(name);
-  if (at == given.end()) return std::string(otherwise);
+inline std::string text(const Settings& settings, std::string_view name, std::string_view fallback) {
+  const auto at = settings.find(name);
+  if (at == settings.end()) return std::string(fallback);
   if (const std::string* value = std::get_if<std::string>(&at->second)) return *value;
   throw std::invalid_argument("setting " + std::string(name) + " is not a text");
 }
@@ -57,53 +57,53 @@
   Nanos op_timeout = 0;
   Nanos key_window = 0;
   double importance = 1;
-  double late_share = 0;
-  double without_share = 0; // of the importance, for an answer without the call
+  double late_value_fraction = 0;
+  double value_fraction_without_call = 0; // of the importance, for an answer without the call
   double target_stretch = 0;
   bool may_call = false;
-  RetryClass repeats = RetryClass::retryable;
-  Histogram run_time;  // from start to end, calls included
-  Histogram core_time; // the same without the calls
-  Histogram recent;    // core time of late
-  Usual patience;      // of callers, where ops tell it
-  Nanos base = 0;      // core time when all is well
+  RetryClass retry_class = RetryClass::retryable;
+  Histogram run_time;             // from start to end, calls included
+  Histogram core_time;            // the same without the calls
+  Histogram recent_core_time;     // core time of late
+  FrequentValues caller_timeouts; // of callers, where ops tell it
+  Nanos base_core_time = 0;       // core time when all is well
 };
 
-enum class Stage { held, on_core, at_call, calling, reusing };
+enum class Stage { queued, on_core, at_call, calling, reusing };
 
 struct Op {
   // Handed the outcome of the step that the op is at.
-  using Next = std::function<void(Op&, Outcome, Nanos lag)>;
+  using Next = std::function<void(Op&, Outcome, Nanos elapsed)>;
 
   OpId id;
   OpTypeId type;
   TenantId tenant;
-  OpId earlier;           // the kept op that this one repeats
-  KeyId key = no_key_id;  // what it reads
-  Nanos arrived = 0;      // at the machine
-  Nanos first_seen = 0;   // when its first try is thought to have begun
-  Nanos due = 0;          // it must be answered by then
-  Nanos latest_start = 0; // to be in time, as last planned
+  OpId original;             // the kept op that this one repeats
+  KeyId key = no_key_id;     // what it reads
+  Nanos received_at = 0;     // at the machine
+  Nanos first_try_at = 0;    // when its first try is thought to have begun
+  Nanos due = 0;             // it must be answered by then
+  Nanos latest_start_at = 0; // to be in time, as last planned
   Nanos on_core_since = 0;
-  Nanos on_core = 0;   // time spent on the cores so far
-  Nanos call_from = 0; // no call before then
+  Nanos core_time_used = 0; // time spent on the cores so far
+  Nanos next_call_at = 0;   // no call before then
   Nanos called_at = 0;
-  double guess = 0; // the caller's, of its work on a standard core in seconds; 0: none made
-  double hint = 1;  // what is made of it
+  double work_estimate = 0; // the caller's, of its work on a standard core in seconds; 0: none made
+  double work_factor = 1;   // what is made of it
   double held_kb = 0;
   double rank = 0;
-  double worth = 1;   // a factor of what it counts for, as its pool has it
-  bool again = false; // marked as a further try
-  bool kept = false;
-  bool ran = false;      // has been started here, ever
-  bool answered = false; // its final answer is given, or nobody waits; the run goes on
-  bool pausing = false;  // asked to pause
-  bool paused = false;   // has been, and keeps its memory while held
-  bool hung = false;     // stood on cores that stood still
+  double weight = 1;     // a factor of what it counts for, as its pool has it
+  bool is_retry = false; // marked as a further try
+  bool key_kept = false;
+  bool ran = false;             // has been started here, ever
+  bool answered = false;        // its final answer is given, or nobody waits; the run goes on
+  bool pause_requested = false; // asked to pause
+  bool paused = false;          // has been, and keeps its memory while held
+  bool hung = false;            // stood on cores that stood still
   bool call_may_have_run = false;
-  Stage stage = Stage::held;
-  Next when_ended;
-  Next when_called;
+  Stage stage = Stage::queued;
+  Next on_run_ended;
+  Next on_call_ended;
 };
 
 } // namespace cometshift
--- a/tests/callers.cpp
+++ b/tests/callers.cpp
@@ -10,47 +10,47 @@
   for (int i = 0; i < 40; ++i) {
     for (int j = 0; j < ops; ++j)
       s.read(id++, {.waited = waited, .caller = callers > 0 ? id % callers : id % 10 == 0 ? 1U : 2U});
-    s.after(100);
-    for (const OpId op : std::set<OpId>(s.running)) s.ended(static_cast<unsigned>(op.raw));
+    s.run_for(100);
+    for (const OpId op : std::set<OpId>(s.running)) s.run_ended(static_cast<unsigned>(op.raw));
   }
   s.quiet = false;
-  s.say(std::to_string(std::lround(100 * s.told)).append(" hundredths told last"));
+  s.section(std::to_string(std::lround(100 * s.last_feedback)).append(" hundredths told last"));
 }
 
 int main() {
   Driver s({{"say", std::string("level")}});
-  s.say("nine in ten nacked, but reading them takes next to nothing: callers may go on asking");
+  s.section("nine in ten nacked, but reading them takes next to nothing: callers may go on asking");
   crowd(s, 2, 0, 4);
-  s.say("reading takes half of the cores: a level, never above the mean rank of what is nacked (0.5)");
+  s.section("reading takes half of the cores: a level, never above the mean rank of what is nacked (0.5)");
   crowd(s, 4, 0, 4);
   s.quiet = true;
-  while (!s.running.empty()) s.ended(static_cast<unsigned>(s.running.begin()->raw));
+  while (!s.running.empty()) s.run_ended(static_cast<unsigned>(s.running.begin()->raw));
   s.quiet = false;
-  s.say("all is over: it comes down again");
-  s.after(4500);
+  s.section("all is over: it comes down again");
+  s.run_for(4500);
   Driver t({{"say", std::string("tokens")}});
-  t.say("tokens: long unread, though nothing is nacked; one caller sends nine in ten, so few share them");
+  t.section("tokens: long unread, though nothing is nacked; one caller sends nine in ten, so few share them");
   crowd(t, 4, 600, 1);
-  t.say("and none at all once it is to leave");
+  t.section("and none at all once it is to leave");
   t.drain(3000);
   Driver f({{"say", std::string("tokens")}});
-  f.say("forty callers in turn, ten ops a second: only ten remember what they were told");
+  f.section("forty callers in turn, ten ops a second: only ten remember what they were told");
   crowd(f, 4, 600, 1, 40);
   Driver b({{"say", std::string("bias")}});
-  b.say("bias");
+  b.section("bias");
   b.drain(3000);
   for (const double callers : {20.0, 500.0}) {
     Driver c({{"callers", callers}, {"idle_ns", 30e9}});
-    c.say("callers in turn, each silent for as many tenths of a second: rare ones are closed soon");
+    c.section("callers in turn, each silent for as many tenths of a second: rare ones are closed soon");
     for (unsigned id = 1; id < 80; ++id) {
       c.quiet = true;
       c.read(id, {.caller = id % static_cast<unsigned>(callers)});
-      c.ended(id);
+      c.run_ended(id);
       c.quiet = false;
-      c.after(100);
+      c.run_for(100);
     }
   }
   Driver n;
-  n.say("nothing may be told");
+  n.section("nothing may be told");
   n.drain(3000);
 }
--- a/tests/crowd.cpp
+++ b/tests/crowd.cpp
@@ -5,16 +5,17 @@
   s.quiet = true;
   for (int i = 0; i < 20; ++i, ++id) {
     s.read(id, {.kb = 1});
-    if (s.running.contains(OpId{id})) s.wants_call(id);
+    if (s.running.contains(OpId{id})) s.call_wanted(id);
   }
-  s.say(std::to_string(s.running.size()).append(" started"));
+  s.section(std::to_string(s.running.size()).append(" started"));
 }
 
 int main() {
   Driver s;
-  s.say("those waiting at calls are not under the cap, but with the running ones under the survivable crowd");
+  s.section(
+      "those waiting at calls are not under the cap, but with the running ones under the survivable crowd");
   crowd(s, 1);
   Driver c({{"cold", 1.0}, {"cold_from", 0.2}, {"warm_after_ns", 10e9}});
-  c.say("cold: fewer");
+  c.section("cold: fewer");
   crowd(c, 1);
 }
--- a/tests/driver.hpp
+++ b/tests/driver.hpp
@@ -28,17 +28,17 @@
 
 constexpr Nanos ms = 1'000'000;
 
-struct Read {
+struct OpFields {
   unsigned type = 0;
   unsigned tenant = 0;
-  Nanos patience = 0; // ms
-  Nanos waited = 0;   // ms
+  Nanos time_left = 0; // ms
+  Nanos waited = 0;    // ms
   double kb = 10;
   std::int64_t key = -1;
-  OpId earlier = no_op_id;
+  OpId original = no_op_id;
   unsigned caller = 0;
-  bool again = false;
-  Nanos hint = 0; // ms
+  bool is_retry = false;
+  Nanos work_estimate = 0; // ms
 };
 
 class Driver final : public Server {
@@ -48,134 +48,137 @@
   bool healthy_ = false;
   std::array<double, 2> gauges_{1, 0};
 
-  inline static bool open_ = false; // a line is begun: what happens at the same time goes on it
-  inline static Nanos open_at_ = 0;
+  inline static bool line_open_ = false; // a line is begun: what happens at the same time goes on it
+  inline static Nanos line_time_ = 0;
 
-  void emit(std::string what, const std::string& rest = {}) {
+  void emit(std::string text, const std::string& rest = {}) {
     if (quiet) return;
-    what += rest;
-    if (open_ && open_at_ == now_) {
-      std::printf(", %s", what.c_str());
+    text += rest;
+    if (line_open_ && line_time_ == now_) {
+      std::printf(", %s", text.c_str());
       return;
     }
-    end();
-    std::printf("%6lld  %s", at(), what.c_str());
-    open_ = true;
-    open_at_ = now_;
-  }
-  static std::string of(OpId op) { return std::string(1, ' ').append(std::to_string(op.raw)); }
-  static std::string span(Nanos time) { return std::string(" for ").append(std::to_string(time / ms)); }
-  static std::string number(double value) {
+    end_line();
+    std::printf("%6lld  %s", now_ms(), text.c_str());
+    line_open_ = true;
+    line_time_ = now_;
+  }
+  static std::string id_text(OpId op) { return std::string(1, ' ').append(std::to_string(op.raw)); }
+  static std::string duration_text(Nanos time) {
+    return std::string(" for ").append(std::to_string(time / ms));
+  }
+  static std::string value_text(double value) {
     char text[16];
     std::snprintf(text, sizeof text, " %.2f", value);
     return text;
   }
-  long long at() const { return static_cast<long long>(now_ / ms); }
+  long long now_ms() const { return static_cast<long long>(now_ / ms); }
 
  public:
   std::set<OpId> running; // started, and not ended by the test
   bool quiet = false;     // nothing is printed
-  double told = -1;
+  double last_feedback = -1;
 
   // Two cores, a retryable type 0 and a keyed type 1; what `more` names is changed or added.
-  explicit Driver(std::initializer_list<Settings::value_type> more = {},
-                  std::initializer_list<const char*> without = {}) {
-    Settings given{{"cores", 2.0},
-                   {"fall_multiple", 4.0},
-                   {"memory_kb", 10000.0},
-                   {"run_factor", 4.0},
-                   {"key_kb", 5.0},
-                   {"drain_grace_ns", 2e9},
-                   {"fleet_size", 1.0},
-                   {"gauge.0", std::string("cores_busy")},
-                   {"gauge.1", std::string("on_cores")},
-                   {"callers", 2.0}};
+  explicit Driver(std::initializer_list<Settings::value_type> overrides = {},
+                  std::initializer_list<const char*> removed = {}) {
+    Settings settings{{"cores", 2.0},
+                      {"fall_multiple", 4.0},
+                      {"memory_kb", 10000.0},
+                      {"run_factor", 4.0},
+                      {"key_kb", 5.0},
+                      {"drain_grace_ns", 2e9},
+                      {"fleet_size", 1.0},
+                      {"gauge.0", std::string("cores_busy")},
+                      {"gauge.1", std::string("on_cores")},
+                      {"callers", 2.0}};
     for (const char* type : {"op_type.0.", "op_type.1."}) {
-      given[std::string(type) + "op_timeout_ns"] = 4e9;
-      given[std::string(type) + "target_latency_ns"] = 2e9;
-      given[std::string(type) + "may_call"] = 1.0;
+      settings[std::string(type) + "op_timeout_ns"] = 4e9;
+      settings[std::string(type) + "target_latency_ns"] = 2e9;
+      settings[std::string(type) + "may_call"] = 1.0;
     }
-    given["op_type.1.repeats"] = std::string("keyed");
-    given["op_type.1.key_window_ns"] = 10e9;
-    given["op_type.1.importance"] = 3.0;
-    for (const auto& [name, value] : more) given[name] = value;
-    for (const char* name : without) given.erase(name);
-    end();
-    module_ = std::make_unique<DecisionModule>(0, 7, given, *this);
+    settings["op_type.1.repeats"] = std::string("keyed");
+    settings["op_type.1.key_window_ns"] = 10e9;
+    settings["op_type.1.importance"] = 3.0;
+    for (const auto& [name, value] : overrides) settings[name] = value;
+    for (const char* name : removed) settings.erase(name);
+    end_line();
+    module_ = std::make_unique<DecisionModule>(0, 7, settings, *this);
     if (!healthy_) emit("no stored health");
   }
 
-  ~Driver() override { end(); }
-  static void end() {
-    if (open_) std::puts("");
-    open_ = false;
+  ~Driver() override { end_line(); }
+  static void end_line() {
+    if (line_open_) std::puts("");
+    line_open_ = false;
   }
 
-  void run(OpId op) override { running.insert(op), emit("run", of(op)); }
+  void run(OpId op) override { running.insert(op), emit("run", id_text(op)); }
   void nack(OpId op, Reason, bool no_retry, Nanos) override {
-    emit(no_retry ? "nack for good" : "nack", of(op));
-  }
-  void fail(OpId op, Reason) override { emit("fail", of(op)); }
-  void call(OpId op, Nanos time_out) override { emit("call", of(op) + span(time_out)); }
-  void answer_without_call(OpId op) override { emit("answer without", of(op)); }
-  void keep_key(OpId op, Nanos life) override { emit("keep", of(op) + span(life)); }
-  void forget_key(OpId op) override { emit("forget", of(op)); }
-  void reuse(OpId op) override { emit("reuse", of(op)); }
-  void halt(OpId op) override { emit("halt", of(op)); }
+    emit(no_retry ? "nack for good" : "nack", id_text(op));
+  }
+  void fail(OpId op, Reason) override { emit("fail", id_text(op)); }
+  void call(OpId op, Nanos time_out) override { emit("call", id_text(op) + duration_text(time_out)); }
+  void answer_without_call(OpId op) override { emit("answer without", id_text(op)); }
+  void keep_key(OpId op, Nanos life) override { emit("keep", id_text(op) + duration_text(life)); }
+  void forget_key(OpId op) override { emit("forget", id_text(op)); }
+  void reuse(OpId op) override { emit("reuse", id_text(op)); }
+  void halt(OpId op) override { emit("halt", id_text(op)); }
   void health(bool good, bool stored) override {
     if (!module_ && good && stored)
       healthy_ = true; // at the start, as it has to be: not printed
     else
       emit(good ? "health good" : "health bad", stored ? " (stored)" : "");
   }
-  void notify_callers(double value) override { told = value, emit("tell", number(value)); }
-  void set_idle_timeout(Nanos after) override { emit("idle close", span(after)); }
+  void notify_callers(double value) override { last_feedback = value, emit("tell", value_text(value)); }
+  void set_idle_timeout(Nanos after) override { emit("idle close", duration_text(after)); }
   void wake_at(Nanos when, WakeId) override { wake_ = when; }
   void log(std::string_view words) override { emit("log ", std::string(words)); }
 
-  void say(const std::string& words) {
-    end();
+  void section(const std::string& words) {
+    end_line();
     std::printf("# %s\n", words.c_str());
   }
   void gauges(double busy, double wanted) { gauges_ = {busy, wanted}; }
   // Lets the clock run to a time in ms, with every wake-up asked for.
-  void to(Nanos time) {
+  void run_until(Nanos time) {
     while (wake_ <= time * ms) {
       now_ = wake_;
       module_->woken(now_, WakeId{1}, gauges_);
     }
     now_ = time * ms;
   }
-  void after(Nanos time) { to(now_ / ms + time); }
+  void run_for(Nanos time) { run_until(now_ / ms + time); }
   // Lets the clock jump as it does for a process that stood still: the wake-ups come late.
-  void stand_still(Nanos time) {
+  void pause_process(Nanos time) {
     now_ += time * ms;
     wake_ = std::max(wake_, now_);
   }
-  void read(unsigned id, Read r = {}) {
-    module_->op_read(now_, OpId{id}, OpTypeId{r.type}, TenantId{r.tenant}, KeyId{r.key}, CallerId{r.caller},
-                     r.patience * ms, r.waited * ms, r.hint * ms, r.kb, 0.5, r.again, r.earlier);
+  void read(unsigned id, OpFields fields = {}) {
+    module_->op_read(now_, OpId{id}, OpTypeId{fields.type}, TenantId{fields.tenant}, KeyId{fields.key},
+                     CallerId{fields.caller}, fields.time_left * ms, fields.waited * ms,
+                     fields.work_estimate * ms, fields.kb, 0.5, fields.is_retry, fields.original);
   }
   // Teaches runs of such lengths in ms of the two op types, each with a call if that has one; prints nothing.
-  void learn(Nanos retryable, Nanos keyed, int ops = 20, Nanos call = 0) {
+  void train(Nanos retryable, Nanos keyed, int ops = 20, Nanos call = 0) {
     quiet = true;
     for (unsigned id = 100; ops-- > 0; ++id) {
       const Nanos length = id % 2 ? keyed : retryable;
       read(id, {.type = id % 2, .kb = 1});
-      after(length);
-      if (call > 0) wants_call(id), after(call), called(id, Outcome::done, call);
-      ended(id, Outcome::done, length + call);
+      run_for(length);
+      if (call > 0) call_wanted(id), run_for(call), call_ended(id, Outcome::done, call);
+      run_ended(id, Outcome::done, length + call);
     }
     quiet = false;
   }
-  void gone(unsigned id) { module_->op_cancelled(now_, OpId{id}); }
-  void ended(unsigned id, Outcome outcome = Outcome::done, Nanos lag = 100) {
+  void cancel(unsigned id) { module_->op_cancelled(now_, OpId{id}); }
+  void run_ended(unsigned id, Outcome outcome = Outcome::done, Nanos elapsed = 100) {
     running.erase(OpId{id});
-    module_->run_ended(now_, OpId{id}, outcome, lag * ms);
+    module_->run_ended(now_, OpId{id}, outcome, elapsed * ms);
   }
-  void wants_call(unsigned id) { module_->call_wanted(now_, OpId{id}); }
-  void called(unsigned id, Outcome outcome = Outcome::done, Nanos lag = 50) {
-    module_->call_ended(now_, OpId{id}, outcome, lag * ms);
+  void call_wanted(unsigned id) { module_->call_wanted(now_, OpId{id}); }
+  void call_ended(unsigned id, Outcome outcome = Outcome::done, Nanos elapsed = 50) {
+    module_->call_ended(now_, OpId{id}, outcome, elapsed * ms);
   }
   void drain(Nanos left) { module_->drain(now_, left * ms); }
 };
@@ -204,18 +207,18 @@
 
 class TestConnection {
   int fd_;
-  std::string heard_;
+  std::string received_;
   bool ended_ = false;
   bool was_reset_ = false;
 
-  static sockaddr_in place(int port) {
+  static sockaddr_in loopback_address(int port) {
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_port = htons(static_cast<std::uint16_t>(port));
     at.sin_addr.s_addr = htonl(0x7f000000u | (0x10000u + static_cast<unsigned>(getpid())) % 0xfffffeu);
     return at;
   }
-  static int made(int fd) {
+  static int non_blocking(int fd) {
     if (fd < 0) std::perror("socket"), std::exit(2);
     fcntl(fd, F_SETFL, O_NONBLOCK);
     return fd;
@@ -224,12 +227,12 @@
  public:
   inline static std::function<void()> turn = [] {}; // lets what is tested do what is ready
 
-  explicit TestConnection(int fd) : fd_(made(fd)) {}
+  explicit TestConnection(int fd) : fd_(non_blocking(fd)) {}
   TestConnection(TestConnection&& other)
-      : fd_(std::exchange(other.fd_, -1)), heard_(std::move(other.heard_)), ended_(other.ended_),
+      : fd_(std::exchange(other.fd_, -1)), received_(std::move(other.received_)), ended_(other.ended_),
         was_reset_(other.was_reset_) {}
   TestConnection& operator=(TestConnection&& other) {
-    std::swap(fd_, other.fd_), std::swap(heard_, other.heard_), std::swap(ended_, other.ended_);
+    std::swap(fd_, other.fd_), std::swap(received_, other.received_), std::swap(ended_, other.ended_);
     std::swap(was_reset_, other.was_reset_);
     return *this;
   }
@@ -238,11 +241,11 @@
   // Every test process has a loopback address of its own.
   static std::string at(int port) {
     char text[INET_ADDRSTRLEN];
-    const sockaddr_in there = place(port);
+    const sockaddr_in there = loopback_address(port);
     return std::string(inet_ntop(AF_INET, &there.sin_addr, text, sizeof text)) + ":" + std::to_string(port);
   }
   static TestConnection listening(int port) {
-    const sockaddr_in there = place(port);
+    const sockaddr_in there = loopback_address(port);
     TestConnection peer(socket(AF_INET, SOCK_STREAM, 0));
     const int on = 1;
     setsockopt(peer.fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -251,7 +254,7 @@
     return peer;
   }
   static TestConnection to(int port) {
-    const sockaddr_in there = place(port);
+    const sockaddr_in there = loopback_address(port);
     TestConnection peer(socket(AF_INET, SOCK_STREAM, 0));
     connect(peer.fd_, reinterpret_cast<const sockaddr*>(&there), sizeof there);
     turn();
@@ -259,7 +262,7 @@
   }
   // From another thread: what is tested does nothing meanwhile, and nothing is waited for.
   static TestConnection connect_without_turn(int port) {
-    const sockaddr_in there = place(port);
+    const sockaddr_in there = loopback_address(port);
     TestConnection peer(socket(AF_INET, SOCK_STREAM, 0));
     connect(peer.fd_, reinterpret_cast<const sockaddr*>(&there), sizeof there);
     return peer;
@@ -313,7 +316,7 @@
   void hear() {
     char bytes[4096];
     const ssize_t n = recv(fd_, bytes, sizeof bytes, 0);
-    if (n > 0) heard_.append(bytes, static_cast<std::size_t>(n));
+    if (n > 0) received_.append(bytes, static_cast<std::size_t>(n));
     was_reset_ = was_reset_ || (n < 0 && errno == ECONNRESET);
     ended_ = ended_ || n == 0 || was_reset_;
   }
@@ -330,17 +333,17 @@
   void to_end() {
     until("end", [this] { return ended(); });
   }
-  bool has_line() { return hear(), heard_.find('\n') != std::string::npos; }
-  bool has(std::size_t size) { return hear(), heard_.size() >= size; }
+  bool has_line() { return hear(), received_.find('\n') != std::string::npos; }
+  bool has(std::size_t size) { return hear(), received_.size() >= size; }
   std::string take(std::size_t size) {
     until("bytes", [&] { return has(size); });
-    const std::string taken = heard_.substr(0, size);
-    heard_.erase(0, size);
+    const std::string taken = received_.substr(0, size);
+    received_.erase(0, size);
     return taken;
   }
   std::string line() { // to the end of a line, which is left out
     std::size_t end = 0;
-    until("line", [&] { return hear(), (end = heard_.find('\n')) != std::string::npos; });
+    until("line", [&] { return hear(), (end = received_.find('\n')) != std::string::npos; });
     std::string taken = take(end + 1);
     taken.erase(taken.find_last_not_of("\r\n") + 1);
     return taken;
--- a/tests/forms.cpp
+++ b/tests/forms.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-void say(const char* what) { std::printf("# %s\n", what); }
+void section(const char* what) { std::printf("# %s\n", what); }
 
 // Each op is refused as soon as it is read, unless it is to stay open; what was read of it is kept in words.
-struct Told final : Front::Handler {
+struct OpRecorder final : Front::Handler {
   Front* front = nullptr;
   bool leave_open = false;
   std::string words;
@@ -39,22 +39,22 @@
   std::string take() { return std::exchange(words, {}); }
 };
 
-struct Bench {
+struct FrontFixture {
   asio::io_context io;
-  Told told;
+  OpRecorder recorder;
   Front front{io,
               TestConnection::at(5050),
               24,
               256 * 1024,
               {{"look", "book"}, {false, true}, {"acme", "other"}, true},
-              told};
+              recorder};
   TestConnection peer;
-  Bench() : peer((begin(), TestConnection::to(5050))) {}
-  ~Bench() {
+  FrontFixture() : peer((begin(), TestConnection::to(5050))) {}
+  ~FrontFixture() {
     TestConnection::turn = [] {};
   }
   void begin() {
-    told.front = &front;
+    recorder.front = &front;
     front.accept_retry_delay(ms);
     front.set_eviction_order({Eviction::newest}, 4000);
     front.connection_drain_delay(second);
@@ -66,15 +66,15 @@
   }
 };
 
-std::string every_byte() {
+std::string all_byte_values() {
   std::string bytes;
   for (int i = 0; i < 2048; ++i) bytes += static_cast<char>(i);
   return bytes;
 }
 
-void in_pieces() {
-  say("a request, a check and a keyed request: cut at each place, and byte by byte");
-  Bench b;
+void test_fragmentation() {
+  section("a request, a check and a keyed request: cut at each place, and byte by byte");
+  FrontFixture b;
   b.peer.set_no_delay();
   std::uint32_t stream = 0;
   const auto three = [&] {
@@ -90,7 +90,7 @@
     return said;
   };
   b.peer.say(three());
-  const std::string answers = heard(), whole = b.told.take();
+  const std::string answers = heard(), whole = b.recorder.take();
   std::printf("%s", whole.c_str());
   std::size_t cuts = 0, alike = 0;
   for (std::size_t at = 1;; ++at) {
@@ -99,30 +99,30 @@
     b.peer.say(std::string_view(bytes).substr(0, at));
     b.peer.say(std::string_view(bytes).substr(at));
     ++cuts;
-    alike += heard() == answers && b.told.take() == whole;
+    alike += heard() == answers && b.recorder.take() == whole;
   }
   for (const char byte : three()) b.peer.say(std::string_view(&byte, 1));
   ++cuts;
-  alike += heard() == answers && b.told.take() == whole;
+  alike += heard() == answers && b.recorder.take() == whole;
   std::printf("  over 250 cuts: %d, all alike: %d\n", cuts > 250, alike == cuts);
 
-  say("two hundred at once, over every bound of what is read at a time");
+  section("two hundred at once, over every bound of what is read at a time");
   std::string all;
   for (int i = 0; i < 200; ++i)
     all += ask(++stream, "9b1f03aa5c7e2d41", {}, std::string(static_cast<std::size_t>(i * 9), 'x'));
-  const std::size_t before = b.told.ops;
+  const std::size_t before = b.recorder.ops;
   b.peer.say(all);
   for (int i = 0; i < 200; ++i) b.peer.frame();
-  std::printf("  %zu read\n", b.told.ops - before);
+  std::printf("  %zu read\n", b.recorder.ops - before);
 }
 
-void requests() {
-  say("fields in another order, more of them, empty ones; the bounds of each number; bodies");
-  Bench b;
+void test_request_forms() {
+  section("fields in another order, more of them, empty ones; the bounds of each number; bodies");
+  FrontFixture b;
   std::uint32_t stream = 0;
   const auto read = [&](const std::string& bytes) {
     b.peer.say(bytes);
-    const std::string answer = b.peer.frame(), words = b.told.take();
+    const std::string answer = b.peer.frame(), words = b.recorder.take();
     std::printf("  %s  %s\n", words.c_str(), answer.c_str());
   };
   const std::string txn = "00000000000000ff";
@@ -150,9 +150,9 @@
   for (int i = 0; many.size() < 255; ++i) many.emplace_back("f" + std::to_string(i), i % 2 ? "" : "value");
   read(frame_of(frames::request, ++stream, many, "b"));
   read(ask(++stream, txn, {{"unique", "a mark where none is asked for"}}, ""));
-  read(ask(++stream, txn, {}, every_byte()));
+  read(ask(++stream, txn, {}, all_byte_values()));
 
-  say("checks: on any stream, the same again, without fields, as long as a frame may be");
+  section("checks: on any stream, the same again, without fields, as long as a frame may be");
   for (const std::uint32_t on : {0u, 7u, 7u, 4294967295u}) read(frame_of(frames::health_check, on, {}));
   Fields longest;
   for (int i = 0; i < 5; ++i) longest.emplace_back("f" + std::to_string(i), std::string(50'000, 'x'));
@@ -163,8 +163,8 @@
   read(frame);
   read(ask(++stream, txn));
 
-  say("streams that are new, in any order: downwards, with gaps, all over");
-  const std::size_t before = b.told.ops;
+  section("streams that are new, in any order: downwards, with gaps, all over");
+  const std::size_t before = b.recorder.ops;
   std::size_t asked = 0, answered = 0;
   const auto on = [&](std::uint32_t number) {
     b.peer.say(ask(number, txn));
@@ -176,20 +176,20 @@
   Pcg chance(5);
   for (int i = 0; i < 300; ++i) on(4000 + (chance.next() >> 8));
   on(4294967295u);
-  std::printf("  all read: %d, all answered on theirs: %d\n", b.told.ops - before == asked,
+  std::printf("  all read: %d, all answered on theirs: %d\n", b.recorder.ops - before == asked,
               answered == asked);
 
-  say("one that is still open is not new, however many came since");
+  section("one that is still open is not new, however many came since");
   TestConnection other = TestConnection::to(5050);
-  b.told.leave_open = true;
+  b.recorder.leave_open = true;
   other.say(ask(10, txn));
-  b.told.leave_open = false;
+  b.recorder.leave_open = false;
   for (std::uint32_t i = 1; i <= 200; ++i) other.say(ask(10 + 2 * i, txn)), other.frame();
   other.say(ask(10, txn));
   std::printf("  %s\n", other.frame().c_str());
 }
 
-struct Heard final : InterpreterLink::Handler {
+struct NoticeRecorder final : InterpreterLink::Handler {
   std::string words;
   int caught = 0;
   void machine_up(Nanos since) override { words += "  up for " + std::to_string(since / ms) + "\n"; }
@@ -210,10 +210,10 @@
   }
 };
 
-void notices() {
-  say("notices in other orders, with spaces, escapes, members that say nothing, lines ended as in a "
-      "terminal; "
-      "whole, cut at each place, and byte by byte");
+void test_notice_forms() {
+  section("notices in other orders, with spaces, escapes, members that say nothing, lines ended as in a "
+          "terminal; "
+          "whole, cut at each place, and byte by byte");
   const std::string up = "{\"wall_ms\" : 1.25e3, \"code\":\"running\",\"action\":\"BANNER\"}\r\n";
   const std::string more =
       "{ \"pos\":1 "
@@ -233,7 +233,7 @@
   std::size_t cuts = 0, alike = 0;
   for (std::size_t cut = 0; cut <= more.size(); ++cut) { // whole first, byte by byte last
     asio::io_context io;
-    Heard heard;
+    NoticeRecorder heard;
     InterpreterLink link(io, TestConnection::at(7300), 1 << 20, heard);
     link.link_reconnect_delay(ms);
     TestConnection::turn = [&] {
@@ -265,7 +265,7 @@
 } // namespace
 
 int main() {
-  in_pieces();
-  requests();
-  notices();
+  test_fragmentation();
+  test_request_forms();
+  test_notice_forms();
 }
--- a/tests/settings.cpp
+++ b/tests/settings.cpp
@@ -4,7 +4,7 @@
                   std::initializer_list<const char*> without) {
   try {
     Driver s(more, without);
-    s.say("taken");
+    s.section("taken");
   } catch (const std::exception& e) {
     std::puts(e.what());
   }
--- a/tests/share.cpp
+++ b/tests/share.cpp
@@ -11,20 +11,20 @@
 // Each server by itself stays within its share, in one life; all together with room, in all lives.
 constexpr double room = 0.95;
 
-struct Day {
-  const char* what;
-  bool one_life;
+struct Scenario {
+  const char* title;
+  bool one_incarnation;
   std::function<void(Nanos at, RecordsStub&, std::vector<std::unique_ptr<SimulatedServer>>&)> at; // each ms
 };
 
-bool play(const Day& day) {
-  std::printf("# %s\n", day.what);
+bool run_scenario(const Scenario& scenario) {
+  std::printf("# %s\n", scenario.title);
   RecordsStub service;
   std::vector<std::unique_ptr<SimulatedServer>> places;
   for (unsigned n = 0; n < servers; ++n) places.push_back(std::make_unique<SimulatedServer>(service, n));
   double most_sum = 0;
   for (Nanos t = 0; t < 14 * second; t += ms) {
-    day.at(t, service, places);
+    scenario.at(t, service, places);
     double sum = 0;
     for (auto& place : places) {
       place->step(t, t / ms % 50 == 7 * place->number);
@@ -41,7 +41,7 @@
     acked += place->acked, nacked += place->nacked, failed += place->failed_ops;
     most = std::max(most, place->most / share);
   }
-  const bool within = most_sum <= room && (most <= 1 || !day.one_life);
+  const bool within = most_sum <= room && (most <= 1 || !scenario.one_incarnation);
   std::printf("  most %.2f of all shares, %.2f of one; acked %d, nacked %d, failed %d: %s\n", most_sum, most,
               acked, nacked, failed, within ? "within" : "OVER");
   return within;
@@ -52,7 +52,7 @@
 constexpr double budget = 12;
 const double slack = 2 * std::sqrt(budget) + 2;
 
-bool cold(unsigned count, Nanos apart) {
+bool run_cold_start(unsigned count, Nanos wave_interval) {
   RecordsStub service;
   service.call_duration = 60 * ms;
   std::vector<std::unique_ptr<SimulatedServer>> places;
@@ -66,7 +66,7 @@
   for (Nanos t = 0; t < 8 * second; t += ms) {
     double in_hand = 0;
     for (auto& place : places) {
-      const Nanos begins = apart * (place->number % 4);
+      const Nanos begins = wave_interval * (place->number % 4);
       if (t == begins) place->begin(t, 100 * ms);
       place->step(t, place->core && t / ms % 50 == place->number % 50);
       in_hand += place->in_flight.count();
@@ -87,14 +87,14 @@
 
 int main() {
   const auto calm = [](Nanos, RecordsStub&, auto&) {};
-  const auto stands = [](Nanos t, RecordsStub& s, auto&) {
+  const auto stalled = [](Nanos t, RecordsStub& s, auto&) {
     if (t == 5 * second) s.stalled_until = t + 1300 * ms;
   };
   const auto slow = [](Nanos t, RecordsStub& s, auto&) {
     if (t == 4 * second) s.call_duration = 400 * ms;
     if (t == 9 * second) s.call_duration = 5 * ms;
   };
-  const auto mute = [](Nanos t, RecordsStub& s, auto&) {
+  const auto lost_replies = [](Nanos t, RecordsStub& s, auto&) {
     if (t == 2 * second) s.reply_loss = 0.03;
   };
   const auto hangs = [](Nanos t, RecordsStub& s, auto&) {
@@ -106,15 +106,15 @@
     if (t > 4 * second && t < 9 * second && t % (500 * ms) == 0) places[k]->kill();
     if (t > 4 * second && t < 9 * second && t % (500 * ms) == 400 * ms) places[k]->begin(t, 100 * ms);
   };
-  bool good = play({"calm", true, calm});
-  good &= play({"the service stands still for 1.3 s", true, stands});
-  good &= play({"each call takes 400 ms for 5 s", true, slow});
-  good &= play({"three replies in a hundred never come", true, mute});
-  good &= play({"calls don't end any more, those in hand go on at the old address", true, hangs});
-  good &= play({"slow, and a server is killed and begun anew every 500 ms", false, killed});
+  bool good = run_scenario({"calm", true, calm});
+  good &= run_scenario({"the service stands still for 1.3 s", true, stalled});
+  good &= run_scenario({"each call takes 400 ms for 5 s", true, slow});
+  good &= run_scenario({"three replies in a hundred never come", true, lost_replies});
+  good &= run_scenario({"calls don't end any more, those in hand go on at the old address", true, hangs});
+  good &= run_scenario({"slow, and a server is killed and begun anew every 500 ms", false, killed});
   std::puts("# cold at once");
-  for (const unsigned count : {1u, 20u, 30u, 300u}) good &= cold(count, 0);
+  for (const unsigned count : {1u, 20u, 30u, 300u}) good &= run_cold_start(count, 0);
   std::puts("# cold in four waves, a second apart");
-  for (const unsigned count : {1u, 20u, 30u, 300u}) good &= cold(count, second);
+  for (const unsigned count : {1u, 20u, 30u, 300u}) good &= run_cold_start(count, second);
   return good ? 0 : 1;
 }
