--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -10,21 +10,23 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-enum class Kind { number, flag, word, label }; // a label is a text that is taken as it stands
+// How a value is read: `word` is translated by module_value(), `label` is taken as it stands.
+enum class Kind { number, flag, word, label };
 
-struct Name {
-  const char* wire;
-  const char* ours;
+// Maps a name in the configuration to the module's name of the same setting.
+struct Mapping {
+  const char* outer_name;
+  const char* module_name;
   Kind kind = Kind::number;
 };
-using Names = std::initializer_list<Name>;
+using Mappings = std::initializer_list<Mapping>;
 
-[[noreturn]] void bad(const std::string& key, const char* why) {
-  throw std::invalid_argument(key + ": " + why);
+[[noreturn]] void bad(const std::string& key, const char* reason) {
+  throw std::invalid_argument(key + ": " + reason);
 }
 
-// The wire's words for the values that the module reads as texts, in ours.
-std::string our_word(std::string_view word) {
+// Translates a value of the configuration to the module's name for it; unknown values pass unchanged.
+std::string module_value(std::string_view word) {
   if (word == "idempotency_key") return "keyed";
   if (word == "non_idempotent") return "non_retryable";
   if (word == "read_like") return "retryable";
@@ -37,7 +39,7 @@
   return std::string(word);
 }
 
-void put(Settings& given, const element& at, const std::string& key, const std::string& ours, Kind kind) {
+void put(Settings& settings, const element& at, const std::string& key, const std::string& name, Kind kind) {
   if (at.is_null()) return;
   bool flag = false;
   double value = 0;
@@ -45,44 +47,44 @@
   switch (kind) {
   case Kind::flag:
     if (at.get(flag) != simdjson::SUCCESS) bad(key, "not true or false");
-    given[ours] = flag ? 1.0 : 0.0;
+    settings[name] = flag ? 1.0 : 0.0;
     return;
   case Kind::number:
     if (at.get(value) != simdjson::SUCCESS) bad(key, "not a number");
-    // Against spans that don't fit into whole nanoseconds.
+    // Larger spans would overflow a count of nanoseconds.
     if (!(value >= 0) || value > static_cast<double>(std::numeric_limits<Nanos>::max() / 4))
       bad(key, "out of range");
-    given[ours] = value;
+    settings[name] = value;
     return;
   case Kind::word:
   case Kind::label:
     if (at.get(word) != simdjson::SUCCESS) bad(key, "not a text");
-    given[ours] = kind == Kind::word ? our_word(word) : std::string(word);
+    settings[name] = kind == Kind::word ? module_value(word) : std::string(word);
     return;
   }
 }
-void take_all(Settings& given, const object& from, const std::string& path, const std::string& before,
-              Names names) {
-  for (const Name& name : names)
-    if (element at; from[name.wire].get(at) == simdjson::SUCCESS)
-      put(given, at, path + name.wire, before + name.ours, name.kind);
+void put_fields(Settings& settings, const object& from, const std::string& path, const std::string& prefix,
+                Mappings mappings) {
+  for (const Mapping& mapping : mappings)
+    if (element at; from[mapping.outer_name].get(at) == simdjson::SUCCESS)
+      put(settings, at, path + mapping.outer_name, prefix + mapping.module_name, mapping.kind);
 }
-// Hands each element of a list to `each`, with its number and its path.
+// Calls `each` with every element of the list `name`, its index and its path. An absent list is skipped.
 template <class Each>
-void take_row(const object& from, const char* name, const std::string& path, Each each) {
+void for_each_element(const object& from, const char* name, const std::string& path, Each each) {
   element at;
   if (from[name].get(at) != simdjson::SUCCESS || at.is_null()) return;
   simdjson::dom::array row;
   if (at.get(row) != simdjson::SUCCESS) bad(path + name, "not a list");
   std::size_t i = 0;
-  for (const element one : row) {
-    each(one, std::to_string(i), path + name + "[" + std::to_string(i) + "]");
+  for (const element item : row) {
+    each(item, std::to_string(i), path + name + "[" + std::to_string(i) + "]");
     ++i;
   }
 }
-// Hands the object under a name, if it is there, to `each` with its path.
+// Calls `each` with the object `name` and its path if it is present.
 template <class Each>
-void take_part(const object& from, const char* name, const std::string& path, Each each) {
+void with_object(const object& from, const char* name, const std::string& path, Each each) {
   element at;
   if (from[name].get(at) != simdjson::SUCCESS || at.is_null()) return;
   object part;
@@ -92,30 +94,32 @@
 
 } // namespace
 
-Settings parse_settings(const object& settings, const std::string& path) {
-  Settings given;
-  const auto values = [&](const char* name, Names names) {
-    take_part(settings, name, path, [&](const object& part, const std::string& inside) {
-      take_all(given, part, inside, "", names);
+Settings parse_settings(const object& source, const std::string& path) {
+  Settings settings;
+  const auto values = [&](const char* name, Mappings mappings) {
+    with_object(source, name, path, [&](const object& part, const std::string& subpath) {
+      put_fields(settings, part, subpath, "", mappings);
     });
   };
-  const auto row = [&](const object& from, const char* name, const std::string& inside, std::string before,
-                       const char* after, Kind kind) {
-    take_row(from, name, inside, [&](const element& at, const std::string& i, const std::string& key) {
-      put(given, at, key, before + i + after, kind);
-    });
+  const auto row = [&](const object& from, const char* name, const std::string& subpath, std::string prefix,
+                       const char* suffix, Kind kind) {
+    for_each_element(from, name, subpath,
+                     [&](const element& at, const std::string& i, const std::string& key) {
+                       put(settings, at, key, prefix + i + suffix, kind);
+                     });
   };
-  const auto entries = [&](const char* name, const char* before, Names names) {
-    take_row(settings, name, path, [&](const element& at, const std::string& i, const std::string& key) {
-      object entry;
-      if (at.get(entry) != simdjson::SUCCESS) bad(key, "not an object");
-      take_all(given, entry, key + ".", std::string(before) + i + ".", names);
-    });
+  const auto entries = [&](const char* name, const char* prefix, Mappings mappings) {
+    for_each_element(source, name, path,
+                     [&](const element& at, const std::string& i, const std::string& key) {
+                       object entry;
+                       if (at.get(entry) != simdjson::SUCCESS) bad(key, "not an object");
+                       put_fields(settings, entry, key + ".", std::string(prefix) + i + ".", mappings);
+                     });
   };
-  take_all(given, settings, path, "",
-           {{"fleet_size", "fleet_size"},
-            {"value_by", "value_by", Kind::word},
-            {"over_share_worth", "over_share_worth"}});
+  put_fields(settings, source, path, "",
+             {{"fleet_size", "fleet_size"},
+              {"value_by", "value_by", Kind::word},
+              {"over_share_worth", "over_share_worth"}});
   values("family_info", {{"below", "below", Kind::word},
                          {"callers", "callers"},
                          {"calls_out", "call_share"},
@@ -132,10 +136,10 @@
                          {"run_factor", "run_factor"},
                          {"say", "say", Kind::word},
                          {"stays_for_ns", "call_linger_ns"}});
-  take_part(settings, "family_info", path, [&](const object& info, const std::string& inside) {
-    row(info, "gauges", inside, "gauge.", "", Kind::word);
-    row(info, "calls_by_class", inside, "op_type.", ".may_call", Kind::flag);
-    row(info, "class_skip_worth", inside, "op_type.", ".without_share", Kind::number);
+  with_object(source, "family_info", path, [&](const object& info, const std::string& subpath) {
+    row(info, "gauges", subpath, "gauge.", "", Kind::word);
+    row(info, "calls_by_class", subpath, "op_type.", ".may_call", Kind::flag);
+    row(info, "class_skip_worth", subpath, "op_type.", ".without_share", Kind::number);
   });
   values("invariants", {{"cold_from", "cold_from"},
                         {"warm_after_ns", "warm_after_ns"},
@@ -154,7 +158,7 @@
            {"aim_stretch", "target_stretch"},
            {"effect", "repeats", Kind::word}});
   entries("parties", "tenant.", {{"name", "name", Kind::label}, {"quota_rps", "quota"}});
-  return given;
+  return settings;
 }
 
 } // namespace cometshift
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -1,5 +1,5 @@
-// From the settings of the simulator's first message, which a real server gets in its configuration, to the
-// plain map that the module reads. The wire's names of settings end here.
+// Translates the settings of the configuration file, or of the simulator's first message, to the flat map
+// that the decision module reads. The outer names of settings are used only here.
 #pragma once
 
 #include "state.hpp"
@@ -8,8 +8,9 @@
 
 namespace cometshift {
 
-// Throws std::invalid_argument naming a key whose value is of the wrong kind or senseless, with `path`, which
-// ends in a dot or is empty, before it. Absent keys stay out, unknown ones are ignored.
-Settings parse_settings(const simdjson::dom::object& settings, const std::string& path = {});
+// Reads the settings in `source`. `path` is empty or ends in a dot, and precedes the key in error messages.
+// Absent keys are left out and unknown keys are ignored. Throws std::invalid_argument naming the key whose
+// value is of the wrong type or out of range.
+Settings parse_settings(const simdjson::dom::object& source, const std::string& path = {});
 
 } // namespace cometshift
