--- a/simhost/main.cpp
+++ b/simhost/main.cpp
@@ -1,6 +1,6 @@
-// cometshift_simhost: hosts one DecisionModule for each instance of the simulator and speaks its wire on
-// standard input and output. It only carries: every decoded field goes straight into a call, every action
-// into a line. Names of the wire end here. A defect in the input ends the process with one line on standard
+// cometshift_simhost: hosts one DecisionModule per simulated instance and speaks the simulator's protocol on
+// standard input and output. It only translates: every decoded event becomes a call, every action a line.
+// Names of the protocol are used only here. An error in the input ends the process with one line on standard
 // error.
 #include "decision_module.hpp"
 #include "hex.hpp"
@@ -23,12 +23,14 @@
 
 namespace {
 
+// Error in the input or in the standard streams.
 struct ProtocolError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// ---- actions to lines
+// ---- actions, encoded as lines
 
+// Output buffer for the lines of one batch.
 class OutputBuffer {
   std::string out_;
 
@@ -60,6 +62,7 @@
   }
 };
 
+// Writes the actions of one instance as lines.
 class WireServer final : public Server {
   OutputBuffer& lines_;
   std::int64_t instance_;
@@ -121,7 +124,7 @@
   void panic(std::string_view words) { open("PANIC"), field("words", words), close(); }
 };
 
-// ---- lines to calls
+// ---- lines, decoded into calls
 
 [[noreturn]] void protocol_error(std::string_view what, std::string_view name) {
   throw ProtocolError(std::string(what) + " \"" + std::string(name) + "\"");
@@ -148,7 +151,7 @@
 OpId parse_op_id(const object& o) {
   return parse_id(required_field<std::string_view>(o, "msg_id"), "msg_id");
 }
-// A span or a time that must not be negative.
+// Returns a duration or time, 0 if absent, which must not be negative.
 Nanos duration_field(const object& o, std::string_view name) {
   const Nanos value = optional_field<std::int64_t>(o, name).value_or(0);
   if (value < 0) protocol_error("negative time in field", name);
@@ -172,6 +175,7 @@
   std::unique_ptr<DecisionModule> decision_module;
 };
 
+// Dispatches the messages of the simulator to its instances.
 class Host {
   OutputBuffer lines_;
   std::map<std::int64_t, Instance> instances_;
@@ -214,7 +218,7 @@
       instances_.erase(at);
       return;
     }
-    if (!at->second.decision_module) return; // it was reported as failed at its start
+    if (!at->second.decision_module) return; // its start-up error has been reported
     DecisionModule& decision_module = *at->second.decision_module;
     const auto deliver = [&](auto step) { report_exceptions(at->second, step); };
     if (name == "REMINDER") {
@@ -324,7 +328,7 @@
         if (buffer.size() - padding - filled < chunk / 2) buffer.resize(buffer.size() * 2);
       }
       const ssize_t n = read(STDIN_FILENO, buffer.data() + filled, buffer.size() - padding - filled);
-      if (n < 0) throw ProtocolError("standard input can't be read");
+      if (n < 0) throw ProtocolError("cannot read standard input");
       if (n == 0) {
         if (from < filled || host.in_batch()) throw ProtocolError("the input ends within a batch");
         return 0;
@@ -338,7 +342,7 @@
             std::string_view::npos) {
           element message;
           if (parser.parse(buffer.data() + from, end - from, false).get(message) != simdjson::SUCCESS)
-            throw ProtocolError("not the wire's JSON");
+            throw ProtocolError("invalid JSON");
           host.line(message);
         }
         from = look = end + 1;
--- a/src/decision_module.cpp
+++ b/src/decision_module.cpp
@@ -1,16 +1,19 @@
-// cometshift's decisions, all of them. One `DecisionModule` serves one server: call `op_read` and the others
-// below as things happen; it acts at once through the `Server` that it was built with. Both are declared in
-// decision_module.hpp, what is remembered of an op in state.hpp.
+// The decision module: admission, scheduling, deduplication, calls to the downstream service and feedback to
+// callers. One `DecisionModule` serves one server. Its owner reports each event by a call of `op_read` or one
+// of the other public functions; the module responds at once through the `Server` passed to its constructor.
+// Both are declared in decision_module.hpp, the state of an op in state.hpp.
 //
-// The design (docs/design.md) decides the ordinary path: health is stored and turns bad at the drain notice,
-// ops are served through the shutdown delay, and a cap bounds the running ops. Beside it stand six
-// mechanisms:
-//   1. hold: the order, pauses for urgent ops, and which are nacked, by importance still to be won per work
-//   2. guard: memory and the crowd on the cores, by warmth; every op answered by its due time
-//   3. keys: repeats of keyed ops are known and never run twice; reads may share answers
-//   4. calls: a budget, time-outs, a breaker, answers without the call
-//   5. callers: the value they are told, advice to stay away and not to retry elsewhere, idle connections
-//   6. stall watch: progress is asked for before the gauge of the cores is believed
+// The design (docs/design.md) specifies the ordinary path: health is stored and turns bad at the drain
+// notice, ops are served until the shutdown delay ends, and a cap bounds the number of running ops. Six
+// mechanisms complement it:
+//   1. queue: its order, pauses for urgent ops, and which ops are nacked, by achievable importance per unit
+//     of work
+//   2. resource limits: memory and the number of running ops, which depends on how warm the server is; every
+//     op is answered by its due time
+//   3. keys: repeats of keyed ops are recognized and never run twice; reads may share answers
+//   4. calls: a budget, time-outs, a circuit breaker, answers without the call
+//   5. callers: the feedback value, advice on when to retry and not to retry elsewhere, idle connections
+//   6. stall detection: runs must make progress before the gauge of the cores is believed
 #include "decision_module.hpp"
 
 #include <algorithm>
@@ -24,114 +27,180 @@
 constexpr Nanos ms = 1'000'000;
 constexpr Nanos second = 1000 * ms;
 
-constexpr Nanos tick = 20 * ms; // between looks: short against target latencies; dues are met two early
-constexpr Nanos gauge_window = 500 * ms; // what the gauge of the cores averages over
-constexpr double free_cores_threshold =
-    0.9; // part of the cores busy: under it they read free, noise allowed for
-constexpr double cap_growth_factor =
-    1.25;                               // a tick: doubles within four, fast against a gauge of half a second
-constexpr double cap_cut_factor = 0.85; // a cut: undoes about one step of growth
-constexpr Nanos cap_cut_interval = 500 * ms;  // between cuts: as long as the gauge takes to show the last
-constexpr double congested_latency_ratio = 2; // times the base: the design's figure
-constexpr double max_running_fraction = 0.85; // of the survivable crowd: room for what resumes unasked
-constexpr double memory_fraction = 0.95;      // of the memory: room for ops read in the same instant
-constexpr double shared_read_memory_fraction =
-    0.5; // of the memory: reads are remembered only under it, keys come first
-constexpr double call_budget_fraction = 0.9; // of the share of calls: room for the time a reply takes
-constexpr float long_history = 64;  // ops until a histogram is halved: ten seconds or so of one op type
-constexpr float short_history = 24; // the same for what is to show the last seconds
-constexpr float min_samples = 8;    // ops in a histogram before it is believed
-constexpr float common_timeout_fraction =
-    0.1; // of the patiences told: what comes more seldom is left of a later try
-constexpr Nanos base_rise_divisor =
-    256; // part of it a base rises a run: hundreds, so a jam doesn't become one
-constexpr double planning_quantile = 0.7; // part of runs that take no longer than planned for
-constexpr double redirect_quantile = 0.5; // a run that long must fit, or the op is sent on to another server
-// of the target latency: a longer wait leaves no time to go elsewhere
+// Interval of periodic work in woken(): short compared with target latencies. Ops are answered two ticks
+// before they are due.
+constexpr Nanos tick = 20 * ms;
+// Period over which the gauge of busy cores is averaged.
+constexpr Nanos gauge_window = 500 * ms;
+// Cores count as free while a smaller fraction of them is busy. The margin allows for noise in the gauge.
+constexpr double free_cores_threshold = 0.9;
+// Growth per tick. The cap doubles within four ticks, fast compared with the half second of the gauge.
+constexpr double cap_growth_factor = 1.25;
+// One cut undoes about one step of growth.
+constexpr double cap_cut_factor = 0.85;
+// Minimum time between cuts: the gauge takes that long to show the effect of the last one.
+constexpr Nanos cap_cut_interval = 500 * ms;
+// Latency counts as congested from this multiple of its base (docs/design.md).
+constexpr double congested_latency_ratio = 2;
+// Fraction of the survivable number of running ops that may be started. The rest is for ops that resume by
+// themselves after a call.
+constexpr double max_running_fraction = 0.85;
+// Fraction of the memory that may be used. The rest is for ops read at the same instant.
+constexpr double memory_fraction = 0.95;
+// Reads are kept for sharing only while less than this fraction of the memory is used: keyed ops have
+// priority.
+constexpr double shared_read_memory_fraction = 0.5;
+// Fraction of the call share that may be used. The rest covers the time that a reply takes to arrive.
+constexpr double call_budget_fraction = 0.9;
+// Samples after which the counts of a histogram are halved: about ten seconds of one op type.
+constexpr float long_history = 64;
+// The same for histograms that show the last few seconds.
+constexpr float short_history = 24;
+// Samples that a histogram needs before it is used.
+constexpr float min_samples = 8;
+// A caller timeout that makes up a smaller fraction of the recent ones is taken for what is left to a retry.
+constexpr float common_timeout_fraction = 0.1;
+// A base rises by at most 1/256 per run. That takes hundreds of runs, so that congestion does not become the
+// base.
+constexpr Nanos base_rise_divisor = 256;
+// Quantile of run times that plans assume.
+constexpr double planning_quantile = 0.7;
+// If a run of this quantile does not fit, a first try is nacked so that a faster server can run it.
+constexpr double redirect_quantile = 0.5;
+// Maximum wait in the queue as a fraction of the target latency: a longer one leaves no time to try
+// elsewhere.
 constexpr double max_wait_fraction = 0.25;
-constexpr double relaxed_wait_fraction = 0.75; // the same while nacks are rare: a line by chance is soon gone
-constexpr double max_weight_wait_factor =
-    1.4; // times, of what counts for more than others: at twice, runs begin too late
-constexpr double rare_nack_fraction =
-    0.125;                                 // part of the ops read: under it, the rarer, the longer lines stay
-constexpr Nanos min_remaining_divisor = 4; // part of a run that a paused one is thought to need at the least
-constexpr Nanos preemption_slack_factor =
-    2; // of the urgent op: a run that is paused for it must have more to spare
-constexpr double hopeless_quantile = 0.2;    // under this chance of being in time an op is not begun
-constexpr Nanos max_remote_speedup = 2;      // times: another server may be as much faster than this one
-constexpr double estimate_slope_prior = 0.5; // of the spread of a caller's guess, before its worth is known
-constexpr double estimate_slope_step = 1.0 / 128; // of a run in that worth: some hundred runs make it
-constexpr double estimate_prior_weight = 8;       // ops that this trust weighs as much as
-constexpr double default_run_fraction = 0.25;     // of the target latency: a run's length before any was seen
-constexpr Nanos call_tail_factor =
-    2; // times the 95th of 100 calls after a failure, four else: longer is lost
-constexpr double call_tail_quantile =
-    0.95; // part of the calls that are shorter: the tail is looked at from there
-constexpr double short_call_fraction =
-    0.05; // of a run: waiting it out idles a core less than a run too many costs
-constexpr double single_call_fraction =
-    0.5; // of the share that a lone short call may find used: it adds little itself
-constexpr double max_call_fraction = 0.8; // of the share: what lies below slows long before it breaks
-constexpr double min_call_fraction =
-    0.15; // of the share, in hand at once however slow they are: it crowds nothing
-constexpr double few_calls_fraction =
-    0.5; // of the share, at the most a few: in hand at once though they are slow
-constexpr double min_concurrent_calls =
-    2; // in hand at once however small the share: the budget guards its mean
-constexpr Nanos max_first_call_delay = 4 * second; // of a cold server before a call, at the most
-constexpr Nanos delay_not_drawn = -1;              // that rest, until a call fits
-constexpr double call_loss_threshold = 0.005;      // part of them: one of the last few hundred
-constexpr int call_mean_samples = 4; // points of a call's time at which the mean in hand is looked at
-constexpr Nanos default_call_timeout =
-    200 * ms; // a call's time-out where little fits, none seen: some round trips
-constexpr int breaker_failure_threshold = 5;      // calls failing in a row: as the operators' staff know it
-constexpr Nanos breaker_initial_delay = 250 * ms; // the breaker's first rest, then doubled: some round trips
-constexpr Nanos breaker_max_delay =
-    second; // its longest: a call a second is no load, more would outlast the trouble
-constexpr Nanos feedback_interval = 500 * ms; // over which nacks are counted for what callers are told
-constexpr double rate_decay = 0.8; // part of the rate before that a count leaves: about two seconds
-constexpr double admission_raise_step = 0.05; // raised a count without nacks: back within ten seconds
-constexpr double admission_cut_factor = 0.8;  // lowered a count with nacks
-constexpr double min_admission_level = 0.1;   // never shut: some traffic must tell when it may open again
-constexpr Nanos unread_wait_divisor =
-    4; // of the target latency: waiting longer than that to be read is a line
-constexpr Nanos process_pause_threshold =
-    3 * tick;                           // between calls in: a process that runs is woken every tick
-constexpr double stall_run_factor = 10; // mean runs without progress: chance does that once in thousands
-constexpr double stall_min_runs = 3;    // on the cores: fewer may all be long ones, and are given longer
-constexpr double wasted_reading_threshold =
-    0.02; // part of the cores that reads what is nacked: less isn't worth a word
-constexpr double unread_threshold = 0.05; // part of those read that waited long for it: fewer are chance
-constexpr double reading_average_step =
-    0.02; // of the part of the cores that reading takes, a look: the last second
-constexpr double initial_reading_fraction = 0.25;  // that part before it was seen: wary of dear reading
-constexpr double feedback_change_threshold = 0.05; // part of the value: less is not worth telling
-constexpr int reconnect_cost_divisor = 2;    // silent for the told idle time, it has cost so many new ones
-constexpr int max_idle_halvings = 6;         // least time that silent ones are kept: a 64th of the told one
-constexpr double min_idle_gain = 0.1;        // of the cost of connections: less isn't worth a change
-constexpr std::size_t max_callers = 8192;    // remembered, against a flood of made-up ones: 1 MB
-constexpr double min_caller_ops = 0.1;       // ops of late by a caller: fewer are none
-constexpr double nacked_rank_step = 0.05;    // of a nacked op's rank in their mean: the last twenty or so
-constexpr double fraction_step = 1.0 / 32;   // of an op in the parts of ops nacked or tried before
-constexpr double no_retry_factor = 4;        // times that part of the nacks ask not to try elsewhere
-constexpr double tokens_per_cap = 3;         // ops out here for each allowed to run, at full openness
-constexpr Nanos report_interval_divisor = 6; // of the time that a report counts: two may get lost, with room
-constexpr Nanos link_reconnect_delay = 20 * ms; // before the link is made anew: no load, short against a run
-constexpr Nanos min_link_silence_timeout =
-    2 * second; // of the link: machines stand still for less, and go on
-constexpr Nanos max_link_silence_timeout =
-    4 * second; // made anew once, it still leaves a new server ready within ten
-constexpr Nanos link_handover_timeout =
-    200 * ms; // for an old link to answer: many round trips, short against a run
-constexpr Nanos connection_drain_delay =
-    500 * ms;                                 // for callers to close what takes no new op: some round trips
-constexpr Nanos accept_retry_delay = 20 * ms; // after a failed accept: no spinning, no long wait
-constexpr Nanos orphan_query_delay =
-    2 * second;                            // by then both sides know that an op is over; most runs have ended
-constexpr Nanos frame_timeout = 1500 * ms; // for a frame to come whole: callers speak when they connect
-constexpr int max_invalid_ops =
-    8; // ops in a row that no caller sends, on one connection: no more is read of it
-// The mute are no callers, an idle caller only has to connect anew, the newest would lose an op.
+// The same while nacks are rare: a queue that formed by chance drains soon.
+constexpr double relaxed_wait_fraction = 0.75;
+// Maximum factor on the wait of ops with a higher weight. At 2, their runs start too late.
+constexpr double max_weight_wait_factor = 1.4;
+// Fraction of ops nacked below which a longer wait is allowed, the rarer the nacks the longer.
+constexpr double rare_nack_fraction = 0.125;
+// A paused run is assumed to need at least this part (1/4) of a whole run.
+constexpr Nanos min_remaining_divisor = 4;
+// A run is paused for an urgent op only if its slack exceeds this many runs of the urgent op.
+constexpr Nanos preemption_slack_factor = 2;
+// An op is not started if its chance of being in time is below this.
+constexpr double hopeless_quantile = 0.2;
+// Another server may be up to this many times as fast.
+constexpr Nanos max_remote_speedup = 2;
+// Fraction of the spread of work estimates that is believed before runs have shown how accurate they are.
+constexpr double estimate_slope_prior = 0.5;
+// Weight of one run in that fraction: about a hundred runs determine it.
+constexpr double estimate_slope_step = 1.0 / 128;
+// Weight of the prior, in runs.
+constexpr double estimate_prior_weight = 8;
+// Assumed run time before any was observed, as a fraction of the target latency.
+constexpr double default_run_fraction = 0.25;
+// A call is considered lost after this multiple of the call_tail_quantile following a failure, and after
+// twice as much otherwise.
+constexpr Nanos call_tail_factor = 2;
+// Quantile of call times from which the tail is estimated.
+constexpr double call_tail_quantile = 0.95;
+// Ops at calls shorter than this fraction of a run count under the cap: waiting for them idles a core for
+// less than one run too many costs.
+constexpr double short_call_fraction = 0.05;
+// A single short call may be made while less than this fraction of the budget is used: it adds little.
+constexpr double single_call_fraction = 0.5;
+// Upper bound of concurrent calls, as a fraction of the share: the downstream service slows down long before
+// it fails.
+constexpr double max_call_fraction = 0.8;
+// Lower bound of concurrent calls, as a fraction of the share, however slow they are: so few cause no
+// congestion.
+constexpr double min_call_fraction = 0.15;
+// The limit of concurrent slow calls is not cut below this fraction of the share or min_concurrent_calls,
+// whichever is less.
+constexpr double few_calls_fraction = 0.5;
+// Concurrent calls allowed however small the share is: the budget still bounds their mean.
+constexpr double min_concurrent_calls = 2;
+// Maximum random delay of a cold server before its first call.
+constexpr Nanos max_first_call_delay = 4 * second;
+// Value of next_call_at_ until a call fits and that delay is drawn.
+constexpr Nanos delay_not_drawn = -1;
+// Fraction of lost calls above which calls get shorter time-outs: one of the last few hundred.
+constexpr double call_loss_threshold = 0.005;
+// Intervals into which a call's duration is divided to check the mean number of calls in flight.
+constexpr int call_mean_samples = 4;
+// Time-out of a call where little fits and no call times are known: a few round trips.
+constexpr Nanos default_call_timeout = 200 * ms;
+// Consecutive failures that open the circuit breaker: the value that operators know.
+constexpr int breaker_failure_threshold = 5;
+// First delay of the open breaker, doubled after each failed trial: a few round trips.
+constexpr Nanos breaker_initial_delay = 250 * ms;
+// Maximum delay of the open breaker. A call per second is no load; a longer delay would outlast the fault.
+constexpr Nanos breaker_max_delay = second;
+// Period over which nacks are counted for the feedback to callers.
+constexpr Nanos feedback_interval = 500 * ms;
+// Part of a rate that remains after each period: rates average over about two seconds.
+constexpr double rate_decay = 0.8;
+// Raise per period without excessive nacks: back at 1 within ten seconds.
+constexpr double admission_raise_step = 0.05;
+// Factor per period with excessive nacks.
+constexpr double admission_cut_factor = 0.8;
+// Never 0: some traffic has to show when the level may rise again.
+constexpr double min_admission_level = 0.1;
+// An op that waited to be read for longer than this part (1/4) of its target latency shows a backlog of
+// unread ops.
+constexpr Nanos unread_wait_divisor = 4;
+// A longer gap between two calls of this module means that the process was paused: a running one is woken
+// every tick.
+constexpr Nanos process_pause_threshold = 3 * tick;
+// Mean run times without progress after which the cores count as stalled. Chance causes that once in
+// thousands of times.
+constexpr double stall_run_factor = 10;
+// With fewer runs on the cores, all of them may be long ones, and the limit is longer.
+constexpr double stall_min_runs = 3;
+// Fraction of the cores spent on reading nacked ops that is worth telling callers about.
+constexpr double wasted_reading_threshold = 0.02;
+// Fraction of ops that waited long to be read above which callers are told. Fewer occur by chance.
+constexpr double unread_threshold = 0.05;
+// Weight of one sample in the moving average of the fraction of cores spent on reading: it shows the last
+// second.
+constexpr double reading_average_step = 0.02;
+// That fraction before it is measured: reading is assumed to be expensive.
+constexpr double initial_reading_fraction = 0.25;
+// Relative change of the feedback value below which callers are not notified.
+constexpr double feedback_change_threshold = 0.05;
+// A connection that is silent for the configured idle timeout costs as much as this many new ones.
+constexpr int reconnect_cost_divisor = 2;
+// The idle timeout is at least 1/64 of the configured one.
+constexpr int max_idle_halvings = 6;
+// Relative gain in the cost of connections below which the idle timeout stays.
+constexpr double min_idle_gain = 0.1;
+// Callers remembered at most, against a flood of made-up caller ids: 1 MB.
+constexpr std::size_t max_callers = 8192;
+// A caller with a smaller recent number of ops is forgotten once it is silent.
+constexpr double min_caller_ops = 0.1;
+// Weight of a nacked op's rank in the mean rank: it covers about the last twenty.
+constexpr double nacked_rank_step = 0.05;
+// Weight of one op in the fractions of ops that were nacked or are retries.
+constexpr double fraction_step = 1.0 / 32;
+// Nacks ask not to retry elsewhere with this multiple of the fraction of retries or nacks.
+constexpr double no_retry_factor = 4;
+// Ops that callers may have in flight per op allowed to run, at an admission level of 1.
+constexpr double tokens_per_cap = 3;
+// Reports per lifetime of a report: two may be lost, with some margin.
+constexpr Nanos report_interval_divisor = 6;
+// No noticeable load, and short compared with a run.
+constexpr Nanos link_reconnect_delay = 20 * ms;
+// Interpreter machines pause for less than this and go on.
+constexpr Nanos min_link_silence_timeout = 2 * second;
+// A new server whose link is remade once is still ready within ten seconds.
+constexpr Nanos max_link_silence_timeout = 4 * second;
+// Many round trips, and short compared with a run.
+constexpr Nanos link_handover_timeout = 200 * ms;
+// For callers to close a connection that takes no new op: some round trips.
+constexpr Nanos connection_drain_delay = 500 * ms;
+// Delay after a failed accept: neither a busy loop nor a long wait.
+constexpr Nanos accept_retry_delay = 20 * ms;
+// By then both sides know that an op is over, and most runs have ended.
+constexpr Nanos orphan_query_delay = 2 * second;
+// For a complete frame to arrive: callers send one as soon as they connect.
+constexpr Nanos frame_timeout = 1500 * ms;
+// Consecutive ops on a connection that no caller would send, after which nothing more is read from it.
+constexpr int max_invalid_ops = 8;
+// A connection without any frame belongs to no caller, an idle caller only has to reconnect, and closing the
+// newest connection would lose an op.
 constexpr std::array eviction_order{Eviction::no_frame, Eviction::idle, Eviction::newest};
 
 template <class T>
@@ -213,15 +282,15 @@
   Nanos longest = 0, latest = 0;
   for (const OpType& type : types_) {
     longest = std::max(longest, type.op_timeout);
-    latest = std::max(latest, type.target_latency); // what is started into a dead link for as long is lost
+    latest = std::max(latest, type.target_latency); // ops started on a dead link during that time are lost
   }
   server_.set_timing(Timing::link_silence_timeout,
                      std::clamp(latest, min_link_silence_timeout, max_link_silence_timeout));
-  server_.set_timing(Timing::write_stall_timeout, longest); // nobody waits for it any more
+  server_.set_timing(Timing::write_stall_timeout, longest); // no caller waits for longer
   server_.set_timing(Timing::link_handover_timeout, link_handover_timeout);
   server_.set_timing(Timing::connection_drain_delay, connection_drain_delay);
   server_.set_timing(Timing::silent_connection_timeout,
-                     configured_idle_timeout_); // callers close after it themselves
+                     configured_idle_timeout_); // callers close it after that time themselves
   server_.set_timing(Timing::frame_timeout, frame_timeout);
   server_.set_eviction_order(eviction_order, max_invalid_ops);
   server_.set_timing(Timing::accept_retry_delay, accept_retry_delay);
@@ -230,7 +299,7 @@
   server_.wake_at(now + tick, WakeId{1});
 }
 
-// ---- the cap
+// ---- cap on running ops
 
 double DecisionModule::warm_fraction(Nanos now) const {
   if (!cold_start_ || warm_after_ <= 0) return 1;
@@ -243,10 +312,11 @@
       cores_, std::floor(max_running_fraction * cores_ * (1 + (fall_multiple_ - 1) * warm_fraction(now))));
 }
 
-// Growth wins over the cut. The gauge is believed only where ops were held for all of its span and runs get
-// on: against cores that read free because nothing moves (a hang), when more ops would only crowd them. As it
-// lags, the cores count as free only if fewer than there are of them are wanted at this moment: against
-// growing on a reading from before a rush, as at a cold server that all callers find at once.
+// Growth takes precedence over a cut. The gauge is used only if ops were queued for all of its window and
+// runs make progress: if nothing moves because of a hang, the cores read as free, and more ops would only
+// congest them. As the gauge lags, the cores count as free only if fewer ops want a core at this moment than
+// there are cores. Otherwise the cap would grow on a reading from before a burst, as on a cold server that
+// all callers find at once.
 void DecisionModule::adjust_cap(Nanos now) {
   const bool waiting = !queue_.empty() && now - queued_since_ >= gauge_window;
   const bool moving = now - last_progress_at_ < gauge_window;
@@ -269,19 +339,21 @@
   cap_ = std::clamp(cap_, cores_, max_running(now));
 }
 
-// ---- the stall watch
+// ---- stall detection
 
-// The clock of every call in. The time that a process stood still, seen as a jump, is not its cores' fault.
+// Called first by every public function. A jump of the clock means that the process was paused; that time
+// does not count as a lack of progress on the cores.
 void DecisionModule::advance_clock(Nanos now) {
   if (now - now_ > process_pause_threshold) last_progress_at_ = std::min(now, last_progress_at_ + now - now_);
   now_ = now;
 }
 
-// Guards against cores that stand still or crawl while ops go on being read: no run has ended or come to a
-// call for far longer than as many as run should take. Then nothing is taken, what is held is nacked so that
-// it can go elsewhere, and so are the retryable ops that hang on the cores. Health stays as stored: in a
-// storm many servers stall for a moment, and those left on the list would get the traffic of all. It may harm
-// a server on which one run is truly that long; such a run alone has to take many times the mean.
+// Detects cores that stall or crawl while ops are still being read: no run has ended or reached a call for
+// far longer than this many concurrent runs should take. From then on no op is accepted, queued ops are
+// nacked so that they can go elsewhere, and so are the retryable ops that hang on the cores. The stored
+// health stays good: during an incident many servers stall for a moment, and those left on the list would get
+// all the traffic. Drawback: a server may be affected by a single run that is truly that long, but such a run
+// has to take many times the mean.
 void DecisionModule::detect_stall(Nanos now) {
   if (on_core_ == 0 || stalled_) return;
   const bool known = std::none_of(ops_.begin(), ops_.end(), [this](const auto& entry) {
@@ -302,10 +374,11 @@
   }
 }
 
-// ---- the hold
+// ---- queue
 
-// Lengths are kept by the second of an op's hint, so that they show this server's speed; without hints every
-// op counts as a second. As guesses are rough, of their spread only so much counts as was seen in the runs.
+// Lengths are recorded per second of the caller's work estimate, scaled by `work_factor`, and so reflect this
+// server's speed; without an estimate an op counts as one second. As estimates are rough, only as much of
+// their spread is used as runs have confirmed.
 Nanos DecisionModule::core_time(const Op& op) const {
   const OpType& type = types_[op.type.raw];
   if (type.core_time.total() < min_samples)
@@ -325,7 +398,8 @@
   if (type.run_time.total() < min_samples) return core_time(op);
   const Nanos whole =
       static_cast<Nanos>(static_cast<double>(type.run_time.quantile(quantile)) * op.work_factor);
-  return std::max(whole / min_remaining_divisor, whole - op.core_time_used); // a paused one has done a part
+  return std::max(whole / min_remaining_divisor,
+                  whole - op.core_time_used); // a paused op has done part of its run
 }
 
 Nanos DecisionModule::target_deadline(const Op& op) const {
@@ -348,22 +422,24 @@
   return value_by_work_ ? weight : weight / static_cast<double>(std::max<Nanos>(1, core_time(op)));
 }
 
-// Puts the hold in the order of latest starts and walks it: where an op would start too late to be in time,
-// the one with the least worth for its work of those so far is nacked at once, so that its caller can go
-// elsewhere. Guards against a line in which all are late; harms if runs are taken for longer than they are.
+// Sorts the queue by latest start and walks it: where an op would start too late to be in time, the op with
+// the lowest value density among those walked so far is nacked at once, so that its caller can go elsewhere.
+// This prevents a queue in which every op is late. Drawback: ops are nacked needlessly if run times are
+// overestimated.
 void DecisionModule::plan_queue(Nanos now) {
   for (Op* op : queue_) op->latest_start_at = target_deadline(*op) - run_time(*op, planning_quantile);
   std::stable_sort(queue_.begin(), queue_.end(),
                    [](const Op* a, const Op* b) { return a->latest_start_at < b->latest_start_at; });
-  double ahead = std::max(0.0, static_cast<double>(on_core_) - cap_ + 1); // runs to end before the first may
+  double ahead = std::max(0.0, static_cast<double>(on_core_) - cap_ +
+                                   1); // runs that have to end before the first op can start
   double backlog =
-      static_cast<double>(parked_call_wait()) * cap_; // what is slower, cores or calls, sets the pace
+      static_cast<double>(parked_call_wait()) * cap_; // the slower of cores and calls sets the pace
   const double call_cost = static_cast<double>(call_interval()) * cap_;
   const auto cost_of = [&](const Op* op) {
     return std::max(static_cast<double>(core_time(*op)), types_[op->type.raw].may_call ? call_cost : 0);
   };
   const double mean_work_on_core =
-      ahead > 0 ? work_on_core() / on_core_ : 0; // mean work of what is on the cores
+      ahead > 0 ? work_on_core() / on_core_ : 0; // mean work of the ops on the cores
   const double rarity = std::max(0.0, 1 - nacked_fraction_ / rare_nack_fraction);
   const double wait_fraction = max_wait_fraction + (relaxed_wait_fraction - max_wait_fraction) * rarity;
   std::vector<Op*> rejected, accepted;
@@ -393,9 +469,9 @@
     reject(now, *op, can_meet_target(*op, now, hopeless_quantile) ? Reason::line : Reason::hopeless);
 }
 
-// Runs at a call so short that they are back before another would get anywhere: they count under the cap.
-// Guards against one run too many on few cores, which all slow each other for its whole length; harms where
-// runs over the cores cost nothing.
+// Ops at calls that are so short that they are back before another op would have got anywhere: they count
+// under the cap. This prevents one run too many on few cores, where all runs slow each other down for its
+// whole length. Drawback: lost capacity where runs beyond the number of cores cost nothing.
 int DecisionModule::returning_calls() const {
   double work = 0;
   for (const OpType& type : types_) work = std::max(work, type.core_time.mean());
@@ -416,7 +492,7 @@
     return false;
   const OpType& type = types_[op.type.raw];
   if (!type.may_call || type.value_fraction_without_call > 0) return true;
-  // Against work for ops that would only wait for their calls until they are late.
+  // An op that must call is not started if it would only wait for its call until it is late.
   return breaker_allows(now) && static_cast<double>(parked_call_wait()) <=
                                     max_wait_fraction * static_cast<double>(type.target_latency);
 }
@@ -446,9 +522,9 @@
     queued_since_ = now;
 }
 
-// Pauses a run that has time to spare for a held op that has none, where runs can be paused. Guards against
-// short target latencies being missed behind long runs, which on few cores may hold all of them; the cap
-// stays. It may harm where memory is short, as what is paused keeps it.
+// Pauses a run that has slack for a queued op that has none, where runs can be paused. This prevents short
+// target latencies from being missed behind long runs, which may occupy all of a few cores; the cap stays the
+// same. Drawback: a paused run keeps its memory, which matters where memory is short.
 void DecisionModule::preempt_for_urgent(Nanos now) {
   if (halt_ != Halt::pause || on_core_ < static_cast<int>(cap_)) return;
   for (Op* op : queue_) {
@@ -457,7 +533,7 @@
     Op* victim = nullptr;
     Nanos largest_slack = preemption_slack_factor * required;
     for (auto& [id, other] : ops_) {
-      if (other.pause_requested) return; // one is on its way
+      if (other.pause_requested) return; // a pause is already pending
       if (other.stage != Stage::on_core || other.answered || other.hung || other.paused ||
           types_[other.type.raw].retry_class != RetryClass::retryable)
         continue;
@@ -487,7 +563,7 @@
     if (other->original == op.id) reuse_original(now, *other);
 }
 
-// Leaves with an op what comes after the step that it is at.
+// Sets the continuations of the step that the op is at.
 void DecisionModule::set_continuations(Op& op) {
   if (op.stage == Stage::reusing)
     op.on_run_ended = [this](Op& ended, Outcome, Nanos) { erase_op(ended); };
@@ -517,15 +593,15 @@
 void DecisionModule::on_run_end(Nanos now, Op& op, Outcome outcome, Nanos elapsed) {
   leave_core(now, op);
   if (op.stage == Stage::calling) {
-    lingering_calls_.push_back(now + call_linger_); // its call is given up, not gone
-    trial_call_in_flight_ = false;                  // against waiting for the end of a trial that never comes
+    lingering_calls_.push_back(now + call_linger_); // the call is abandoned but still in progress downstream
+    trial_call_in_flight_ = false;                  // the end of this trial call will not be reported
   }
   erase_item(parked_, &op);
   --running_;
-  const bool requeued = outcome == Outcome::halted && !op.answered; // fell back into the hold
+  const bool requeued = outcome == Outcome::halted && !op.answered; // returns to the queue
   op.paused = op.paused || (requeued && halt_ == Halt::pause);
   if (!requeued || !op.paused) memory_kb_ -= op.held_kb * (run_memory_factor_ - 1);
-  if (outcome == Outcome::moot) keys_.erase(op.id); // nothing was begun
+  if (outcome == Outcome::moot) keys_.erase(op.id); // nothing was started
   if (outcome == Outcome::done && !op.hung) {
     OpType& type = types_[op.type.raw];
     const Nanos core = static_cast<Nanos>(static_cast<double>(op.core_time_used) / op.work_factor);
@@ -559,11 +635,11 @@
   ops_.erase(op.id);
 }
 
-// Nacks a held op that never ran; what did run is failed, since a nack would promise that it did not. Its
-// caller is asked not to try elsewhere if that is hopeless, if this was such a try already, and the likelier
-// the more of what comes has been nacked before (where that isn't marked: here). Guards against nacks that
-// only multiply reading and connecting where others are as full; harms where the few that have room are not
-// found by the first tries.
+// Nacks a queued op that never ran. An op that did run is failed, since a nack would promise that it did not.
+// The caller is asked not to retry elsewhere if that is hopeless, if this op was already such a retry, and
+// otherwise with a probability that grows with the fraction of ops that are retries (where retries are not
+// marked: of ops nacked here). This avoids nacks that only multiply reading and connecting while other
+// servers are just as full. Drawback: if few servers have room, the first tries may not find them.
 void DecisionModule::reject(Nanos now, Op& op, Reason reason) {
   if (op.ran) return fail_op(op, reason);
   ++recent_nacked_;
@@ -571,7 +647,7 @@
   mean_nacked_rank_ += (op.rank - mean_nacked_rank_) * nacked_rank_step;
   forget_unused_key(op);
   const bool hopeless = now + run_time(op, hopeless_quantile) / max_remote_speedup > target_deadline(op);
-  const bool local_problem = stalled_ || drain_started_at_ >= 0; // others need not be as badly off
+  const bool local_problem = stalled_ || drain_started_at_ >= 0; // other servers may be in a better state
   const bool others_full =
       !local_problem &&
       (op.is_retry ||
@@ -580,19 +656,20 @@
   erase_op(op);
 }
 
-// Nacks a retryable op off the cores: its run is worth nothing here and may be made elsewhere.
+// Nacks a retryable op that hangs on the cores: its run has no value here and may be repeated elsewhere.
 void DecisionModule::nack_hung(Op& op) {
   server_.nack(op.id, Reason::hung, false, retry_after());
   release(op);
 }
 
-// Fails an op wherever it stands. One on the cores is halted where that can be done, else it runs on unheard.
+// Fails an op at any stage. A run on the cores is halted where possible; otherwise it continues and its
+// result is discarded.
 void DecisionModule::fail_op(Op& op, Reason reason) {
   server_.fail(op.id, reason);
   release(op);
 }
 
-// After the final answer, or when nobody waits any more.
+// Called after the final answer, or when no caller waits for it any more.
 void DecisionModule::release(Op& op) {
   op.answered = true;
   erase_item(parked_, &op);
@@ -602,8 +679,8 @@
     server_.halt(op.id);
 }
 
-// Guards against losing an op: whatever holds it up, it is answered at its due time. A run that hangs, a call
-// that doesn't end and a reuse that waits are all met here.
+// Ensures that no op is lost: whatever delays it, it is answered by its due time. This covers runs that hang,
+// calls that do not end and ops that wait to reuse a result.
 void DecisionModule::answer_due_ops(Nanos now) {
   std::vector<Op*> late;
   for (auto& [id, op] : ops_)
@@ -622,8 +699,9 @@
   return memory_kb_ + kb + key_kb_ * static_cast<double>(keys_.size());
 }
 
-// Keeps the entry to the end of the window, counted from the arrival at the machine; past it too, against
-// running both where two tries lay unread for longer than a short window. False if memory lacks.
+// Keeps the key entry until the end of its window, which starts with the arrival at the machine, but for one
+// tick at least: if two tries lay unread for longer than a short window, both would run otherwise. Returns
+// false if there is not enough memory.
 bool DecisionModule::store_key(Nanos now, Op& op) {
   const Nanos lifetime = std::max(tick, op.received_at + types_[op.type.raw].key_window - now);
   if (projected_memory(key_kb_) > memory_fraction * memory_limit_) return false;
@@ -634,16 +712,17 @@
   return true;
 }
 
-// The entry of an op that ends without a run; one that ran is remembered to the end of its window.
+// Removes the key entry of an op that ends without a run. An op that ran is remembered until the end of its
+// window.
 void DecisionModule::forget_unused_key(const Op& op) {
   if (!op.key_kept || op.ran) return;
   server_.forget_key(op.id);
   keys_.erase(op.id);
 }
 
-// True if the op needs no run of its own: what it repeats runs here or has run. A keyed op whose first try is
-// still held takes its place; that try's caller has given it up, as tries of one request follow each
-// other.
+// Returns true if the op needs no run of its own because the op that it repeats is running here or has run. A
+// keyed op whose first try is still queued takes its place: the caller has abandoned that try, since tries of
+// one request follow each other.
 bool DecisionModule::reuse_original(Nanos now, Op& op) {
   const auto first = ops_.find(op.original);
   if (first != ops_.end() && first->second.stage == Stage::queued && !first->second.ran) {
@@ -667,12 +746,13 @@
   return now >= breaker_open_until_ && !trial_call_in_flight_;
 }
 
-// Guards what lies below: the mean of the calls in hand, those given up too, would stay within this
-// server's share even if all of them stayed for as long as they may. However small the share, one short call
-// at a time may be made where the mean stands under half of it, or a server would never call at all.
+// Protects the downstream service: the mean number of calls in flight, abandoned ones included, must stay
+// within this server's share even if all of them take as long as they may. However small the share is, one
+// short call at a time may be made while the mean is below half of it; otherwise a server might never call at
+// all.
 bool DecisionModule::call_fits_budget(Nanos time_out) const {
   if (call_share_ <= 0) return true;
-  // Not only at the end of that time: what was in hand before has to have left the window by then.
+  // The end of the call is not enough: calls in flight before it must have left the window by then.
   double max_mean = 0;
   for (int step = 0; step <= call_mean_samples; ++step)
     max_mean = std::max(
@@ -687,18 +767,19 @@
   parked_.push_back(&op);
 }
 
-// Lets parked ops call, in the order of coming; those that may not call yet go on without it where that is
-// worth something, or wait for as long as they can still be in time.
+// Starts calls of parked ops in order of arrival. An op that may not call yet continues without the call
+// where that has some value; otherwise it waits for as long as it can still be in time.
 void DecisionModule::dispatch_calls(Nanos now) {
   calls_.advance(now);
   std::vector<Op*> parked = parked_;
   std::stable_partition(parked.begin(), parked.end(),
                         [&](const Op* op) { return now < target_deadline(*op); });
-  for (Op* op : parked) { // those that can still be in time first
+  for (Op* op : parked) { // ops that can still be in time come first
     if (now < op->next_call_at && !op->call_may_have_run) continue;
     const OpType& type = types_[op->type.raw];
-    // One of several below that doesn't answer in the usual time is left for another, against some cut off or
-    // hung. What all share is left while it is quick, against replies that never come and fill the share.
+    // Behind a load balancer, a server that does not answer in the usual time is abandoned for another one,
+    // in case it is cut off or hangs. A single service is given a time-out while it is fast, so that replies
+    // that never arrive do not use up the share.
     const bool known = call_times_.total() >= min_samples;
     const Nanos tail = call_loss_timeout();
     Nanos usual = op->due - now;
@@ -708,8 +789,8 @@
       usual = std::max(tail, type.retry_class == RetryClass::retryable ? default_call_timeout / 4
                                                                        : default_call_timeout / 2);
     const Nanos left = target_deadline(*op) - core_time(*op) / 2 - now;
-    // An op that can't be in time any more ends here; what it still would take is better spent on others. A
-    // keyed one goes on, since a repeat could not be run.
+    // An op that can't be in time any more ends here, as other ops make better use of its remaining work. A
+    // keyed op continues, since a repeat could not be run.
     if (left <= 0 && type.retry_class == RetryClass::retryable && type.late_value_fraction == 0) {
       fail_op(*op, Reason::late_at_call);
       continue;
@@ -717,11 +798,11 @@
     const bool skippable = type.value_fraction_without_call > 0 && left > 0;
     Nanos time_out = std::min({skippable ? left : op->due - now, op->due - now, usual});
     const bool fits = time_out > 0 && (!skippable || !known || left >= call_times_.quantile(0.5));
-    // A small share has no room for calls that might last that long: a shorter time-out keeps it usable.
+    // A small share has no room for calls that might take that long: a shorter time-out keeps it usable.
     if (!call_fits_budget(time_out)) time_out = std::min(time_out, tail);
     if (known && !call_fits_budget(time_out))
       time_out = std::min(time_out, 2 * call_tail_factor * recent_call_times_.quantile(0.5));
-    // Against calls in step: all that began cold together may make one at the same moment.
+    // Servers that start cold together could all call at the same moment; a random delay separates them.
     const bool room = call_fits_budget(time_out);
     if (!room && call_limit_ < 1 && warm_fraction(now) < 1) next_call_at_ = delay_not_drawn;
     if (room && next_call_at_ == delay_not_drawn)
@@ -745,7 +826,8 @@
   }
 }
 
-// A call that takes longer is lost: its reply does not come, and it crowds nothing below.
+// A call that takes longer is considered lost: its reply will not arrive, and it does not load the downstream
+// service.
 Nanos DecisionModule::call_loss_timeout() const {
   return call_times_.total() >= min_samples ? 2 * call_tail_factor * call_times_.quantile(call_tail_quantile)
                                             : default_call_timeout;
@@ -756,8 +838,9 @@
              congested_latency_ratio * static_cast<double>(base_call_time_);
 }
 
-// A few at once however small the share, as the budget guards the mean; but no more than its part while it is
-// cold: others may be as cold, and all of them begin together. Under one, by rests.
+// Allows a few concurrent calls however small the share is, as the budget bounds their mean. A cold server
+// gets no more than its share: others may be as cold, and all of them start together. A limit below one is
+// enforced by delays between calls.
 double DecisionModule::max_concurrent_calls(Nanos now) const {
   const double part = max_call_fraction * call_share_;
   return warm_fraction(now) < 1 ? part : std::max(min_concurrent_calls, part);
@@ -768,11 +851,12 @@
                   static_cast<double>(default_call_timeout) / call_limit_);
 }
 
-// Guards against calls that pile up below and slow each other, so that forty do less than three: only as many
-// are in hand as don't make the usual one take twice its time; where one by each server is too many, fewer by
-// rests between. The base follows what is slow by itself. Harms what is slow at any load and could do more.
+// Prevents calls from piling up downstream and slowing each other down until forty achieve less than three
+// would: only as many are in flight as do not make the usual call take twice its base time. Where even one
+// per server is too many, delays between calls reduce the rate further. The base follows a service that is
+// slow by itself. Drawback: a service that is slow at any load gets fewer calls than it could handle.
 void DecisionModule::adjust_call_limit(Nanos now, Nanos elapsed) {
-  // All servers feel it when what lies below stands still, and all come back: slowly, from little.
+  // A stalled downstream service affects all servers, and all resume calling: start slowly, from a low limit.
   if (elapsed > call_loss_timeout() && now - elapsed >= newest_completed_call_at_)
     call_limit_ = std::min(call_limit_, min_call_fraction * call_share_);
   next_call_at_ =
@@ -794,10 +878,11 @@
   }
 }
 
-// Where one has outlasted the tail and none that was made since has come back, what lies below stands still:
-// against every server's filling its share meanwhile with calls that would end together later. One a second
-// asks whether it does: against a lost reply's keeping all calls back until its op is due. With it no more is
-// in hand than may be when all is well; under one at once, time-outs are short and rests follow.
+// If a call has exceeded the tail and no call made after it has returned, the downstream service is stalled.
+// Without this check every server would fill its share meanwhile with calls that later end together. One call
+// per second probes the service, so that a single lost reply does not hold back all calls until its op is
+// due. Including the probe, no more calls are in flight than are allowed in normal operation; with a limit
+// below one, time-outs are short and delays follow.
 bool DecisionModule::call_slot_available(Nanos now) const {
   if (call_share_ <= 0) return true;
   const Nanos loss_timeout = call_loss_timeout();
@@ -819,7 +904,8 @@
   return in_flight < static_cast<int>(call_limit_);
 }
 
-// The time between the ends of calls with as many in hand as may be, and what those parked will take of it.
+// Time between the ends of calls with as many in flight as allowed, and the part of it that parked ops will
+// take.
 Nanos DecisionModule::call_interval() const {
   const auto usual = static_cast<double>(recent_call_times_.quantile(0.5));
   return call_share_ > 0 ? static_cast<Nanos>(usual / call_limit_) : 0;
@@ -830,11 +916,11 @@
 
 void DecisionModule::record_call(Nanos now, Outcome outcome, Nanos elapsed) {
   if (outcome == Outcome::done || outcome == Outcome::timed_out) adjust_call_limit(now, elapsed);
-  // A call is lost where one made after it has come back; else what lies below is slow, or stands still.
+  // A call is lost if one made after it has returned; otherwise the downstream service is slow or stalled.
   const bool lost =
       outcome == Outcome::cut || (outcome == Outcome::timed_out && now - elapsed < newest_completed_call_at_);
   lost_call_fraction_ += (lost - lost_call_fraction_) * fraction_step / 4;
-  if (outcome == Outcome::moot) return; // tells of the run, not of what lies below
+  if (outcome == Outcome::moot) return; // says something about the run, not about the downstream service
   if (outcome == Outcome::done) {
     call_times_.record(elapsed);
     newest_completed_call_at_ = std::max(newest_completed_call_at_, now - elapsed);
@@ -862,12 +948,13 @@
     op.stage = Stage::at_call;
     return;
   }
-  // Against one op's tries in a row opening the breaker for all: what all share would fail it the same.
+  // Consecutive tries of one op must not open the breaker for all: a single shared service would fail them in
+  // the same way.
   if (!load_balanced_downstream_) op.next_call_at = now + std::max(tick, call_times_.quantile(0.5));
   park_at_call(op);
 }
 
-// ---- what callers are told
+// ---- feedback to callers
 
 Nanos DecisionModule::retry_after() const {
   if (stalled_) return max_retry_after_;
@@ -876,8 +963,9 @@
   return std::min(max_retry_after_, static_cast<Nanos>(backlog / cap_));
 }
 
-// So many callers of the same traffic would be as uneven as those that remember what they were told: few
-// carry most. Guards against sharing tokens among callers that forget before they come again.
+// Number of equally active callers whose traffic would be as uneven as that of the callers that still
+// remember their feedback: a few of them carry most of it. Tokens are not shared among callers that forget
+// them before their next op.
 double DecisionModule::effective_callers() const {
   double sum = 0, squares = 0;
   for (const auto& [id, caller] : by_caller_) {
@@ -888,7 +976,8 @@
   return squares > 0 ? std::max(1.0, sum * sum / squares) : configured_callers_;
 }
 
-// Notes a caller's silence; of one not heard of lately, as if all that there are called in turn.
+// Records the time since the caller's last op. For a caller not heard from lately it is estimated as if all
+// callers took turns.
 void DecisionModule::record_caller(Nanos now, CallerId id) {
   ++ops_read_;
   if (by_caller_.size() >= max_callers && !by_caller_.contains(id)) return;
@@ -902,10 +991,11 @@
   caller.last = now;
 }
 
-// Guards against a table full of silent connections, where callers find no free slot while the cores stand
-// idle, and against paying for a new one with every op. Each caller's silences tell how many connections
-// would be open and how many be made anew with any idle time: the cheapest is taken. It may harm where a new
-// connection costs far more, or an open one far less, than half of the told idle time makes it.
+// Avoids both a table full of silent connections, where callers find no free slot while the cores idle, and
+// the cost of a new connection for every op. The gaps between the ops of each caller show how many
+// connections would be open and how many would be remade for any idle timeout; the cheapest timeout is used.
+// Drawback: the choice is wrong where a new connection costs far more, or an open one far less, than half of
+// the configured idle timeout implies.
 void DecisionModule::adjust_idle_timeout() {
   if (configured_idle_timeout_ <= 0 || caller_gaps_.total() < min_samples) return;
   const auto cost = [&](Nanos timeout) {
@@ -965,7 +1055,7 @@
   server_.notify_callers(value);
 }
 
-// ---- what happens
+// ---- events
 
 void DecisionModule::op_read(Nanos now, OpId id, OpTypeId type_id, TenantId tenant, KeyId key,
                              CallerId caller, Nanos time_left, Nanos waited, Nanos work_estimate,
@@ -991,8 +1081,9 @@
   op.first_try_at = op.received_at;
   op.is_retry = is_retry;
   op.weight = weight;
-  // Callers have few patiences, and first tries begin with one of them: another is what is left to a later
-  // one, and tells how old it is. Guards against running what nobody can use any more.
+  // Callers use few different timeouts, and first tries start with one of them. Any other value is what is
+  // left to a retry, and shows how old its first try is. This avoids running ops whose answers are of no use
+  // any more.
   const Nanos timeout = time_left + waited;
   if (time_left > 0 && type.caller_timeouts.record(timeout) < common_timeout_fraction &&
       type.caller_timeouts.total() >= min_samples) {
@@ -1007,18 +1098,19 @@
   nacked_fraction_ -= nacked_fraction_ * fraction_step;
   retry_fraction_ += ((is_retry ? 1 : 0) - retry_fraction_) * fraction_step;
   record_caller(now, caller);
-  // Unread ops are seen by how long they have waited once read: a line no nack shows.
+  // Unread ops show only by how long they waited once they are read: no nack indicates such a backlog.
   if (waited > type.target_latency / unread_wait_divisor) ++recent_unread_;
   if (tenant.raw < tenants_.size())
     tenants_[tenant.raw].rate += (1 - rate_decay) * second / feedback_interval;
 
-  // Before the keys: a repeat that waits for its first takes memory too, and may not be nacked if that has
-  // run.
+  // Checked before the keys: a repeat that waits for its original takes memory too, and may not be nacked if
+  // the original has run.
   if (projected_memory(0) > memory_fraction * memory_limit_)
     return original != no_op_id ? fail_op(op, Reason::memory) : reject(now, op, Reason::memory);
   if (original != no_op_id && reuse_original(now, op)) return;
-  // A big op that is likelier than not to be late on these cores is better off on faster ones. Only first
-  // tries are sent on, so that none is sent round, and only where further tries are told from them.
+  // A large op that is more likely than not to be late on these cores has better chances on faster ones. Only
+  // first tries are redirected, so that no op is passed around, and only where retries can be told from first
+  // tries.
   if (callers_mark_retries_ && !is_retry && work_estimate > 0 &&
       !can_meet_target(op, now, redirect_quantile) &&
       now + run_time(op, redirect_quantile) / max_remote_speedup <= target_deadline(op)) {
@@ -1037,7 +1129,7 @@
   if (original == no_op_id || !reuse_original(now, op)) admit(now, op);
 }
 
-// Nacks an op or puts it into the hold.
+// Nacks an op or adds it to the queue.
 void DecisionModule::admit(Nanos now, Op& op) {
   const OpType& type = types_[op.type.raw];
   if (drain_started_at_ >= 0 && now > serve_until_) return reject(now, op, Reason::leaving);
@@ -1122,7 +1214,8 @@
   dispatch_calls(now);
   schedule(now);
   update_feedback(now);
-  // Past the delay nothing more is served: callers that are told so, or get no connection, lose no time here.
+  // After the shutdown delay no op is served: callers that are told so, or get no connection, lose no time
+  // here.
   if (drain_started_at_ >= 0 && now > serve_until_ && !stopped_accepting_) {
     stopped_accepting_ = true;
     server_.stop_accepting();
@@ -1134,13 +1227,14 @@
   advance_clock(now);
   started_at_ = now - since;
   last_progress_at_ = now;
-  // Whatever served here before ended with the machine, and may have had its whole share of calls in hand.
+  // The previous server here ended with the machine, and may have had its whole share of calls in flight.
   calls_.assume(started_at_, call_budget_fraction * call_share_);
 }
 
-// The stored health turns bad at once. Ops are served for a shutdown delay that ends by the grace and early
-// enough for a run to end before the kill; all that was read is answered before it. Where the process stood
-// still the notice may have come at any time of that: against counting from when it was heard.
+// The stored health turns bad at once. Ops are served for a shutdown delay that ends with the grace period,
+// and early enough for a run to end before the kill; every op that was read is answered before it. If the
+// process was paused, the notice may have come at any time during the pause, so the times are counted from
+// its beginning.
 void DecisionModule::drain(Nanos now, Nanos until_kill) {
   const Nanos noticed = now - now_ > process_pause_threshold ? now_ : now;
   advance_clock(now);
--- a/src/decision_module.hpp
+++ b/src/decision_module.hpp
@@ -1,6 +1,5 @@
-// The interface of the decisions. A `DecisionModule`, one for each server, is told what happens by the calls
-// of its public part and acts through the `Server` that it was given. Times are those of the caller's
-// clock.
+// Interface of the decision module. One `DecisionModule` per server is told of events through its public
+// functions and acts through the `Server` passed to its constructor. All times are on the caller's clock.
 #pragma once
 
 #include "histogram.hpp"
@@ -16,58 +15,71 @@
 
 namespace cometshift {
 
-// What a server on sockets does by itself now and then, or waits for.
+// Intervals and time-outs of a server on sockets.
 enum class Timing {
-  report_interval,        // between reports to the list of servers
-  report_timeout,         // for the reply to a report, before it is made anew
-  link_reconnect_delay,   // before the link to the machine is made anew
-  link_silence_timeout,   // nothing may be heard on the link where something is owed, before it is made anew
-  link_handover_timeout,  // for the answer that proves a link read before it is left for another address
-  connection_drain_delay, // between telling a caller that its connection takes no new op and closing it
-  silent_connection_timeout, // a caller's connection may be silent, however it was left
-  frame_timeout,             // a caller's connection may take for its first frame, or for the rest of one
-  write_stall_timeout,       // a caller may take nothing of what waits for it, before its connection ends
-  accept_retry_delay,        // after a connection could not be accepted
-  orphan_query_delay,        // from an op's answer to asking how its run stands, if nothing was heard
+  // Between reports to the server list.
+  report_interval,
+  // For the reply to a report, before it is sent again.
+  report_timeout,
+  // Before the link to the interpreter machine is re-established.
+  link_reconnect_delay,
+  // Silence on the link while an answer is due, before it is re-established.
+  link_silence_timeout,
+  // For the answer that proves that a link was read, before it is left for another address.
+  link_handover_timeout,
+  // Between telling a caller that its connection takes no new op and closing it.
+  connection_drain_delay,
+  // Silence on a caller's connection, whatever its state.
+  silent_connection_timeout,
+  // For the first frame of a caller's connection, or for the rest of a frame.
+  frame_timeout,
+  // For a caller to read anything of its pending data, before its connection is closed.
+  write_stall_timeout,
+  // After a failed accept.
+  accept_retry_delay,
+  // From the answer to an op until the state of its run is queried, if nothing was heard of it.
+  orphan_query_delay,
 };
 
-// Whose connection goes where no more can be held; the longest silent first.
+// Kinds of connections that are closed when the limit is reached. Within a kind, the longest silent one is
+// closed first.
 enum class Eviction { no_frame, idle, newest };
 
-// What a server can be told to do.
+// Actions of a server that the decision module requests.
 class Server {
  public:
   virtual ~Server() = default;
-  virtual void run(OpId op) = 0; // start a held op, or resume one that was halted
+  virtual void run(OpId op) = 0; // starts a queued op or resumes a halted one
   virtual void nack(OpId op, Reason reason, bool no_retry, Nanos retry_after) = 0;
-  virtual void fail(OpId op, Reason reason) = 0; // a final answer that promises nothing
+  // Answers with a failure. Unlike a nack, it does not promise that the op never ran.
+  virtual void fail(OpId op, Reason reason) = 0;
   virtual void call(OpId op, Nanos time_out) = 0;
-  virtual void answer_without_call(OpId op) = 0; // go on without the call
+  virtual void answer_without_call(OpId op) = 0; // resumes the op without its call
   virtual void keep_key(OpId op, Nanos lifetime) = 0;
   virtual void forget_key(OpId op) = 0;
-  virtual void reuse(OpId op) = 0; // answer with the result of the op that it repeats
+  virtual void reuse(OpId op) = 0; // answers with the result of the original op
   virtual void halt(OpId op) = 0;
   virtual void health(bool good, bool from_store) = 0;
   virtual void notify_callers(double value) = 0;
-  virtual void set_idle_timeout(Nanos after) = 0; // 0: as the site has it
+  virtual void set_idle_timeout(Nanos after) = 0; // 0: as the site is configured
   virtual void wake_at(Nanos at, WakeId id) = 0;
   virtual void log(std::string_view words) = 0;
-  // Only for servers on sockets.
+  // Only for servers on sockets. Ops that no caller would send close a connection after `max_invalid_ops` in
+  // a row.
   virtual void set_timing(Timing, Nanos) {}
-  virtual void set_eviction_order(std::span<const Eviction> /*order*/, int /*max_invalid_ops*/) {
-  }                                // max_invalid_ops: of ops no caller sends
-  virtual void stop_accepting() {} // no new ops on any connection, and no new connections
+  virtual void set_eviction_order(std::span<const Eviction> /*order*/, int /*max_invalid_ops*/) {}
+  virtual void stop_accepting() {} // takes no new ops on any connection, and no new connections
 };
 
-// The figures that a decision on one op rests on; spans in ns.
+// Inputs of the decisions on one op. Times are in ns; deadlines are relative to now.
 struct DecisionInputs {
-  Nanos run_time = 0;        // believed of the run, calls included
-  Nanos core_time = 0;       // the same without calls
-  Nanos target_deadline = 0; // latest end for its worth, from now
-  Nanos due = 0;             // latest answer, from now
-  double value_density = 0;  // importance for its work, in units of the module
+  Nanos run_time = 0;        // estimate, calls included
+  Nanos core_time = 0;       // estimate, calls excluded
+  Nanos target_deadline = 0; // latest end that meets its target
+  Nanos due = 0;             // latest answer
+  double value_density = 0;  // importance per unit of work
   std::size_t queued = 0;
-  Nanos backlog = 0; // work of the held, over the cap
+  Nanos backlog = 0; // work of the queued ops, divided by the cap
   int on_core = 0;
   int running = 0;
   double cap = 0;
@@ -82,53 +94,58 @@
   bool stalled = false;
   bool draining = false;
   double nacked_fraction = 0; // of the last ops read
-  double admission_level = 0; // told to callers
+  double admission_level = 0; // as told to callers
 };
 
+// Decides on admission, scheduling and calls of one server. Not thread-safe.
 class DecisionModule {
  public:
-  // Throws std::invalid_argument with the name of a setting that is missing or senseless.
+  // Throws std::invalid_argument naming a setting that is missing or invalid.
   DecisionModule(Nanos now, std::uint64_t seed, const Settings& settings, Server& server);
   DecisionModule(const DecisionModule&) = delete;
   DecisionModule& operator=(const DecisionModule&) = delete;
 
-  // An op has been read. Absent: 0 for spans, hint and `earlier`, `no_key_id` for the key. `worth` is a
-  // factor of what it counts for beside others.
+  // An op was read. Absent values are 0 (times, work estimate), `no_op_id` (`original`, the op that it
+  // repeats) and `no_key_id`. `time_left` is the time until the caller gives up, `waited` the time since the
+  // op arrived, `held_kb` the memory it takes before it runs. `weight` is a factor on its importance relative
+  // to other ops.
   void op_read(Nanos now, OpId id, OpTypeId type, TenantId tenant, KeyId key, CallerId caller,
                Nanos time_left, Nanos waited, Nanos work_estimate, double held_kb, double rank, bool is_retry,
                OpId original, double weight = 1);
-  // What an op was to reuse was never begun; `earlier` is what it repeats now.
+  // The op whose result was to be reused did not run; `original` is the op that is repeated now.
   void reuse_failed(Nanos now, OpId id, OpId original);
-  void op_cancelled(Nanos now, OpId id); // nobody waits for its answer any more
+  void op_cancelled(Nanos now, OpId id); // no caller waits for its answer any more
   void run_ended(Nanos now, OpId id, Outcome outcome, Nanos elapsed);
   void call_wanted(Nanos now, OpId id);
   void call_ended(Nanos now, OpId id, Outcome outcome, Nanos elapsed);
   void woken(Nanos now, WakeId id, std::span<const double> gauges);
   void drain(Nanos now, Nanos until_kill);
-  void machine_up(Nanos now, Nanos since); // it started that long ago; unsaid: with this object
+  // The machine started `since` ago. Without this event it is assumed to have started with this object.
+  void machine_up(Nanos now, Nanos since);
 
-  // What is believed at this moment of an op that stands here, for those who ask why (explain.cpp); false if
-  // there is no such op. Changes nothing.
+  // Fills in the present inputs of decisions on an op, to explain a decision (explain.cpp). Returns false if
+  // there is no such op. Has no side effects.
   bool explain(Nanos now, OpId id, DecisionInputs& into) const;
-  // Hands all that is remembered to `serializer` (serializer.hpp), which writes it or fills it in: an object
-  // so filled, made with the same settings, decides like the one that was written.
+  // Passes the complete state to `serializer` (serializer.hpp), which writes it or fills it in. An object
+  // that was filled in, and constructed with the same settings, makes the same decisions as the one that was
+  // written.
   template <class Serializer>
   void serialize(Serializer& serializer);
 
  private:
   struct Tenant {
-    double quota = 0; // ops a second, here
-    double rate = 0;  // ops a second of late, here
+    double quota = 0; // ops per second on this server
+    double rate = 0;  // recent ops per second on this server
   };
 
-  // The cap on running ops.
+  // Cap on running ops.
   void adjust_cap(Nanos now);
   double warm_fraction(Nanos now) const;
   double max_running(Nanos now) const;
-  // The stall watch.
+  // Stall detection.
   void advance_clock(Nanos now);
   void detect_stall(Nanos now);
-  // The hold.
+  // Queue.
   Nanos core_time(const Op& op) const;
   double work_on_core() const;
   Nanos run_time(const Op& op, double quantile) const;
@@ -174,7 +191,7 @@
   Nanos parked_call_wait() const;
   void leave_core(Nanos now, Op& op);
   void join_core(Nanos now, Op& op);
-  // What callers are told, and how long their connections stay.
+  // Feedback to callers and the lifetime of their connections.
   void record_caller(Nanos now, CallerId id);
   void adjust_idle_timeout();
   double effective_callers() const;
@@ -187,10 +204,10 @@
   Nanos started_at_;
   std::vector<OpType> types_;
   std::vector<Tenant> tenants_;
-  LogLogSlope estimate_slope_; // how run times follow the callers' guesses
+  LogLogSlope estimate_slope_; // how run times depend on the callers' estimates
   std::map<OpId, Op> ops_;
-  std::vector<Op*> queue_;  // in the order of their latest starts once planned
-  std::vector<Op*> parked_; // parked at a call, in the order of coming there
+  std::vector<Op*> queue_;  // sorted by latest start after plan_queue()
+  std::vector<Op*> parked_; // ops waiting to call, in order of arrival
 
   double cores_ = 0;
   double cap_ = 0;
@@ -198,37 +215,37 @@
   double cold_start_fraction_ = 0;
   Nanos warm_after_ = 0;
   bool cold_start_ = false;
-  int running_ = 0; // started and not ended, waiting at calls too
+  int running_ = 0; // started and not ended, ops at calls included
   int on_core_ = 0;
   Nanos queued_since_ = 0;
   Nanos cap_cut_at_ = 0;
-  Nanos last_progress_at_ = 0; // when a run last ended or came to a call
+  Nanos last_progress_at_ = 0; // when a run last ended or reached a call
   bool stalled_ = false;
   Nanos cap_grown_at_ = 0;
   double busy_ = 1;
-  double runnable_ = -1; // runs, reading and the like that want a core now; -1: not told
+  double runnable_ = -1; // tasks (runs, reading and others) that want a core now; -1: unknown
 
   double memory_kb_ = 0;
   double memory_limit_ = 0;
   double run_memory_factor_ = 0;
   double key_kb_ = 0;
-  std::map<OpId, Nanos> keys_; // kept entries and the ends of their times
+  std::map<OpId, Nanos> keys_; // kept entries and their expiry times
   Nanos fresh_for_ = 0;
 
-  double call_share_ = 0;                 // 0: no such bound
-  bool load_balanced_downstream_ = false; // calls go to servers of a next tier, by a balancer
+  double call_share_ = 0;                 // 0: unlimited
+  bool load_balanced_downstream_ = false; // calls go to several servers behind a load balancer
   Nanos call_linger_ = 0;
   WindowMean calls_;
-  std::vector<Nanos> lingering_calls_; // ends of the stays of calls given up
+  std::vector<Nanos> lingering_calls_; // when calls that were abandoned are over downstream
   Histogram call_times_;
-  Histogram recent_call_times_; // those timed out too
-  Nanos base_call_time_ = 0;    // a call's time when all is well
-  double call_limit_ = 0;       // calls in hand at once
+  Histogram recent_call_times_; // calls that timed out included
+  Nanos base_call_time_ = 0;    // duration of a call without congestion
+  double call_limit_ = 0;       // maximum number of concurrent calls
   Nanos call_limit_cut_at_ = 0;
-  Nanos newest_completed_call_at_ = 0; // when the youngest of those that came back was made
-  Nanos next_call_at_ = 0;             // no call before then, under a limit of one
-  double lost_call_fraction_ =
-      0; // part of those of late that broke off, or timed out while younger ones came back
+  Nanos newest_completed_call_at_ = 0; // start of the latest call that has returned
+  Nanos next_call_at_ = 0;             // earliest next call while the limit is below one
+  // Fraction of recent calls that were cut off, or timed out while calls made later returned.
+  double lost_call_fraction_ = 0;
   int consecutive_failures_ = 0;
   Nanos breaker_open_until_ = 0;
   Nanos breaker_delay_ = 0;
@@ -238,13 +255,13 @@
   enum class Feedback { none, level, tokens, bias } feedback_ = Feedback::none;
   double configured_callers_ = 1;
   struct Caller {
-    double ops = 0; // of late
+    double ops = 0; // recent number
     Nanos last = 0;
   };
   std::map<CallerId, Caller> by_caller_;
-  Nanos feedback_lifetime_ = 0;       // callers remember what they were told so long
-  Histogram caller_gaps_;             // between the ops of a caller
-  Nanos configured_idle_timeout_ = 0; // callers close a silent connection by themselves after it; 0: not told
+  Nanos feedback_lifetime_ = 0;       // how long callers remember their feedback
+  Histogram caller_gaps_;             // times between the ops of one caller
+  Nanos configured_idle_timeout_ = 0; // after which callers close a connection; 0: unknown
   Nanos idle_timeout_ = 0;
   double admission_level_ = 1;
   double last_feedback_ = -1;
@@ -252,20 +269,20 @@
   double ops_read_ = 0;
   double recent_read_ = 0;
   double recent_nacked_ = 0;
-  double recent_unread_ = 0;    // of those read, the ones that waited long for it
-  double reading_fraction_;     // part of the cores that goes to reading and the like
+  double recent_unread_ = 0;    // ops that waited long to be read
+  double reading_fraction_;     // fraction of the cores spent on reading and similar work
   double nacked_fraction_ = 0;  // of the last ops read
-  double retry_fraction_ = 0;   // of those, further tries
-  double mean_nacked_rank_ = 0; // mean rank of those nacked last
+  double retry_fraction_ = 0;   // fraction of them that are retries
+  double mean_nacked_rank_ = 0; // mean rank of the last nacked ops
   Nanos counting_since_ = 0;
   double over_quota_weight_ = 1;
   bool value_by_work_ = false;
-  bool callers_mark_retries_ = false; // callers mark further tries
+  bool callers_mark_retries_ = false;
   int busy_gauge_ = -1;
   int runnable_gauge_ = -1;
 
   Nanos drain_grace_ = 0;
-  Nanos drain_started_at_ = -1; // -1: not told to leave
+  Nanos drain_started_at_ = -1; // -1: not draining
   Nanos serve_until_ = 0;
   Nanos answer_by_ = 0;
   bool stopped_accepting_ = false;
--- a/src/decision_module_serialize.cpp
+++ b/src/decision_module_serialize.cpp
@@ -1,5 +1,5 @@
-// All that a DecisionModule remembers, member by member. A member that is added to it is added here, and the
-// layout number of snapshots (capture/format.hpp) goes up.
+// Serialization of the complete state of a DecisionModule, member by member. A member that is added to the
+// class is added here, and the layout number of snapshots (capture/format.hpp) is incremented.
 #include "decision_module.hpp"
 #include "serializer.hpp"
 
@@ -15,7 +15,7 @@
       ops.clear();
       for (const OpId id : ids) {
         const auto at = ops_.find(id);
-        if (at == ops_.end()) throw std::invalid_argument("snapshot: a line with an op that is not there");
+        if (at == ops_.end()) throw std::invalid_argument("snapshot: a queue refers to an unknown op");
         ops.push_back(&at->second);
       }
     }
@@ -24,11 +24,11 @@
     std::size_t stored = expected;
     serializer(stored);
     if (stored != expected)
-      throw std::invalid_argument(std::string("snapshot: other ") + what + " than the settings'");
+      throw std::invalid_argument(std::string("snapshot: number of ") + what + " differs from the settings");
   };
   serializer(random_, now_, started_at_);
   check_count(types_.size(), "op types");
-  for (OpType& type : types_) // the rest of them are settings
+  for (OpType& type : types_) // the other members are settings
     serializer(type.run_time, type.core_time, type.recent_core_time, type.caller_timeouts,
                type.base_core_time);
   check_count(tenants_.size(), "tenants");
@@ -48,7 +48,7 @@
       Op op;
       serialize_op(op);
       if (op.type.raw >= types_.size() || op.stage > Stage::reusing || ops_.contains(op.id))
-        throw std::invalid_argument("snapshot: an op that can't be");
+        throw std::invalid_argument("snapshot: invalid op");
       set_continuations(ops_.emplace(op.id, std::move(op)).first->second);
     }
   } else {
--- a/src/explain.cpp
+++ b/src/explain.cpp
@@ -1,11 +1,13 @@
 // Reports the inputs of a decision, to explain it.
+// Reports the inputs of a decision, to explain it.
 #include "decision_module.hpp"
 
 namespace cometshift {
 
 namespace {
-constexpr double planning_quantile = 0.7; // part of runs that take no longer than told here, as plans have it
-}
+// Quantile of run times that plans assume, as in decision_module.cpp.
+constexpr double planning_quantile = 0.7;
+} // namespace
 
 bool DecisionModule::explain(Nanos now, OpId id, DecisionInputs& into) const {
   const auto at = ops_.find(id);
--- a/src/histogram.hpp
+++ b/src/histogram.hpp
@@ -1,4 +1,5 @@
-// Measurements: a small histogram of durations with coarse bins, and the mean of a count over a window.
+// Statistics: a histogram of durations with coarse bins, frequent values, a regression slope, and the mean of
+// a count over a sliding window.
 #pragma once
 
 #include "ids.hpp"
@@ -11,14 +12,14 @@
 
 namespace cometshift {
 
-// Bins of half a power of two from about 1 ms; counts are halved when `most` have been noted, so that it
-// follows change.
+// Histogram of durations. Each power of two from about 1 ms has two bins. The counts are halved after
+// `max_total` samples, so that the histogram follows changes.
 class Histogram {
   static constexpr int bins = 32;
   std::array<float, bins> count_{};
   float total_ = 0;
   float max_total_;
-  mutable double mean_ = 0; // as last worked out: it is asked for far more often than it changes
+  mutable double mean_ = 0; // cached: it is read far more often than it changes
   mutable bool mean_known_ = false;
 
   static int bin_of(Nanos span) {
@@ -53,7 +54,7 @@
     total_ /= 2;
   }
   float total() const { return total_; }
-  // The span under which `part` of those noted lie, even within a bin; 0 if none was noted.
+  // Returns the quantile `part`, interpolated linearly within its bin; 0 without samples.
   Nanos quantile(double part) const {
     double left = part * total_;
     for (int b = 0; b < bins; ++b) {
@@ -69,7 +70,7 @@
     mean_known_ = true;
     return mean_;
   }
-  // The mean with every span over `most` taken for `most`.
+  // Returns the mean with longer durations counted as `limit`.
   double capped_mean(Nanos limit) const {
     double sum = 0;
     for (int b = 0; b < bins; ++b)
@@ -77,7 +78,7 @@
              std::min(0.5 * static_cast<double>(low_of(b) + low_of(b + 1)), static_cast<double>(limit));
     return total_ > 0 ? sum / total_ : 0;
   }
-  // The part of those noted that were longer; what lies in the last bin has no upper end.
+  // Returns the fraction of longer durations. The last bin has no upper end.
   double fraction_above(Nanos span) const {
     double sum = count_[bins - 1];
     for (int b = 0; b < bins - 1; ++b)
@@ -86,7 +87,7 @@
   }
 };
 
-// The few spans that come again and again among others that don't.
+// The few durations that recur among others that don't.
 class FrequentValues {
   static constexpr int slots = 8;
   std::array<Nanos, slots> span_{};
@@ -102,12 +103,12 @@
     serializer(span_, count_, total_, max_total_);
   }
 
-  // Notes a span; the part of those noted lately that came within a 64th of it.
+  // Records a duration; returns the fraction of recent ones within 1/64 of it.
   float record(Nanos span) {
     const auto near = [&](int i) { return count_[i] > 0 && std::abs(span_[i] - span) <= span / 64; };
     int at = 0;
     while (at < slots && !near(at)) ++at;
-    if (at == slots) { // takes the place of the one that came least
+    if (at == slots) { // replaces the least frequent one
       at = static_cast<int>(std::min_element(count_.begin(), count_.end()) - count_.begin());
       span_[at] = span;
       count_[at] = 0;
@@ -122,7 +123,7 @@
     return part;
   }
   float total() const { return total_; }
-  // The shortest that at least `part` came with and that is longer than a span, else `otherwise`.
+  // Returns the shortest duration that is longer than `span` and makes up at least `part`, or `fallback`.
   Nanos next_above(Nanos span, float part, Nanos fallback) const {
     for (int i = 0; i < slots; ++i)
       if (count_[i] >= part * total_ && span_[i] > span) fallback = std::min(fallback, span_[i]);
@@ -130,9 +131,9 @@
   }
 };
 
-// How the logarithm of one size follows that of another: 1 in full, 0 not at all.
+// Slope of a regression between the logarithms of two sizes, limited to 0 (independent) to 1 (proportional).
 class LogLogSlope {
-  double step_; // weight of one noted
+  double step_; // weight of one sample
   double x_ = 0, y_ = 0, xx_ = 0, xy_ = 0, samples_ = 0;
 
  public:
@@ -151,14 +152,15 @@
     xx_ += by * ((1 - by) * dx * dx - xx_);
     xy_ += by * ((1 - by) * dx * dy - xy_);
   }
-  // Pulled to `prior`, which counts as `weight` of those seen, at unit spread.
+  // Returns the slope, shrunk towards `prior`, which counts as `weight` samples of unit variance.
   double value(double prior, double weight) const {
     const double samples = std::min(samples_, 1 / step_);
     return std::clamp((xy_ * samples + prior * weight) / (xx_ * samples + weight), 0.0, 1.0);
   }
 };
 
-// The mean of a count over a sliding window, kept in a few slices. What the count was before may be assumed.
+// Mean of a count over a sliding window, which is divided into a few slices. The count before the first slice
+// may be assumed.
 class WindowMean {
   static constexpr int slices = 16;
   std::array<double, slices> area_{}; // count x time in each slice
@@ -178,11 +180,11 @@
   void serialize(Serializer& serializer) {
     serializer(area_, slice_, begin_, at_, index_, count_, assumed_until_, assumed_);
     if (Serializer::reads && (slice_ <= 0 || index_ < 0 || begin_ > at_))
-      throw std::invalid_argument("snapshot: a window that can't be");
+      throw std::invalid_argument("snapshot: invalid window");
   }
 
   double count() const { return count_; }
-  // Until then the count is thought to have stood at `count`, beside what was told of it.
+  // Assumes that the count was higher by `count` until `until`.
   void assume(Nanos until, double count) {
     assumed_until_ = until;
     assumed_ = count;
@@ -200,7 +202,7 @@
     advance(now);
     count_ += by;
   }
-  // The mean over one window that ends `ahead` from now, should the count stand at `count` until then.
+  // Returns the mean over the window that ends `ahead` from now if the count is `count` until then.
   double mean_with(double count, Nanos ahead) const {
     const Nanos window = slice_ * (slices - 1);
     if (ahead >= window) return count;
--- a/src/ids.hpp
+++ b/src/ids.hpp
@@ -1,5 +1,5 @@
-// Times and ids. Times are whole nanoseconds of the clock that the caller hands in; every kind of id is a
-// type of its own, so that one can't be passed where another is meant.
+// Times and ids. Times are whole nanoseconds of the caller's clock. Every kind of id is a type of its own, so
+// that one can't be passed in place of another.
 #pragma once
 
 #include <compare>
@@ -9,6 +9,7 @@
 
 using Nanos = std::int64_t;
 
+// Strongly typed id.
 template <class Tag, class Raw>
 struct Id {
   Raw raw{};
@@ -21,8 +22,8 @@
 using CallerId = Id<struct CallerIdTag, std::uint64_t>;
 using KeyId = Id<struct KeyIdTag, std::int64_t>; // -1: no key
 using WakeId = Id<struct WakeIdTag, std::uint64_t>;
-using ConnectionId = Id<struct ConnectionIdTag, std::uint64_t>; // of a caller's; never given again
-using StreamId = Id<struct StreamIdTag, std::uint32_t>;         // of an op on its connection
+using ConnectionId = Id<struct ConnectionIdTag, std::uint64_t>; // of a caller's connection; never reused
+using StreamId = Id<struct StreamIdTag, std::uint32_t>;         // of an op within its connection
 
 constexpr OpId no_op_id{0};
 constexpr KeyId no_key_id{-1};
--- a/src/pcg.hpp
+++ b/src/pcg.hpp
@@ -1,4 +1,4 @@
-// A permuted congruential generator (PCG-XSH-RR 64/32), the only source of chance.
+// Permuted congruential generator (PCG-XSH-RR 64/32), the only source of randomness in decisions.
 #pragma once
 
 #include <cstdint>
--- a/src/reason.hpp
+++ b/src/reason.hpp
@@ -1,6 +1,5 @@
-// Why an op was nacked or failed. What the decisions in decision_module.cpp found stands first, then what the
-// core found by itself. docs/on-call.md lists them all; recordings carry the numbers, so none is ever given
-// another.
+// Reasons why an op was nacked or failed: first those of the decision module, then those of the core.
+// docs/on-call.md lists them all. Recordings contain the numbers, so a number is never reused.
 #pragma once
 
 #include <array>
@@ -11,29 +10,30 @@
 
 enum class Reason : std::uint8_t {
   none = 0,
-  leaving = 1,        // came after the end of the delay before the stop
+  leaving = 1,        // arrived after the end of the shutdown delay
   memory = 2,         // its memory does not fit
-  key_memory = 3,     // no room to remember its key
-  too_big = 4,        // a faster server may do it in time, this one hardly
-  hopeless = 5,       // held, and no run is short enough any more
-  line = 6,           // the line is longer than it may be, and this one is worth least for its work
-  stalled = 7,        // the cores stand still: what is held goes
-  hung = 8,           // it hangs on cores that stand still
-  due = 9,            // its due time came
-  replaced = 10,      // a repeat of it came while it was held
-  late_at_call = 11,  // at its call, and can't be in time
-  call_lost = 12,     // its call may have had its effect and gave no reply
-  fell_back = 13,     // stopped on the cores, and may not run twice
+  key_memory = 3,     // no memory for its key entry
+  too_big = 4,        // too large to be in time here; a faster server may manage
+  hopeless = 5,       // queued, and no run is short enough any more
+  line = 6,           // the queue is too long, and this op has the lowest value per work
+  stalled = 7,        // the cores are stalled: queued ops are nacked
+  hung = 8,           // it hangs on stalled cores
+  due = 9,            // its due time was reached
+  replaced = 10,      // a repeat of it arrived while it was queued
+  late_at_call = 11,  // waiting to call, and can't be in time any more
+  call_lost = 12,     // its call gave no reply and may have taken effect
+  fell_back = 13,     // halted on the cores, and may not run twice
   too_many_ops = 32,  // the table of ops is full
   too_many_keys = 33, // the table of keys is full
-  known = 34,         // its number is that of an open op
-  other_mark = 35,    // its mark is that of another op, whose run was heard of
+  known = 34,         // its id is that of an open op
+  other_mark = 35,    // its idempotency key is that of a different op whose run is known
   run_failed = 36,    // the interpreter ended its run without a result
-  never_begun = 37,   // the interpreter did not begin its run
-  first_failed = 38,  // what it repeats has no result
-  ceiling = 48,       // its pool has had as much as it may have
+  never_begun = 37,   // the interpreter did not start its run
+  first_failed = 38,  // the op that it repeats has no result
+  ceiling = 48,       // its pool has reached its ceiling
 };
 
+// Names as they appear in logs, reports and on-call documentation.
 struct ReasonName {
   Reason reason;
   std::string_view name;
@@ -62,6 +62,7 @@
     ReasonName{Reason::first_failed, "first-failed"},
     ReasonName{Reason::ceiling, "ceiling"},
 };
+// Returns the name of a reason.
 constexpr std::string_view to_text(Reason reason) {
   for (const ReasonName& entry : reason_names)
     if (entry.reason == reason) return entry.name;
--- a/src/serializer.hpp
+++ b/src/serializer.hpp
@@ -1,9 +1,8 @@
-// What is remembered, to bytes and back: for snapshots from which a recording can be replayed. One text names
-// the members of an object (`serialize(serializer)`), and a Writer or a Reader is handed over it.
+// Binary serialization for the snapshots from which a recording can be replayed. A class lists its members in
+// `serialize(serializer)`, which serves both a Writer and a Reader.
 //
-// Whole numbers are written as zigzag varints, fractions as their eight bytes, texts and lists with their
-// length before them. Errors: a Reader throws std::invalid_argument where the bytes end early or name what
-// can't be.
+// Integers are zigzag varints, floating-point numbers their eight bytes; texts and lists are preceded by
+// their length. Errors: a Reader throws std::invalid_argument for truncated or invalid bytes.
 #pragma once
 
 #include "ids.hpp"
@@ -29,7 +28,7 @@
 template <class Tag, class Raw>
 struct IsId<Id<Tag, Raw>> : std::true_type {};
 
-// What both ways share: which parts a thing has.
+// Common base of Writer and Reader: dispatches on the type of a value.
 template <class Self>
 class Serializer {
   Self& self() { return static_cast<Self&>(*this); }
@@ -87,13 +86,15 @@
   }
 };
 
+// Appends values to a string.
 class Writer : public Serializer<Writer> {
   std::string& out_;
   std::function<std::string(std::string_view)> conceal_, token_;
 
  public:
   static constexpr bool reads = false;
-  // `conceal`, if given, tells what is written for a mark or a subject.
+  // `conceal`, if set, returns what is written in place of a key or subject; `token`, what is written in
+  // place of contents.
   explicit Writer(std::string& out, std::function<std::string(std::string_view)> conceal = {},
                   std::function<std::string(std::string_view)> token = {})
       : out_(out), conceal_(std::move(conceal)), token_(std::move(token)) {}
@@ -119,7 +120,7 @@
     varint(text.size());
     out_ += text;
   }
-  // Of contents, only what `token` makes of them is written, if it is given.
+  // Writes contents, or what `token` makes of them if it is set.
   template <class Size>
   void content(std::string& held, Size& size) {
     whole(size);
@@ -141,6 +142,7 @@
   }
 };
 
+// Reads values in the order in which a Writer wrote them.
 class Reader : public Serializer<Reader> {
   std::string_view left_;
 
@@ -148,14 +150,14 @@
     throw std::invalid_argument(std::string("snapshot: ") + reason);
   }
   std::string_view cut(std::size_t size) {
-    if (size > left_.size()) bad("ends early");
+    if (size > left_.size()) bad("truncated");
     const std::string_view taken = left_.substr(0, size);
     left_.remove_prefix(size);
     return taken;
   }
-  std::size_t count() { // of things of a byte at the least
+  std::size_t count() { // number of elements of at least one byte each
     const std::uint64_t n = varint();
-    if (n > left_.size()) bad("a list longer than its bytes");
+    if (n > left_.size()) bad("a list is longer than the remaining bytes");
     return static_cast<std::size_t>(n);
   }
 
@@ -171,7 +173,7 @@
       value |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
       if (byte < 0x80) return value;
     }
-    bad("a number without end");
+    bad("unterminated varint");
   }
   template <class T>
   void whole(T& into) {
@@ -182,7 +184,7 @@
   void enumerated(T& into) {
     int raw = 0;
     whole(raw);
-    if (raw < 0 || raw > 63) bad("a word that there is not");
+    if (raw < 0 || raw > 63) bad("unknown enumeration value");
     into = static_cast<T>(raw);
   }
   template <class T>
