--- a/tests/callers.cpp
+++ b/tests/callers.cpp
@@ -1,8 +1,10 @@
+// Feedback to callers (level, tokens, bias) and the idle timeout of their connections, under overload, after
+// it and while draining.
 #include "driver.hpp"
 
 #include <cmath>
 
-// More ops than can be served, with so many cores wanted besides the runs for reading.
+// Sends more ops than can be served, while `wanted` cores are in demand, reading included.
 static void crowd(Driver& s, double wanted, Nanos waited, int ops, unsigned callers = 0) {
   static unsigned id = 1;
   s.quiet = true;
@@ -14,34 +16,36 @@
     for (const OpId op : std::set<OpId>(s.running)) s.run_ended(static_cast<unsigned>(op.raw));
   }
   s.quiet = false;
-  s.section(std::to_string(std::lround(100 * s.last_feedback)).append(" hundredths told last"));
+  s.section(std::to_string(std::lround(100 * s.last_feedback)).append(" hundredths in the last feedback"));
 }
 
 int main() {
   Driver s({{"say", std::string("level")}});
-  s.section("nine in ten nacked, but reading them takes next to nothing: callers may go on asking");
+  s.section("nine of ten ops nacked, but reading them costs next to nothing: callers may keep sending");
   crowd(s, 2, 0, 4);
-  s.section("reading takes half of the cores: a level, never above the mean rank of what is nacked (0.5)");
+  s.section("reading takes half of the cores: a level, at most the mean rank of the nacked ops (0.5)");
   crowd(s, 4, 0, 4);
   s.quiet = true;
   while (!s.running.empty()) s.run_ended(static_cast<unsigned>(s.running.begin()->raw));
   s.quiet = false;
-  s.section("all is over: it comes down again");
+  s.section("no load any more: the level comes down again");
   s.run_for(4500);
   Driver t({{"say", std::string("tokens")}});
-  t.section("tokens: long unread, though nothing is nacked; one caller sends nine in ten, so few share them");
+  t.section("tokens: ops wait long to be read, though none is nacked; one caller sends nine of ten, so few "
+            "share them");
   crowd(t, 4, 600, 1);
-  t.section("and none at all once it is to leave");
+  t.section("and no tokens while draining");
   t.drain(3000);
   Driver f({{"say", std::string("tokens")}});
-  f.section("forty callers in turn, ten ops a second: only ten remember what they were told");
+  f.section("forty callers in turn, ten ops a second: only ten remember their feedback");
   crowd(f, 4, 600, 1, 40);
   Driver b({{"say", std::string("bias")}});
   b.section("bias");
   b.drain(3000);
   for (const double callers : {20.0, 500.0}) {
     Driver c({{"callers", callers}, {"idle_ns", 30e9}});
-    c.section("callers in turn, each silent for as many tenths of a second: rare ones are closed soon");
+    c.section("callers in turn, each silent for as many tenths of a second: with many, idle connections "
+              "close soon");
     for (unsigned id = 1; id < 80; ++id) {
       c.quiet = true;
       c.read(id, {.caller = id % static_cast<unsigned>(callers)});
@@ -51,6 +55,6 @@
     }
   }
   Driver n;
-  n.section("nothing may be told");
+  n.section("no feedback configured");
   n.drain(3000);
 }
--- a/tests/clock.cpp
+++ b/tests/clock.cpp
@@ -1,9 +1,9 @@
-// The server's clock while the system's is set back and forward, and a recording across it.
+// The server's clock while the system clock is set back and forward, and a recording during that.
 #include "clock.hpp"
 #include "recorded_core.hpp"
 
 int main() {
-  say("one time a turn, however often it is asked for; set back, it stands and goes on from there");
+  say("one time per turn, however often it is read; set back, it stops and continues from there");
   Clock clock;
   Nanos system = 1000 * second;
   const auto turn = [&](const char* what) {
@@ -11,7 +11,7 @@
     const Nanos at = clock.now([&] { return system; });
     system += ms;
     const Nanos again = clock.now([&] { return system; });
-    std::printf("  %-28s %lld ms, asked again %lld ms; an op's door at the system's time %lld ms\n", what,
+    std::printf("  %-28s %lld ms, read again %lld ms; an op's arrival at the system's time %lld ms\n", what,
                 static_cast<long long>(at / ms), static_cast<long long>(again / ms),
                 static_cast<long long>(clock.from_system(system) / ms));
   };
@@ -22,7 +22,7 @@
   system += 60 * second, turn("set forward by a minute");
   system -= 60 * second, turn("and back again");
 
-  say("a recording across a clock that is set back: no time in it goes back, and it replays");
+  say("a recording while the clock is set back: its times never decrease, and it replays");
   RecordedCore s;
   s.record();
   s.link();
--- a/tests/crowd.cpp
+++ b/tests/crowd.cpp
@@ -1,6 +1,8 @@
+// Ops that wait at calls are outside the cap, but all started ops together are limited, on a cold server to
+// fewer.
 #include "driver.hpp"
 
-// How many are started when all go to wait at a call as soon as they run.
+// Prints how many ops are started if all of them wait at a call as soon as they run.
 static void crowd(Driver& s, unsigned id) {
   s.quiet = true;
   for (int i = 0; i < 20; ++i, ++id) {
@@ -12,10 +14,10 @@
 
 int main() {
   Driver s;
-  s.section(
-      "those waiting at calls are not under the cap, but with the running ones under the survivable crowd");
+  s.section("ops waiting at calls don't count under the cap, but with the running ones under the maximum of "
+            "running ops");
   crowd(s, 1);
   Driver c({{"cold", 1.0}, {"cold_from", 0.2}, {"warm_after_ns", 10e9}});
-  c.section("cold: fewer");
+  c.section("cold server: fewer");
   crowd(c, 1);
 }
--- a/tests/drain.cpp
+++ b/tests/drain.cpp
@@ -1,3 +1,4 @@
+// Drain: ops are served until the shutdown delay ends, and all of them are answered before the kill.
 #include "driver.hpp"
 
 int main() {
@@ -14,13 +15,14 @@
   s.run_until(2050);
   s.read(3, {.type = 1});
   s.run_until(2150);
-  s.section("past the grace: refused; also what arrived late but was read within a batch");
+  s.section(
+      "after the grace period ops are nacked, also those that arrived late but were read within a batch");
   s.read(4);
   s.read(5);
-  s.section("all is answered before the kill at 3100, the run that goes on too");
+  s.section("every op is answered before the kill at 3100, also one whose run continues");
   s.run_until(3100);
   Driver late;
-  late.section("one that arrived in time may be refused but not run once the delay is over");
+  late.section("an op that arrived in time may be nacked but not run once the delay is over");
   late.read(7, {.type = 1});
   late.drain(200);
   late.run_until(150);
@@ -28,8 +30,7 @@
   late.run_until(200);
   Driver still;
   still.section(
-      "the process stands still from before the notice: the delay and the kill count from when it may "
-      "have come");
+      "the process is paused before the notice: the delay and the kill count from when it may have arrived");
   still.run_until(100);
   still.pause_process(500);
   still.drain(3000);
--- a/tests/driver.hpp
+++ b/tests/driver.hpp
@@ -1,6 +1,6 @@
-// What tests print for comparison with a kept trace: the decisions of one DecisionModule that a Driver drives
-// alone, and what a TestConnection, an end of a connection that the test plays itself, hears from the code
-// for sockets.
+// Test drivers whose output is compared with a stored trace. A Driver drives a single DecisionModule and
+// prints its decisions. A TestConnection is one end of a connection, operated by the test, whose other end is
+// the socket code under test.
 #pragma once
 
 #include "decision_module.hpp"
@@ -28,6 +28,7 @@
 
 constexpr Nanos ms = 1'000'000;
 
+// Fields of an op that a test sends. Unset fields have typical values.
 struct OpFields {
   unsigned type = 0;
   unsigned tenant = 0;
@@ -41,6 +42,7 @@
   Nanos work_estimate = 0; // ms
 };
 
+// Prints the decisions of one DecisionModule, with simulated time in ms.
 class Driver final : public Server {
   std::unique_ptr<DecisionModule> module_;
   Nanos now_ = 0;
@@ -48,7 +50,8 @@
   bool healthy_ = false;
   std::array<double, 2> gauges_{1, 0};
 
-  inline static bool line_open_ = false; // a line is begun: what happens at the same time goes on it
+  inline static bool line_open_ =
+      false; // a line has been started; actions at the same time are appended to it
   inline static Nanos line_time_ = 0;
 
   void emit(std::string text, const std::string& rest = {}) {
@@ -75,11 +78,12 @@
   long long now_ms() const { return static_cast<long long>(now_ / ms); }
 
  public:
-  std::set<OpId> running; // started, and not ended by the test
-  bool quiet = false;     // nothing is printed
+  std::set<OpId> running; // started and not yet ended by the test
+  bool quiet = false;     // suppresses output
   double last_feedback = -1;
 
-  // Two cores, a retryable type 0 and a keyed type 1; what `more` names is changed or added.
+  // Two cores, a retryable op type 0 and a keyed op type 1. `overrides` are changed or added, `removed` are
+  // left out.
   explicit Driver(std::initializer_list<Settings::value_type> overrides = {},
                   std::initializer_list<const char*> removed = {}) {
     Settings settings{{"cores", 2.0},
@@ -126,7 +130,7 @@
   void halt(OpId op) override { emit("halt", id_text(op)); }
   void health(bool good, bool stored) override {
     if (!module_ && good && stored)
-      healthy_ = true; // at the start, as it has to be: not printed
+      healthy_ = true; // expected at the start and not printed
     else
       emit(good ? "health good" : "health bad", stored ? " (stored)" : "");
   }
@@ -140,7 +144,7 @@
     std::printf("# %s\n", words.c_str());
   }
   void gauges(double busy, double wanted) { gauges_ = {busy, wanted}; }
-  // Lets the clock run to a time in ms, with every wake-up asked for.
+  // Runs until a time in ms, including every requested wake-up.
   void run_until(Nanos time) {
     while (wake_ <= time * ms) {
       now_ = wake_;
@@ -149,7 +153,7 @@
     now_ = time * ms;
   }
   void run_for(Nanos time) { run_until(now_ / ms + time); }
-  // Lets the clock jump as it does for a process that stood still: the wake-ups come late.
+  // Makes the clock jump as for a process that was paused: the wake-ups come late.
   void pause_process(Nanos time) {
     now_ += time * ms;
     wake_ = std::max(wake_, now_);
@@ -159,7 +163,8 @@
                      CallerId{fields.caller}, fields.time_left * ms, fields.waited * ms,
                      fields.work_estimate * ms, fields.kb, 0.5, fields.is_retry, fields.original);
   }
-  // Teaches runs of such lengths in ms of the two op types, each with a call if that has one; prints nothing.
+  // Trains the module with runs of these lengths in ms of the two op types, each with a call if `call` is
+  // set, without output.
   void train(Nanos retryable, Nanos keyed, int ops = 20, Nanos call = 0) {
     quiet = true;
     for (unsigned id = 100; ops-- > 0; ++id) {
@@ -183,7 +188,7 @@
   void drain(Nanos left) { module_->drain(now_, left * ms); }
 };
 
-// While it lives no descriptor is free, but what is given back meanwhile.
+// While an object of this class exists, only descriptors that are closed meanwhile are free.
 class NoFreeDescriptors {
   rlimit before_{};
   std::vector<int> taken_;
@@ -205,6 +210,7 @@
   NoFreeDescriptors& operator=(const NoFreeDescriptors&) = delete;
 };
 
+// One end of a TCP connection on loopback, operated by the test.
 class TestConnection {
   int fd_;
   std::string received_;
@@ -225,7 +231,7 @@
   }
 
  public:
-  inline static std::function<void()> turn = [] {}; // lets what is tested do what is ready
+  inline static std::function<void()> turn = [] {}; // lets the code under test handle what is ready
 
   explicit TestConnection(int fd) : fd_(non_blocking(fd)) {}
   TestConnection(TestConnection&& other)
@@ -238,7 +244,7 @@
   }
   ~TestConnection() { close(fd_); }
 
-  // Every test process has a loopback address of its own.
+  // Every test process has its own loopback address.
   static std::string at(int port) {
     char text[INET_ADDRSTRLEN];
     const sockaddr_in there = loopback_address(port);
@@ -260,25 +266,25 @@
     turn();
     return peer;
   }
-  // From another thread: what is tested does nothing meanwhile, and nothing is waited for.
+  // For use on another thread: gives the code under test no turn, and waits for nothing.
   static TestConnection connect_without_turn(int port) {
     const sockaddr_in there = loopback_address(port);
     TestConnection peer(socket(AF_INET, SOCK_STREAM, 0));
     connect(peer.fd_, reinterpret_cast<const sockaddr*>(&there), sizeof there);
     return peer;
   }
-  void flood(std::string_view bytes) { // sends, and takes what it is sent
+  void flood(std::string_view bytes) { // sends, and discards what it receives
     char taken[16 * 1024];
     if (send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) <= 0) usleep(50);
     while (recv(fd_, taken, sizeof taken, 0) > 0) {
     }
   }
-  TestConnection next() { // who connects to it
+  TestConnection next() { // the next connection to this listener
     int fd = -1;
     until("a connection", [&] { return (fd = accept(fd_, nullptr, nullptr)) >= 0; });
     return TestConnection(fd);
   }
-  // Lets time pass in turns until something is so; a test fails where it never is.
+  // Takes turns until `so()` holds. The test fails if that does not happen within ten seconds.
   template <class So>
   static void until(const char* what, So so) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(10);
@@ -299,16 +305,16 @@
     close(std::exchange(fd_, -1));
     turn();
   }
-  void set_small_window() { // takes as little as can be at a time
+  void set_small_window() { // receives as little at a time as possible
     const int least = 1;
     setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &least, sizeof least);
   }
-  void set_no_delay() { // what it says is not kept back until what it said before has been acknowledged
+  void set_no_delay() { // small writes are not delayed until earlier ones are acknowledged
     const int on = 1;
     setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   }
   void stop_sending() { shutdown(fd_, SHUT_WR), turn(); }
-  bool refused() const { // its connection was
+  bool refused() const { // whether its connection was refused
     int error = 0;
     socklen_t size = sizeof error;
     return getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error == ECONNREFUSED;
@@ -320,9 +326,10 @@
     was_reset_ = was_reset_ || (n < 0 && errno == ECONNRESET);
     ended_ = ended_ || n == 0 || was_reset_;
   }
-  // What a whole ending is: the end came before any reset, also of what is sent after it.
+  // Returns whether the connection was reset. After a complete ending it was not, even if data is sent
+  // afterwards.
   bool was_reset() { return hear(), was_reset_; }
-  // Sends without a turn of what is tested, as what comes in the instant between two of its steps.
+  // Sends without giving the code under test a turn, like data that arrives between two of its steps.
   void send_without_turn(std::string_view bytes) {
     if (send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) was_reset_ = true;
   }
@@ -341,14 +348,14 @@
     received_.erase(0, size);
     return taken;
   }
-  std::string line() { // to the end of a line, which is left out
+  std::string line() { // the next line without its end
     std::size_t end = 0;
     until("line", [&] { return hear(), (end = received_.find('\n')) != std::string::npos; });
     std::string taken = take(end + 1);
     taken.erase(taken.find_last_not_of("\r\n") + 1);
     return taken;
   }
-  // An HTTP request: its first line, the headers named, and its body.
+  // Returns an HTTP request: its first line, the named headers and its body.
   std::string request(std::initializer_list<const char*> headers) {
     std::string said = line();
     std::size_t size = 0;
@@ -359,7 +366,7 @@
     }
     return said + " | " + take(size);
   }
-  // The next frame, in words.
+  // Returns a description of the next frame.
   std::string frame() {
     const std::string length = take(4);
     const std::string rest = take(frames::read_le(length.data(), 4));
@@ -383,7 +390,7 @@
 
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
-// A frame as balancers send them; of two fields of one name the later counts, and an empty one is left out.
+// Encodes a frame as balancers send them.
 inline std::string frame_of(int type, std::uint32_t stream, const Fields& fields,
                             std::string_view body = {}) {
   const auto put = [](std::string& out, std::size_t value, int bytes) {
@@ -402,6 +409,8 @@
   put(out, stream, 4);
   return out.append(payload).append(body);
 }
+// Encodes a request with typical fields. Of two fields with the same name the later one counts, and an empty
+// one is left out.
 inline std::string ask(std::uint32_t stream, const std::string& txn, const Fields& other = {},
                        std::string_view body = "body") {
   Fields fields{{"verb", "look"}, {"txn", txn},      {"door", "1000"}, {"lb", "4"},
--- a/tests/due.cpp
+++ b/tests/due.cpp
@@ -1,3 +1,4 @@
+// Every op is answered by its due time, even if its run or its call never ends.
 #include "driver.hpp"
 
 int main() {
@@ -9,7 +10,7 @@
   s.call_wanted(2);
   s.read(3, {.type = 1, .time_left = 900});
   s.run_until(5000);
-  s.section("their late ends are harmless, and the room is free again");
+  s.section("their late ends are harmless, and their room is free again");
   s.run_ended(1);
   s.run_ended(2, Outcome::halted);
   s.run_ended(3);
@@ -17,11 +18,11 @@
   s.read(4);
   s.read(5);
   Driver p({{"halt", std::string("pause")}});
-  p.section("where a run can be stopped it is");
+  p.section("where a run can be halted it is");
   p.read(1, {.type = 1});
   p.run_until(4100);
   Driver g({{"halt", std::string("drop")}});
-  g.section("and so it is when its caller has gone");
+  g.section("and likewise when its caller has gone");
   g.read(2);
   g.cancel(2);
   g.cancel(2);
--- a/tests/forms.cpp
+++ b/tests/forms.cpp
@@ -1,5 +1,6 @@
-// Frames and notices in pieces, and in all the forms that the protocol leaves open: order and spelling of
-// what is told, numbers of streams, sizes, which bytes come together. Each is read as what it is, once.
+// Frames and notices in fragments, and in all forms that the protocol permits: order and spelling of fields,
+// stream numbers, sizes, and which bytes arrive together. Each must be read as the same message, exactly
+// once.
 #include "driver.hpp"
 #include "front.hpp"
 #include "interpreter.hpp"
@@ -12,7 +13,7 @@
 
 void section(const char* what) { std::printf("# %s\n", what); }
 
-// Each op is refused as soon as it is read, unless it is to stay open; what was read of it is kept in words.
+// Refuses each op as soon as it is read, unless it is to stay open, and records a description of it.
 struct OpRecorder final : Front::Handler {
   Front* front = nullptr;
   bool leave_open = false;
@@ -73,7 +74,7 @@
 }
 
 void test_fragmentation() {
-  section("a request, a check and a keyed request: cut at each place, and byte by byte");
+  section("a request, a check and a keyed request: split at each byte, and byte by byte");
   FrontFixture b;
   b.peer.set_no_delay();
   std::uint32_t stream = 0;
@@ -106,7 +107,7 @@
   alike += heard() == answers && b.recorder.take() == whole;
   std::printf("  over 250 cuts: %d, all alike: %d\n", cuts > 250, alike == cuts);
 
-  section("two hundred at once, over every bound of what is read at a time");
+  section("two hundred requests at once, beyond every limit of a single read");
   std::string all;
   for (int i = 0; i < 200; ++i)
     all += ask(++stream, "9b1f03aa5c7e2d41", {}, std::string(static_cast<std::size_t>(i * 9), 'x'));
@@ -117,7 +118,7 @@
 }
 
 void test_request_forms() {
-  section("fields in another order, more of them, empty ones; the bounds of each number; bodies");
+  section("fields in another order, additional and empty fields; the limits of each number; bodies");
   FrontFixture b;
   std::uint32_t stream = 0;
   const auto read = [&](const std::string& bytes) {
@@ -152,18 +153,18 @@
   read(ask(++stream, txn, {{"unique", "a mark where none is asked for"}}, ""));
   read(ask(++stream, txn, {}, all_byte_values()));
 
-  section("checks: on any stream, the same again, without fields, as long as a frame may be");
+  section("health checks: on any stream, repeated, without fields, as long as a frame may be");
   for (const std::uint32_t on : {0u, 7u, 7u, 4294967295u}) read(frame_of(frames::health_check, on, {}));
   Fields longest;
   for (int i = 0; i < 5; ++i) longest.emplace_back("f" + std::to_string(i), std::string(50'000, 'x'));
   std::string frame = frame_of(frames::health_check, 1, longest);
-  frame.append(frames::max_length + 4 - frame.size(), 'y'); // bytes behind the fields
+  frame.append(frames::max_length + 4 - frame.size(), 'y'); // bytes after the fields
   for (int i = 0; i < 4; ++i)
     frame[static_cast<std::size_t>(i)] = static_cast<char>(frames::max_length >> 8 * i);
   read(frame);
   read(ask(++stream, txn));
 
-  section("streams that are new, in any order: downwards, with gaps, all over");
+  section("new streams in any order: descending, with gaps, random");
   const std::size_t before = b.recorder.ops;
   std::size_t asked = 0, answered = 0;
   const auto on = [&](std::uint32_t number) {
@@ -179,7 +180,7 @@
   std::printf("  all read: %d, all answered on theirs: %d\n", b.recorder.ops - before == asked,
               answered == asked);
 
-  section("one that is still open is not new, however many came since");
+  section("a stream that is still open is not new, however many were opened since");
   TestConnection other = TestConnection::to(5050);
   b.recorder.leave_open = true;
   other.say(ask(10, txn));
@@ -211,9 +212,9 @@
 };
 
 void test_notice_forms() {
-  section("notices in other orders, with spaces, escapes, members that say nothing, lines ended as in a "
+  section("notices in other orders, with spaces, escapes, unknown members, lines ended as in a "
           "terminal; "
-          "whole, cut at each place, and byte by byte");
+          "whole, split at each byte, and byte by byte");
   const std::string up = "{\"wall_ms\" : 1.25e3, \"code\":\"running\",\"action\":\"BANNER\"}\r\n";
   const std::string more =
       "{ \"pos\":1 "
@@ -231,7 +232,7 @@
   TestConnection machines = TestConnection::listening(7300);
   std::string first;
   std::size_t cuts = 0, alike = 0;
-  for (std::size_t cut = 0; cut <= more.size(); ++cut) { // whole first, byte by byte last
+  for (std::size_t cut = 0; cut <= more.size(); ++cut) { // unfragmented first, byte by byte last
     asio::io_context io;
     NoticeRecorder heard;
     InterpreterLink link(io, TestConnection::at(7300), 1 << 20, heard);
--- a/tests/settings.cpp
+++ b/tests/settings.cpp
@@ -1,10 +1,11 @@
+// Settings that are missing or invalid are reported by name.
 #include "driver.hpp"
 
 static void build(std::initializer_list<Settings::value_type> more,
                   std::initializer_list<const char*> without) {
   try {
     Driver s(more, without);
-    s.section("taken");
+    s.section("accepted");
   } catch (const std::exception& e) {
     std::puts(e.what());
   }
--- a/tests/share.cpp
+++ b/tests/share.cpp
@@ -1,20 +1,22 @@
-// What stands at the service below, as the service counts it, against each server's share of it: calls given
-// up, a service that stands still or is slow, replies that never come, servers killed and begun anew, other
-// addresses in the middle. A call is in hand from its order until it is answered; one given up stays until
-// its end, for the told time at the most.
+// Calls in flight at the downstream service, as counted by the service, compared with each server's share:
+// with abandoned calls, a stalled or slow service, lost replies, killed and restarted servers, and changed
+// addresses. A call is in flight from its start until it is answered; an abandoned call until its end, for
+// the configured time at most.
 #include "simulated_server.hpp"
 
 namespace {
 
 constexpr unsigned servers = 6;
 
-// Each server by itself stays within its share, in one life; all together with room, in all lives.
+// Each server must stay within its share during one incarnation, and all servers together, with a margin,
+// over all incarnations.
 constexpr double room = 0.95;
 
 struct Scenario {
   const char* title;
   bool one_incarnation;
-  std::function<void(Nanos at, RecordsStub&, std::vector<std::unique_ptr<SimulatedServer>>&)> at; // each ms
+  std::function<void(Nanos at, RecordsStub&, std::vector<std::unique_ptr<SimulatedServer>>&)>
+      at; // called every ms
 };
 
 bool run_scenario(const Scenario& scenario) {
@@ -32,7 +34,7 @@
     }
     most_sum = std::max(most_sum, sum / (servers * share));
     if (t % (2 * second) == 0 && t > 0)
-      std::printf("%6lld  mean in hand %.2f of the shares\n", static_cast<long long>(t / ms),
+      std::printf("%6lld  mean in flight %.2f of the shares\n", static_cast<long long>(t / ms),
                   sum / (servers * share));
   }
   int acked = 0, nacked = 0, failed = 0;
@@ -47,8 +49,8 @@
   return within;
 }
 
-// A service with a budget of calls in hand for all, and servers that begin cold: what they have in hand
-// together, at any moment, is within the budget and what chance may add to it.
+// A service with a budget of concurrent calls for all servers, which start cold: the calls that they have in
+// flight at any moment must be within the budget plus what chance may add.
 constexpr double budget = 12;
 const double slack = 2 * std::sqrt(budget) + 2;
 
@@ -78,8 +80,8 @@
   for (const auto& place : places) calls += place->acked;
   const bool within = most <= budget + slack && most_mean <= budget;
   std::printf(
-      "  %3u servers: most %.0f in hand of %.0f and %.1f, mean of five seconds %.1f; acked %.0f: %s\n", count,
-      most, budget, slack, most_mean, calls, within ? "within" : "OVER");
+      "  %3u servers: most %.0f in flight of %.0f and %.1f, mean of five seconds %.1f; acked %.0f: %s\n",
+      count, most, budget, slack, most_mean, calls, within ? "within" : "OVER");
   return within;
 }
 
@@ -107,14 +109,14 @@
     if (t > 4 * second && t < 9 * second && t % (500 * ms) == 400 * ms) places[k]->begin(t, 100 * ms);
   };
   bool good = run_scenario({"calm", true, calm});
-  good &= run_scenario({"the service stands still for 1.3 s", true, stalled});
+  good &= run_scenario({"the service stalls for 1.3 s", true, stalled});
   good &= run_scenario({"each call takes 400 ms for 5 s", true, slow});
-  good &= run_scenario({"three replies in a hundred never come", true, lost_replies});
-  good &= run_scenario({"calls don't end any more, those in hand go on at the old address", true, hangs});
-  good &= run_scenario({"slow, and a server is killed and begun anew every 500 ms", false, killed});
-  std::puts("# cold at once");
+  good &= run_scenario({"three of a hundred replies never arrive", true, lost_replies});
+  good &= run_scenario({"calls no longer end, and those in flight continue at the old address", true, hangs});
+  good &= run_scenario({"slow, and a server is killed and restarted every 500 ms", false, killed});
+  std::puts("# cold start at once");
   for (const unsigned count : {1u, 20u, 30u, 300u}) good &= run_cold_start(count, 0);
-  std::puts("# cold in four waves, a second apart");
+  std::puts("# cold start in four waves, a second apart");
   for (const unsigned count : {1u, 20u, 30u, 300u}) good &= run_cold_start(count, second);
   return good ? 0 : 1;
 }
