--- a/src/decision_module.cpp
+++ b/src/decision_module.cpp
@@ -251,42 +251,43 @@
     else if (gauge == "on_cores")
       runnable_gauge_ = g;
   for (int t = 0; settings.contains("op_type." + std::to_string(t) + ".op_timeout_ns"); ++t) {
-    const std::string at = "op_type." + std::to_string(t) + ".";
+    const std::string prefix = "op_type." + std::to_string(t) + ".";
     OpType type{.run_time = Histogram(long_history),
                 .core_time = Histogram(long_history),
                 .recent_core_time = Histogram(short_history),
                 .caller_timeouts = FrequentValues(long_history)};
-    type.op_timeout = static_cast<Nanos>(required_number(settings, at + "op_timeout_ns", 1));
-    type.target_latency = static_cast<Nanos>(required_number(settings, at + "target_latency_ns", 1));
-    type.key_window = span(settings, at + "key_window_ns", 0);
-    type.importance = number(settings, at + "importance", 1);
-    type.late_value_fraction = number(settings, at + "late_share", 0);
-    type.value_fraction_without_call = number(settings, at + "without_share", 0);
-    type.target_stretch = number(settings, at + "target_stretch", 0);
-    type.may_call = number(settings, at + "may_call", 0) != 0;
-    const std::string repeats = text(settings, at + "repeats", "retryable");
+    type.op_timeout = static_cast<Nanos>(required_number(settings, prefix + "op_timeout_ns", 1));
+    type.target_latency = static_cast<Nanos>(required_number(settings, prefix + "target_latency_ns", 1));
+    type.key_window = span(settings, prefix + "key_window_ns", 0);
+    type.importance = number(settings, prefix + "importance", 1);
+    type.late_value_fraction = number(settings, prefix + "late_share", 0);
+    type.value_fraction_without_call = number(settings, prefix + "without_share", 0);
+    type.target_stretch = number(settings, prefix + "target_stretch", 0);
+    type.may_call = number(settings, prefix + "may_call", 0) != 0;
+    const std::string repeats = text(settings, prefix + "repeats", "retryable");
     type.retry_class = repeats == "keyed"           ? RetryClass::keyed
                        : repeats == "non_retryable" ? RetryClass::non_retryable
                                                     : RetryClass::retryable;
     types_.push_back(type);
   }
   if (types_.empty()) throw std::invalid_argument("setting op_type.0.op_timeout_ns is missing");
-  const double fleet = std::max(1.0, number(settings, "fleet_size", 1));
+  const double fleet_size = std::max(1.0, number(settings, "fleet_size", 1));
   for (int t = 0; settings.contains("tenant." + std::to_string(t) + ".quota"); ++t)
-    tenants_.push_back({.quota = number(settings, "tenant." + std::to_string(t) + ".quota", 0) / fleet});
+    tenants_.push_back({.quota = number(settings, "tenant." + std::to_string(t) + ".quota", 0) / fleet_size});
   last_progress_at_ = counting_since_ = now;
-  const Nanos report = span(settings, "list_lapse_ns", 0) / report_interval_divisor;
-  server_.set_timing(Timing::report_interval, report);
-  server_.set_timing(Timing::report_timeout, report);
+  const Nanos report_interval = span(settings, "list_lapse_ns", 0) / report_interval_divisor;
+  server_.set_timing(Timing::report_interval, report_interval);
+  server_.set_timing(Timing::report_timeout, report_interval);
   server_.set_timing(Timing::link_reconnect_delay, link_reconnect_delay);
-  Nanos longest = 0, latest = 0;
+  Nanos max_op_timeout = 0, max_target_latency = 0;
   for (const OpType& type : types_) {
-    longest = std::max(longest, type.op_timeout);
-    latest = std::max(latest, type.target_latency); // ops started on a dead link during that time are lost
+    max_op_timeout = std::max(max_op_timeout, type.op_timeout);
+    max_target_latency = std::max(
+        max_target_latency, type.target_latency); // ops started on a dead link during that time are lost
   }
   server_.set_timing(Timing::link_silence_timeout,
-                     std::clamp(latest, min_link_silence_timeout, max_link_silence_timeout));
-  server_.set_timing(Timing::write_stall_timeout, longest); // no caller waits for longer
+                     std::clamp(max_target_latency, min_link_silence_timeout, max_link_silence_timeout));
+  server_.set_timing(Timing::write_stall_timeout, max_op_timeout); // no caller waits for longer
   server_.set_timing(Timing::link_handover_timeout, link_handover_timeout);
   server_.set_timing(Timing::connection_drain_delay, connection_drain_delay);
   server_.set_timing(Timing::silent_connection_timeout,
@@ -319,10 +320,10 @@
 // all callers find at once.
 void DecisionModule::adjust_cap(Nanos now) {
   const bool waiting = !queue_.empty() && now - queued_since_ >= gauge_window;
-  const bool moving = now - last_progress_at_ < gauge_window;
+  const bool progressing = now - last_progress_at_ < gauge_window;
   const bool free = busy_ < free_cores_threshold &&
                     (runnable_ >= 0 ? runnable_ < cores_ : now - cap_grown_at_ >= gauge_window);
-  if (waiting && moving && free && on_core_ >= static_cast<int>(cap_)) {
+  if (waiting && progressing && free && on_core_ >= static_cast<int>(cap_)) {
     cap_ *= cap_growth_factor;
     cap_grown_at_ = now;
   } else if (busy_ >= free_cores_threshold && now - cap_cut_at_ >= cap_cut_interval) {
@@ -430,8 +431,8 @@
   for (Op* op : queue_) op->latest_start_at = target_deadline(*op) - run_time(*op, planning_quantile);
   std::stable_sort(queue_.begin(), queue_.end(),
                    [](const Op* a, const Op* b) { return a->latest_start_at < b->latest_start_at; });
-  double ahead = std::max(0.0, static_cast<double>(on_core_) - cap_ +
-                                   1); // runs that have to end before the first op can start
+  double runs_ahead = std::max(0.0, static_cast<double>(on_core_) - cap_ +
+                                        1); // runs that have to end before the first op can start
   double backlog =
       static_cast<double>(parked_call_wait()) * cap_; // the slower of cores and calls sets the pace
   const double call_cost = static_cast<double>(call_interval()) * cap_;
@@ -439,7 +440,7 @@
     return std::max(static_cast<double>(core_time(*op)), types_[op->type.raw].may_call ? call_cost : 0);
   };
   const double mean_work_on_core =
-      ahead > 0 ? work_on_core() / on_core_ : 0; // mean work of the ops on the cores
+      runs_ahead > 0 ? work_on_core() / on_core_ : 0; // mean work of the ops on the cores
   const double rarity = std::max(0.0, 1 - nacked_fraction_ / rare_nack_fraction);
   const double wait_fraction = max_wait_fraction + (relaxed_wait_fraction - max_wait_fraction) * rarity;
   std::vector<Op*> rejected, accepted;
@@ -451,7 +452,7 @@
     accepted.push_back(op);
     const double work = static_cast<double>(core_time(*op));
     const Nanos begin =
-        now + static_cast<Nanos>((ahead * std::min(work, mean_work_on_core) + backlog) / cap_);
+        now + static_cast<Nanos>((runs_ahead * std::min(work, mean_work_on_core) + backlog) / cap_);
     backlog += cost_of(op);
     const bool short_wait =
         static_cast<double>(begin - now) <=
--- a/src/serializer.hpp
+++ b/src/serializer.hpp
@@ -63,11 +63,11 @@
   }
   template <class T>
   void operator()(std::optional<T>& item) {
-    bool there = item.has_value();
-    (*this)(there);
-    if (there && !item) item.emplace();
-    if (!there) item.reset();
-    if (there) (*this)(*item);
+    bool present = item.has_value();
+    (*this)(present);
+    if (present && !item) item.emplace();
+    if (!present) item.reset();
+    if (present) (*this)(*item);
   }
   template <class K, class V, class Order>
   void operator()(std::map<K, V, Order>& all) {
@@ -122,9 +122,9 @@
   }
   // Writes contents, or what `token` makes of them if it is set.
   template <class Size>
-  void content(std::string& held, Size& size) {
+  void content(std::string& text, Size& size) {
     whole(size);
-    bytes(token_ && size > 0 ? token_(held) : held);
+    bytes(token_ && size > 0 ? token_(text) : text);
   }
   void word(std::string& text) { bytes(conceal_ && !text.empty() ? conceal_(text) : text); }
   template <class T>
@@ -146,18 +146,18 @@
 class Reader : public Serializer<Reader> {
   std::string_view left_;
 
-  [[noreturn]] static void bad(const char* reason) {
+  [[noreturn]] static void throw_invalid(const char* reason) {
     throw std::invalid_argument(std::string("snapshot: ") + reason);
   }
-  std::string_view cut(std::size_t size) {
-    if (size > left_.size()) bad("truncated");
+  std::string_view take_bytes(std::size_t size) {
+    if (size > left_.size()) throw_invalid("truncated");
     const std::string_view taken = left_.substr(0, size);
     left_.remove_prefix(size);
     return taken;
   }
   std::size_t count() { // number of elements of at least one byte each
     const std::uint64_t n = varint();
-    if (n > left_.size()) bad("a list is longer than the remaining bytes");
+    if (n > left_.size()) throw_invalid("a list is longer than the remaining bytes");
     return static_cast<std::size_t>(n);
   }
 
@@ -169,11 +169,11 @@
   std::uint64_t varint() {
     std::uint64_t value = 0;
     for (int shift = 0; shift < 64; shift += 7) {
-      const auto byte = static_cast<unsigned char>(cut(1).front());
+      const auto byte = static_cast<unsigned char>(take_bytes(1).front());
       value |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
       if (byte < 0x80) return value;
     }
-    bad("unterminated varint");
+    throw_invalid("unterminated varint");
   }
   template <class T>
   void whole(T& into) {
@@ -184,16 +184,16 @@
   void enumerated(T& into) {
     int raw = 0;
     whole(raw);
-    if (raw < 0 || raw > 63) bad("unknown enumeration value");
+    if (raw < 0 || raw > 63) throw_invalid("unknown enumeration value");
     into = static_cast<T>(raw);
   }
   template <class T>
   void fraction(T& into) {
     std::array<char, sizeof(double)> raw;
-    std::memcpy(raw.data(), cut(raw.size()).data(), raw.size());
+    std::memcpy(raw.data(), take_bytes(raw.size()).data(), raw.size());
     into = static_cast<T>(std::bit_cast<double>(raw));
   }
-  void bytes(std::string& into) { into = cut(count()); }
+  void bytes(std::string& into) { into = take_bytes(count()); }
   void word(std::string& into) { bytes(into); }
   template <class Size>
   void content(std::string& into, Size& size) {
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -21,7 +21,7 @@
 };
 using Mappings = std::initializer_list<Mapping>;
 
-[[noreturn]] void bad(const std::string& key, const char* reason) {
+[[noreturn]] void throw_invalid(const std::string& key, const char* reason) {
   throw std::invalid_argument(key + ": " + reason);
 }
 
@@ -46,19 +46,19 @@
   std::string_view word;
   switch (kind) {
   case Kind::flag:
-    if (at.get(flag) != simdjson::SUCCESS) bad(key, "not true or false");
+    if (at.get(flag) != simdjson::SUCCESS) throw_invalid(key, "not true or false");
     settings[name] = flag ? 1.0 : 0.0;
     return;
   case Kind::number:
-    if (at.get(value) != simdjson::SUCCESS) bad(key, "not a number");
+    if (at.get(value) != simdjson::SUCCESS) throw_invalid(key, "not a number");
     // Larger spans would overflow a count of nanoseconds.
     if (!(value >= 0) || value > static_cast<double>(std::numeric_limits<Nanos>::max() / 4))
-      bad(key, "out of range");
+      throw_invalid(key, "out of range");
     settings[name] = value;
     return;
   case Kind::word:
   case Kind::label:
-    if (at.get(word) != simdjson::SUCCESS) bad(key, "not a text");
+    if (at.get(word) != simdjson::SUCCESS) throw_invalid(key, "not a text");
     settings[name] = kind == Kind::word ? module_value(word) : std::string(word);
     return;
   }
@@ -75,7 +75,7 @@
   element at;
   if (from[name].get(at) != simdjson::SUCCESS || at.is_null()) return;
   simdjson::dom::array row;
-  if (at.get(row) != simdjson::SUCCESS) bad(path + name, "not a list");
+  if (at.get(row) != simdjson::SUCCESS) throw_invalid(path + name, "not a list");
   std::size_t i = 0;
   for (const element item : row) {
     each(item, std::to_string(i), path + name + "[" + std::to_string(i) + "]");
@@ -88,7 +88,7 @@
   element at;
   if (from[name].get(at) != simdjson::SUCCESS || at.is_null()) return;
   object part;
-  if (at.get(part) != simdjson::SUCCESS) bad(path + name, "not an object");
+  if (at.get(part) != simdjson::SUCCESS) throw_invalid(path + name, "not an object");
   each(part, path + name + ".");
 }
 
@@ -112,7 +112,7 @@
     for_each_element(source, name, path,
                      [&](const element& at, const std::string& i, const std::string& key) {
                        object entry;
-                       if (at.get(entry) != simdjson::SUCCESS) bad(key, "not an object");
+                       if (at.get(entry) != simdjson::SUCCESS) throw_invalid(key, "not an object");
                        put_fields(settings, entry, key + ".", std::string(prefix) + i + ".", mappings);
                      });
   };
--- a/tests/share.cpp
+++ b/tests/share.cpp
@@ -6,47 +6,48 @@
 
 namespace {
 
-constexpr unsigned servers = 6;
+constexpr unsigned server_count = 6;
 
 // Each server must stay within its share during one incarnation, and all servers together, with a margin,
 // over all incarnations.
-constexpr double room = 0.95;
+constexpr double max_total_share = 0.95;
 
 struct Scenario {
   const char* title;
   bool one_incarnation;
   std::function<void(Nanos at, RecordsStub&, std::vector<std::unique_ptr<SimulatedServer>>&)>
-      at; // called every ms
+      on_tick; // called every ms
 };
 
 bool run_scenario(const Scenario& scenario) {
   std::printf("# %s\n", scenario.title);
   RecordsStub service;
-  std::vector<std::unique_ptr<SimulatedServer>> places;
-  for (unsigned n = 0; n < servers; ++n) places.push_back(std::make_unique<SimulatedServer>(service, n));
-  double most_sum = 0;
+  std::vector<std::unique_ptr<SimulatedServer>> instances;
+  for (unsigned n = 0; n < server_count; ++n)
+    instances.push_back(std::make_unique<SimulatedServer>(service, n));
+  double max_total = 0;
   for (Nanos t = 0; t < 14 * second; t += ms) {
-    scenario.at(t, service, places);
+    scenario.on_tick(t, service, instances);
     double sum = 0;
-    for (auto& place : places) {
-      place->step(t, t / ms % 50 == 7 * place->number);
-      sum += place->in_flight.mean_with(place->in_flight.count(), 0);
+    for (auto& instance : instances) {
+      instance->step(t, t / ms % 50 == 7 * instance->number);
+      sum += instance->in_flight.mean_with(instance->in_flight.count(), 0);
     }
-    most_sum = std::max(most_sum, sum / (servers * share));
+    max_total = std::max(max_total, sum / (server_count * share));
     if (t % (2 * second) == 0 && t > 0)
       std::printf("%6lld  mean in flight %.2f of the shares\n", static_cast<long long>(t / ms),
-                  sum / (servers * share));
+                  sum / (server_count * share));
   }
   int acked = 0, nacked = 0, failed = 0;
   double most = 0;
-  for (const auto& place : places) {
-    acked += place->acked, nacked += place->nacked, failed += place->failed_ops;
-    most = std::max(most, place->most / share);
+  for (const auto& instance : instances) {
+    acked += instance->acked, nacked += instance->nacked, failed += instance->failed_ops;
+    most = std::max(most, instance->most / share);
   }
-  const bool within = most_sum <= room && (most <= 1 || !scenario.one_incarnation);
-  std::printf("  most %.2f of all shares, %.2f of one; acked %d, nacked %d, failed %d: %s\n", most_sum, most,
-              acked, nacked, failed, within ? "within" : "OVER");
-  return within;
+  const bool within_limits = max_total <= max_total_share && (most <= 1 || !scenario.one_incarnation);
+  std::printf("  most %.2f of all shares, %.2f of one; acked %d, nacked %d, failed %d: %s\n", max_total, most,
+              acked, nacked, failed, within_limits ? "within" : "OVER");
+  return within_limits;
 }
 
 // A service with a budget of concurrent calls for all servers, which start cold: the calls that they have in
@@ -57,9 +58,9 @@
 bool run_cold_start(unsigned count, Nanos wave_interval) {
   RecordsStub service;
   service.call_duration = 60 * ms;
-  std::vector<std::unique_ptr<SimulatedServer>> places;
+  std::vector<std::unique_ptr<SimulatedServer>> instances;
   for (unsigned n = 0; n < count; ++n)
-    places.push_back(std::make_unique<SimulatedServer>(
+    instances.push_back(std::make_unique<SimulatedServer>(
         service, n,
         Settings{
             {"call_share", budget / count}, {"cold", 1.0}, {"cold_from", 0.25}, {"warm_after_ns", 9e9}}));
@@ -67,22 +68,22 @@
   WindowMean all(window, 0);
   for (Nanos t = 0; t < 8 * second; t += ms) {
     double in_hand = 0;
-    for (auto& place : places) {
-      const Nanos begins = wave_interval * (place->number % 4);
-      if (t == begins) place->begin(t, 100 * ms);
-      place->step(t, place->core && t / ms % 50 == place->number % 50);
-      in_hand += place->in_flight.count();
+    for (auto& instance : instances) {
+      const Nanos start_time = wave_interval * (instance->number % 4);
+      if (t == start_time) instance->begin(t, 100 * ms);
+      instance->step(t, instance->core && t / ms % 50 == instance->number % 50);
+      in_hand += instance->in_flight.count();
     }
     all.change(t, in_hand - all.count());
     most = std::max(most, in_hand);
     most_mean = std::max(most_mean, all.mean_with(all.count(), 0));
   }
-  for (const auto& place : places) calls += place->acked;
-  const bool within = most <= budget + slack && most_mean <= budget;
+  for (const auto& instance : instances) calls += instance->acked;
+  const bool within_limits = most <= budget + slack && most_mean <= budget;
   std::printf(
       "  %3u servers: most %.0f in flight of %.0f and %.1f, mean of five seconds %.1f; acked %.0f: %s\n",
-      count, most, budget, slack, most_mean, calls, within ? "within" : "OVER");
-  return within;
+      count, most, budget, slack, most_mean, calls, within_limits ? "within" : "OVER");
+  return within_limits;
 }
 
 } // namespace
@@ -102,11 +103,11 @@
   const auto hangs = [](Nanos t, RecordsStub& s, auto&) {
     if (t == 3 * second) s.call_duration = 60 * second;
   };
-  const auto killed = [](Nanos t, RecordsStub& s, auto& places) {
+  const auto killed = [](Nanos t, RecordsStub& s, auto& instances) {
     if (t == 3 * second) s.call_duration = 300 * ms;
-    const auto k = static_cast<unsigned>(t / (500 * ms)) % servers;
-    if (t > 4 * second && t < 9 * second && t % (500 * ms) == 0) places[k]->kill();
-    if (t > 4 * second && t < 9 * second && t % (500 * ms) == 400 * ms) places[k]->begin(t, 100 * ms);
+    const auto k = static_cast<unsigned>(t / (500 * ms)) % server_count;
+    if (t > 4 * second && t < 9 * second && t % (500 * ms) == 0) instances[k]->kill();
+    if (t > 4 * second && t < 9 * second && t % (500 * ms) == 400 * ms) instances[k]->begin(t, 100 * ms);
   };
   bool good = run_scenario({"calm", true, calm});
   good &= run_scenario({"the service stalls for 1.3 s", true, stalled});
