--- a/src/decision_module.cpp
+++ b/src/decision_module.cpp
@@ -282,16 +282,16 @@
   Nanos max_op_timeout = 0, max_target_latency = 0;
   for (const OpType& type : types_) {
     max_op_timeout = std::max(max_op_timeout, type.op_timeout);
-    max_target_latency = std::max(
-        max_target_latency, type.target_latency); // ops started on a dead link during that time are lost
+    // Ops started on a dead link during that time are lost.
+    max_target_latency = std::max(max_target_latency, type.target_latency);
   }
   server_.set_timing(Timing::link_silence_timeout,
                      std::clamp(max_target_latency, min_link_silence_timeout, max_link_silence_timeout));
   server_.set_timing(Timing::write_stall_timeout, max_op_timeout); // no caller waits for longer
   server_.set_timing(Timing::link_handover_timeout, link_handover_timeout);
   server_.set_timing(Timing::connection_drain_delay, connection_drain_delay);
-  server_.set_timing(Timing::silent_connection_timeout,
-                     configured_idle_timeout_); // callers close it after that time themselves
+  // Callers close a connection after that time themselves.
+  server_.set_timing(Timing::silent_connection_timeout, configured_idle_timeout_);
   server_.set_timing(Timing::frame_timeout, frame_timeout);
   server_.set_eviction_order(eviction_order, max_invalid_ops);
   server_.set_timing(Timing::accept_retry_delay, accept_retry_delay);
@@ -399,8 +399,8 @@
   if (type.run_time.total() < min_samples) return core_time(op);
   const Nanos whole =
       static_cast<Nanos>(static_cast<double>(type.run_time.quantile(quantile)) * op.work_factor);
-  return std::max(whole / min_remaining_divisor,
-                  whole - op.core_time_used); // a paused op has done part of its run
+  // A paused op has done part of its run.
+  return std::max(whole / min_remaining_divisor, whole - op.core_time_used);
 }
 
 Nanos DecisionModule::target_deadline(const Op& op) const {
@@ -431,16 +431,15 @@
   for (Op* op : queue_) op->latest_start_at = target_deadline(*op) - run_time(*op, planning_quantile);
   std::stable_sort(queue_.begin(), queue_.end(),
                    [](const Op* a, const Op* b) { return a->latest_start_at < b->latest_start_at; });
-  double runs_ahead = std::max(0.0, static_cast<double>(on_core_) - cap_ +
-                                        1); // runs that have to end before the first op can start
-  double backlog =
-      static_cast<double>(parked_call_wait()) * cap_; // the slower of cores and calls sets the pace
+  // Runs that have to end before the first op can start.
+  double runs_ahead = std::max(0.0, static_cast<double>(on_core_) - cap_ + 1);
+  // The slower of cores and calls sets the pace.
+  double backlog = static_cast<double>(parked_call_wait()) * cap_;
   const double call_cost = static_cast<double>(call_interval()) * cap_;
   const auto cost_of = [&](const Op* op) {
     return std::max(static_cast<double>(core_time(*op)), types_[op->type.raw].may_call ? call_cost : 0);
   };
-  const double mean_work_on_core =
-      runs_ahead > 0 ? work_on_core() / on_core_ : 0; // mean work of the ops on the cores
+  const double mean_work_on_core = runs_ahead > 0 ? work_on_core() / on_core_ : 0;
   const double rarity = std::max(0.0, 1 - nacked_fraction_ / rare_nack_fraction);
   const double wait_fraction = max_wait_fraction + (relaxed_wait_fraction - max_wait_fraction) * rarity;
   std::vector<Op*> rejected, accepted;
@@ -594,8 +593,10 @@
 void DecisionModule::on_run_end(Nanos now, Op& op, Outcome outcome, Nanos elapsed) {
   leave_core(now, op);
   if (op.stage == Stage::calling) {
-    lingering_calls_.push_back(now + call_linger_); // the call is abandoned but still in progress downstream
-    trial_call_in_flight_ = false;                  // the end of this trial call will not be reported
+    // The call is abandoned but still in progress downstream. If it was a trial, its end will not be
+    // reported.
+    lingering_calls_.push_back(now + call_linger_);
+    trial_call_in_flight_ = false;
   }
   erase_item(parked_, &op);
   --running_;
--- a/src/decision_module.hpp
+++ b/src/decision_module.hpp
@@ -50,22 +50,24 @@
  public:
   virtual ~Server() = default;
   virtual void run(OpId op) = 0; // starts a queued op or resumes a halted one
+  // Answers that the op never ran; `retry_after` is how long callers should stay away, `no_retry` asks them
+  // not to try another server.
   virtual void nack(OpId op, Reason reason, bool no_retry, Nanos retry_after) = 0;
   // Answers with a failure. Unlike a nack, it does not promise that the op never ran.
   virtual void fail(OpId op, Reason reason) = 0;
-  virtual void call(OpId op, Nanos time_out) = 0;
-  virtual void answer_without_call(OpId op) = 0; // resumes the op without its call
-  virtual void keep_key(OpId op, Nanos lifetime) = 0;
+  virtual void call(OpId op, Nanos time_out) = 0;     // makes the op's call to the downstream service
+  virtual void answer_without_call(OpId op) = 0;      // resumes the op without its call
+  virtual void keep_key(OpId op, Nanos lifetime) = 0; // remembers the op's key for repeats
   virtual void forget_key(OpId op) = 0;
   virtual void reuse(OpId op) = 0; // answers with the result of the original op
-  virtual void halt(OpId op) = 0;
+  virtual void halt(OpId op) = 0;  // stops or pauses a run on the cores
   virtual void health(bool good, bool from_store) = 0;
   virtual void notify_callers(double value) = 0;
   virtual void set_idle_timeout(Nanos after) = 0; // 0: as the site is configured
   virtual void wake_at(Nanos at, WakeId id) = 0;
   virtual void log(std::string_view words) = 0;
-  // Only for servers on sockets. Ops that no caller would send close a connection after `max_invalid_ops` in
-  // a row.
+  // Only for servers on sockets. After `max_invalid_ops` consecutive ops that no caller would send, nothing
+  // more is read from their connection.
   virtual void set_timing(Timing, Nanos) {}
   virtual void set_eviction_order(std::span<const Eviction> /*order*/, int /*max_invalid_ops*/) {}
   virtual void stop_accepting() {} // takes no new ops on any connection, and no new connections
@@ -114,11 +116,17 @@
                OpId original, double weight = 1);
   // The op whose result was to be reused did not run; `original` is the op that is repeated now.
   void reuse_failed(Nanos now, OpId id, OpId original);
-  void op_cancelled(Nanos now, OpId id); // no caller waits for its answer any more
+  // No caller waits for the op's answer any more.
+  void op_cancelled(Nanos now, OpId id);
+  // A run or the reuse of a result ended, `elapsed` after its start.
   void run_ended(Nanos now, OpId id, Outcome outcome, Nanos elapsed);
+  // A run has reached its call and left the cores.
   void call_wanted(Nanos now, OpId id);
+  // A call ended, `elapsed` after its start.
   void call_ended(Nanos now, OpId id, Outcome outcome, Nanos elapsed);
+  // A requested wake-up. `gauges` are in the order of the settings.
   void woken(Nanos now, WakeId id, std::span<const double> gauges);
+  // The server was told that it will be stopped after `until_kill`.
   void drain(Nanos now, Nanos until_kill);
   // The machine started `since` ago. Without this event it is assumed to have started with this object.
   void machine_up(Nanos now, Nanos since);
