--- a/pools/pools.cpp
+++ b/pools/pools.cpp
@@ -114,17 +114,18 @@
   pools_.push_back(std::move(others));
   for (Pool& pool : pools_) {
     pool.tenant_excess.resize(quota_shares_.size());
-    pool.at = pool.last_repeat_at = pool.floor_bucket.at = pool.ceiling_bucket.at = now;
+    pool.decayed_at = pool.last_repeat_at = pool.floor_bucket.refilled_at = pool.ceiling_bucket.refilled_at =
+        now;
   }
-  reserve_bucket_.at = now;
+  reserve_bucket_.refilled_at = now;
 }
 
 // ---- token buckets
 
 void Pools::TokenBucket::refill(Nanos now, double rate, Nanos window) {
   capacity = rate * static_cast<double>(window) / second;
-  level = std::min(capacity, level + rate * static_cast<double>(now - at) / second);
-  at = now;
+  level = std::min(capacity, level + rate * static_cast<double>(now - refilled_at) / second);
+  refilled_at = now;
 }
 // The level may become negative once, so that an op larger than the bucket is not shut out for ever: over any
 // period, at most that period's refill plus one window's and one op's work is taken.
@@ -151,12 +152,12 @@
 }
 
 void Pools::decay(Nanos now, Pool& pool) {
-  const double keep = std::pow(decay_per_second, static_cast<double>(now - pool.at) / second);
-  pool.at = now;
-  pool.work_rate *= keep;
-  pool.protected_work_rate *= keep;
-  pool.first_tries_per_second *= keep;
-  for (double& over : pool.tenant_excess) over *= keep;
+  const double remaining = std::pow(decay_per_second, static_cast<double>(now - pool.decayed_at) / second);
+  pool.decayed_at = now;
+  pool.work_rate *= remaining;
+  pool.protected_work_rate *= remaining;
+  pool.first_tries_per_second *= remaining;
+  for (double& excess : pool.tenant_excess) excess *= remaining;
 }
 
 // Whether a try with this fingerprint was received recently.
@@ -169,10 +170,10 @@
     fingerprint_expiries_.pop_front();
   }
   if (fingerprint == Digest{}) return false;
-  const auto [at, fresh] = fingerprints_.try_emplace(fingerprint, now + fingerprint_lifetime);
+  const auto [at, inserted] = fingerprints_.try_emplace(fingerprint, now + fingerprint_lifetime);
   at->second = now + fingerprint_lifetime;
   fingerprint_expiries_.emplace_back(now + fingerprint_lifetime, fingerprint);
-  return !fresh;
+  return !inserted;
 }
 
 bool Pools::is_cheapest(OpTypeId type) const {
@@ -187,10 +188,11 @@
 // The pool's weight, reduced by how much the tenant has recently exceeded its quota's share.
 double Pools::worth_of(const Pool& pool, TenantId tenant) const {
   if (tenant.raw >= quota_shares_.size()) return pool.weight;
-  const double own =
+  const double tenant_share =
       std::max(1.0, pool.work_rate * quota_shares_[tenant.raw] * static_cast<double>(window_) / second);
-  const double over = std::max(0.0, pool.tenant_excess[tenant.raw] / (excess_window_factor * own) - 1);
-  return pool.weight / (1 + over);
+  const double excess =
+      std::max(0.0, pool.tenant_excess[tenant.raw] / (excess_window_factor * tenant_share) - 1);
+  return pool.weight / (1 + excess);
 }
 
 // ---- ops
@@ -207,9 +209,9 @@
   const double rate = capacity_.cores() * second;
   const auto work = static_cast<double>(capacity_.base_work(type));
   double admitted_rate = 0;
-  for (Pool& entry : pools_) {
-    decay(now, entry);
-    admitted_rate += entry.work_rate;
+  for (Pool& other : pools_) {
+    decay(now, other);
+    admitted_rate += other.work_rate;
   }
   const bool under_pressure = capacity_.has_estimate() && admitted_rate > pressure_threshold * rate;
   const auto refuse = [&](Reason reason, Nanos retry_after) {
@@ -341,8 +343,8 @@
     throw std::invalid_argument("snapshot: number of pools differs from the settings");
   for (Pool& pool : pools_) {
     serializer(pool.floor_bucket, pool.ceiling_bucket, pool.retry_budget, pool.first_tries_per_second,
-               pool.tenant_excess, pool.work_rate, pool.protected_work_rate, pool.at, pool.last_repeat_at,
-               pool.received, pool.refused, pool.repeats);
+               pool.tenant_excess, pool.work_rate, pool.protected_work_rate, pool.decayed_at,
+               pool.last_repeat_at, pool.received, pool.refused, pool.repeats);
     if (pool.tenant_excess.size() != quota_shares_.size())
       throw std::invalid_argument("snapshot: number of tenants differs from the settings");
   }
--- a/pools/pools.hpp
+++ b/pools/pools.hpp
@@ -81,14 +81,14 @@
   // A token bucket of work, refilled with time.
   struct TokenBucket {
     double level = 0, capacity = 0; // ns of base work
-    Nanos at = 0;
+    Nanos refilled_at = 0;
     void refill(Nanos now, double rate, Nanos window);
     bool take(double work);
     void refund(double work);
     Nanos time_until_available(double rate) const; // time until something can be taken
     template <class Serializer>
     void serialize(Serializer& serializer) {
-      serializer(level, capacity, at);
+      serializer(level, capacity, refilled_at);
     }
   };
   struct Pool {
@@ -101,7 +101,7 @@
     Nanos last_repeat_at = 0;
     std::vector<double> tenant_excess; // recent work beyond the quota's share of the pool, in ns of base work
     double work_rate = 0, protected_work_rate = 0;
-    Nanos at = 0;
+    Nanos decayed_at = 0; // when the decaying rates were last updated
     std::uint64_t received = 0, refused = 0, repeats = 0;
   };
   struct OpenOp {
