--- a/tests/leases.cpp
+++ b/tests/leases.cpp
@@ -118,7 +118,7 @@
     all.stale += s.stale, all.overlaps += s.overlaps, all.non_rising_tokens += s.non_rising_tokens;
     if (all.first.empty() && !s.first.empty()) all.first = "kind " + std::to_string(kind) + ", " + s.first;
   }
-  print("troubled", all);
+  print("with faults", all);
   std::printf("  acts refused by the target that fences: %llu; holdings whose token was not greater: %d\n",
               static_cast<unsigned long long>(all.stale), all.non_rising_tokens);
   return all.overlaps + all.non_rising_tokens + all.concurrent_acts;
@@ -306,13 +306,13 @@
   back.faults_until = 15 * second;
   back.length = 30 * second;
   const Sum again = run_seeds(back, 1, 100);
-  print("troubles that end", again);
+  print("faults that end", again);
   std::printf("  longest without a holder, once all faults are over for six terms: %lld ms\n",
               static_cast<long long>(again.longest_gap / ms));
   Plan changed = voter_change_plan(33);
   changed.faults_until = 15 * second;
   const Sum changes = run_seeds(changed, 1, 100);
-  print("voters that change, and troubles that end", changes);
+  print("voters that change, and faults that end", changes);
   std::printf("  lists that came into use alone: %llu\n", static_cast<unsigned long long>(changes.changes));
   std::printf("  longest without a holder, once all faults are over for six terms: %lld ms\n",
               static_cast<long long>(changes.longest_gap / ms));
--- a/tests/pools.cpp
+++ b/tests/pools.cpp
@@ -119,7 +119,7 @@
     s.load("a flood of looks", 100, 10, 4 * second);
     for (;;)
       if (const Pools::Admission v = s.offer(0); !v.admitted) {
-        std::printf("  refused: %s, come back in %lld ms\n", std::string(to_text(v.reason)).c_str(),
+        std::printf("  refused: %s, retry after %lld ms\n", std::string(to_text(v.reason)).c_str(),
                     static_cast<long long>(v.retry_after / ms));
         s.run_until(s.now + v.retry_after);
         break;
@@ -155,7 +155,8 @@
     storm("three repeats of each", 3);
     const Digest fingerprint{7, 7};
     s.offer(1, 0, fingerprint);
-    std::printf("  one whose first runs here: passes %d\n", s.offer(1, 0, fingerprint, true).admitted);
+    std::printf("  a retry whose first try runs here: passes %d\n",
+                s.offer(1, 0, fingerprint, true).admitted);
   }
   {
     say("tenants: one with ten times the other's ops counts for less, the longer the less; then this decays");
--- a/tests/tasks.cpp
+++ b/tests/tasks.cpp
@@ -65,10 +65,10 @@
                 static_cast<long long>(limit / ms));
   }
   void notify_done(TaskId t, Token) override {
-    std::printf("  %6lld tell that %s is done\n", at(), tasks->name(t).c_str());
+    std::printf("  %6lld notify that %s is done\n", at(), tasks->name(t).c_str());
   }
   void released_after_failures(TaskId t, Nanos rest) override {
-    std::printf("  %6lld %s is let go for %lld ms\n", at(), tasks->name(t).c_str(),
+    std::printf("  %6lld lease of %s released for %lld ms\n", at(), tasks->name(t).c_str(),
                 static_cast<long long>(rest / ms));
   }
   long long at() const { return static_cast<long long>(now / ms); }
@@ -208,7 +208,7 @@
     s.run_until(1200);
     s.finish(0, TaskOutcome::done);
     s.run_until(2000);
-    std::printf("  still wanted: %zu\n", s.leases.status().size());
+    std::printf("  still requested: %zu\n", s.leases.status().size());
   }
   say("invalid settings");
   for (const Settings& bad :
--- a/tests/trials.cpp
+++ b/tests/trials.cpp
@@ -222,11 +222,11 @@
   void held(std::string_view, Token, Nanos, Nanos) override {}
   void lost(std::string_view, Token, LossReason) override {}
   void defer_trial(Nanos until) override {
-    std::printf("  others try until %lld ms\n", static_cast<long long>(until / ms));
+    std::printf("  own trial deferred until %lld ms\n", static_cast<long long>(until / ms));
   }
-  void resume_calls() override { std::printf("  below is back\n"); }
+  void resume_calls() override { std::printf("  calls resume\n"); }
   void report_result(bool success, Token token) override {
-    std::printf("  tell: %s, token %llu\n", success ? "good" : "bad",
+    std::printf("  report: %s, token %llu\n", success ? "good" : "bad",
                 static_cast<unsigned long long>(token.raw));
   }
 };
@@ -290,8 +290,8 @@
     const double span = static_cast<double>(scenario.down_to - scenario.down_from - 2 * second) / 1e9 * seeds;
     std::printf("  %3u servers, %s: %7.1f trials a second; back: half %lld ms, nine tenths %lld ms%s, at "
                 "most %llu within 100 ms; %.0f "
-                "words a second\n",
-                scenario.servers, shared ? "one hand       " : "each for itself",
+                "messages a second\n",
+                scenario.servers, shared ? "shared trials  " : "separate trials",
                 static_cast<double>(trials) / span, static_cast<long long>(half / ms),
                 static_cast<long long>(most / ms), all ? "" : " (NOT ALL)",
                 static_cast<unsigned long long>(max_resumed),
