--- a/control/entries.hpp
+++ b/control/entries.hpp
@@ -45,6 +45,7 @@
 
 std::string_view scope_of(std::string_view key); // empty if the key has no '/'
 
+// Entries, indexed by key, version and scope.
 class Entries {
  public:
   explicit Entries(const Settings& settings);
--- a/control/feed.hpp
+++ b/control/feed.hpp
@@ -65,6 +65,7 @@
   virtual void again(MemberId to, Incarnation incarnation, AttachmentNumber number) = 0;
 };
 
+// Distributes the entries of one control member to its followers.
 class Feed {
  public:
   // Settings; time spans in ns:
--- a/control/follower.hpp
+++ b/control/follower.hpp
@@ -38,8 +38,9 @@
 
 // Why a control member is no longer followed, or no longer as the primary.
 enum class LeaveReason { unresponsive, no_state, stale, disconnected, closer_member, invalid };
-std::string_view to_text(LeaveReason reason);
+std::string_view to_text(LeaveReason reason); // for the log
 
+// The messages of a follower to control members, and its calls to the server.
 class FollowerActions {
  public:
   virtual ~FollowerActions() = default;
@@ -62,6 +63,7 @@
   virtual void left(MemberId control, LeaveReason reason) = 0;
 };
 
+// Follows two control members and keeps the state received from them.
 class Follower {
  public:
   struct Control { // a control member, as listed in the operator file
@@ -121,7 +123,7 @@
   Nanos next_wake() const; // -1: none
   void due(Nanos now);
 
-  struct Attachment {
+  struct Attachment { // as seen from the server
     MemberId member{};
     bool primary = false, responded = false;
     Nanos since = 0, last_received_at = 0;
--- a/control/replica.hpp
+++ b/control/replica.hpp
@@ -122,6 +122,7 @@
   std::optional<Version> expected;
 };
 
+// The messages of a replica to other control members, and its calls to this member.
 class ReplicaActions {
  public:
   virtual ~ReplicaActions() = default;
@@ -161,6 +162,7 @@
   virtual void superseded(Token token, Token seen) = 0;
 };
 
+// The replicated log at one control member.
 class Replica {
  public:
   // `members`: all control members; `voters`: an odd number of them, the same list at all members. Settings,
