--- a/tests/control_feed.cpp
+++ b/tests/control_feed.cpp
@@ -429,15 +429,15 @@
   DirectPair s;
   s.begin({put("a/x", 1, "1"), put("b/y", 2, "2"), put("a/z", 3, "lost")});
   s.run(5 * second);
-  if (s.follower.version() != v(3)) return "the first state is not taken";
+  if (s.follower.version() != v(3)) return "the first state is not applied";
   s.begin({put("a/x", 1, "1"), put("b/y", 2, "2")});
   s.run(10 * second);
-  if (s.follower.version() != v(3)) return "an older state is taken";
+  if (s.follower.version() != v(3)) return "an older state is applied";
   const Entry newer = put("b/y", 1, "new", 9);
   s.state.apply(newer);
   s.feed->committed(s.now, newer);
   s.run(20 * second);
-  if (s.follower.version() != v(1, 9) || s.follower.find("a/z")) return "what was lost stays";
+  if (s.follower.version() != v(1, 9) || s.follower.find("a/z")) return "entries that were lost remain";
   return {};
 }
 
@@ -450,17 +450,17 @@
   const AttachmentNumber n = s.number;
   Follower& f = s.follower;
   f.delta(s.now, from, Incarnation{9}, n, v(4), v(5), v(5), 0, {put("a/x", 5, "5")});
-  if (f.version() != v(2)) return "a delta is taken with a gap before it";
+  if (f.version() != v(2)) return "a delta is applied after a gap";
   f.delta(s.now, from, Incarnation{9}, n, v(0), v(1), v(1), 0, {put("a/x", 1, "0")});
   f.renewal(s.now, from, Incarnation{9}, n, v(1), {0, 1}, {}, v(1), v(1), {put("a/x", 1, "0")});
   f.delta(s.now, from, Incarnation{9}, n, v(1), v(1), v(1), 0, {});
-  if (f.version() != v(2)) return "an older state is taken";
+  if (f.version() != v(2)) return "an older state is applied";
   f.delta(s.now, from, Incarnation{9}, n, v(2), v(3), v(4), 0, {put("a/x", 3, "3")});
-  if (f.version() != v(2) || f.find("a/x")->value != "1") return "a part is taken alone";
+  if (f.version() != v(2) || f.find("a/x")->value != "1") return "a part is applied alone";
   f.delta(s.now, from, Incarnation{9}, n, v(3), v(3), v(3), 0, {});
-  if (f.version() != v(2)) return "what is staged is ended by an older state";
+  if (f.version() != v(2)) return "staged entries are completed by an older state";
   f.delta(s.now, from, Incarnation{9}, n, v(3), v(4), v(4), 0, {put("b/y", 4, "4")});
-  return f.version() == v(4) && f.find("a/x")->value == "3" ? "" : "a whole delta is not taken";
+  return f.version() == v(4) && f.find("a/x")->value == "3" ? "" : "a complete delta is not applied";
 }
 
 struct Totals {
@@ -492,7 +492,7 @@
   for (std::uint64_t seed = 1; seed <= seeds && !(stop && sum.wrong > 0); ++seed)
     sum.add(plan_of(seed), FleetOfFollowers(plan_of(seed)).play());
   const auto n = [](std::uint64_t count) { return static_cast<unsigned long long>(count); };
-  std::printf("%llu seeds, wrong %llu: %llu commits, %llu lives of servers, %llu states taken\n",
+  std::printf("%llu seeds, wrong %llu: %llu commits, %llu starts of servers, %llu states applied\n",
               n(sum.seeds), n(sum.wrong), n(sum.commits), n(sum.server_starts), n(sum.taken));
   if (!sum.first.empty()) std::printf("  first: %s\n", sum.first.c_str());
   std::printf("  parts %llu, repeated %llu, renewals %llu, at most %zu at once\n", n(sum.feed.parts),
--- a/tests/control_replica.cpp
+++ b/tests/control_replica.cpp
@@ -273,7 +273,7 @@
   const auto n = [](std::uint64_t value) { return static_cast<unsigned long long>(value); };
   std::printf("%s: %llu seeds, %llu starts, %llu terms, %llu commits, %llu transfers, wrong %d\n", what,
               n(s.seeds), n(s.all.starts), n(s.all.terms), n(s.all.commits), n(s.all.transfers), s.all.wrong);
-  std::printf("  a majority of the voters never blank at once: %llu seeds\n", n(s.majority_kept));
+  std::printf("  a majority of the voters always had its state: %llu seeds\n", n(s.majority_kept));
   std::printf("  puts %llu: done %llu, refused %llu, unknown %llu\n", n(s.all.puts), n(s.all.done),
               n(s.all.refused), n(s.all.unknown));
   if (!s.all.first.empty()) std::printf("  first: %s\n", s.all.first.c_str());
@@ -368,12 +368,13 @@
       print(what, s);
       wrong += s.all.wrong;
     };
-    play("members that forget, holders by chance",
+    play("members that lose their state, random lease holders",
          [&] { return run_plan(plan_with_forgetful_members(), 104, 1, seeds, stop); });
     if (has_argument("forgetful")) return wrong == 0 ? 0 : 1;
-    play("troubled", [&] { return run_plan_kinds(seeds, stop); });
-    play("holders by chance", [&] { return run_plan(plan_with_random_holders(), 102, 1, seeds / 2, stop); });
-    play("clocks beyond the bound",
+    play("mixed faults", [&] { return run_plan_kinds(seeds, stop); });
+    play("random lease holders",
+         [&] { return run_plan(plan_with_random_holders(), 102, 1, seeds / 2, stop); });
+    play("clocks beyond the drift bound",
          [&] { return run_plan(plan_with_wrong_clocks(), 100, 1, seeds / 5, stop); });
     play("voters lost at once", [&] { return run_plan(plan_with_lost_voters(), 101, 1, seeds, stop); });
     return wrong == 0 ? 0 : 1;
@@ -381,15 +382,15 @@
   small_cases();
   std::printf("# fleets\n");
   const Totals all = run_plan_kinds(80, false);
-  print("troubled", all);
+  print("mixed faults", all);
   const Totals off = run_plan(plan_with_wrong_clocks(), 100, 1, 10, false);
-  print("clocks ten times beyond the bound: two write at once", off);
+  print("clocks ten times beyond the drift bound: two write at once", off);
   const Totals lost = run_plan(plan_with_lost_voters(), 101, 1, 10, false);
   print("voters lost at once", lost);
   const Totals free = run_plan(plan_with_random_holders(), 102, 1, 20, false);
-  print("holders by chance, many at once", free);
+  print("random lease holders, several at once", free);
   const Totals forgot = run_plan(plan_with_forgetful_members(), 104, 1, 40, false);
-  print("the same, of members that forget again and again", forgot);
+  print("the same, with members that lose their state again and again", forgot);
   const Totals barren = run_plan(plan_with_forgetful_members(), 104, 2521, 1,
                                  false); // each term leaves an uncommitted roster
   print("many terms in a row that commit nothing", barren);
--- a/tests/fleet_of_followers.hpp
+++ b/tests/fleet_of_followers.hpp
@@ -178,7 +178,7 @@
     bool refuses(std::string_view value) const { return id.raw % 2 == 1 && value.starts_with("bad"); }
     std::string check(const Entry& entry) override { return refuses(entry.value) ? "bad" : ""; }
     void refused(const Entry& entry, std::string_view) override {
-      if (!refuses(entry.value)) fleet.report_violation(id, "refused what it can take");
+      if (!refuses(entry.value)) fleet.report_violation(id, "refused an entry that it can use");
     }
     void applied(Version version, const std::vector<const Entry*>& changed) override {
       fleet.taken(*this, version, changed);
@@ -255,10 +255,10 @@
       add(verdict_.follower, one->follower->counts());
     }
     if (verdict_.converged_after < 0 || verdict_.converged_after > plan_.converge_within)
-      report_violation({}, "not all level in time");
+      report_violation({}, "not all servers are up to date in time");
     for (auto& one : controls_) add(verdict_.feed, one->feed->counts());
     if (verdict_.feed.invalid + verdict_.follower.invalid > 0)
-      report_violation({}, "says what makes no sense");
+      report_violation({}, "invalid messages were sent");
     return verdict_;
   }
 
@@ -433,8 +433,7 @@
         if (one.renewing) still.insert(one.member);
       std::erase_if(c.renewing, [&](MemberId one) { return !still.contains(one); });
       verdict_.most_renewals = std::max({verdict_.most_renewals, c.renewing.size(), c.feed->renewals()});
-      if (verdict_.most_renewals > plan_.most_whole)
-        report_violation(c.id, "gives too many renewals at once");
+      if (verdict_.most_renewals > plan_.most_whole) report_violation(c.id, "runs too many renewals at once");
     }
     const Nanos next = c.feed->next_wake();
     if (next < 0 || next == c.scheduled_wake) return;
@@ -455,7 +454,7 @@
       bucket.tokens = std::min(burst, bucket.tokens + rate * static_cast<double>(now - bucket.at) / 1e9);
     bucket.at = now;
     bucket.tokens -= static_cast<double>(bytes);
-    if (bucket.tokens < -1) report_violation(c.id, "gives a server more than its credit");
+    if (bucket.tokens < -1) report_violation(c.id, "sends a server more than its credit");
     bucket.tokens = std::max(bucket.tokens, 0.0);
   }
 
@@ -566,9 +565,9 @@
   }
   void taken(Server& s, Version version, const std::vector<const Entry*>& changed) {
     ++verdict_.taken;
-    if (version < s.last) return report_violation(s.id, "takes an older state after a newer one");
+    if (version < s.last) return report_violation(s.id, "applies an older state after a newer one");
     const auto place = log_index_.find(version);
-    if (place == log_index_.end()) return report_violation(s.id, "takes a state that never was");
+    if (place == log_index_.end()) return report_violation(s.id, "applies a state that never existed");
     if (plan_.link_breaks == 0 && s.last != Version{})
       for (std::size_t i = log_index_.at(s.last); i < place->second; ++i)
         if (std::find(s.scopes.begin(), s.scopes.end(), scope_of(log_[i].key)) != s.scopes.end())
@@ -579,9 +578,9 @@
     for (const Entry* const entry : changed)
       if (entry->deleted ? before.erase(entry->key) == 0
                          : std::exchange(before[entry->key], entry->value) == entry->value)
-        return report_violation(s.id, "tells a change that is none");
+        return report_violation(s.id, "reports a change that is none");
     if (before != s.expected_values)
-      return report_violation(s.id, "takes another state than the true one of its version");
+      return report_violation(s.id, "applies a state that differs from the true one of its version");
     check_state(s);
   }
   // Checks that the values in force are the true state of the server's version, also if the version has
@@ -589,15 +588,15 @@
   void check_state(Server& s) {
     ++verdict_.states_checked;
     const Version version = s.follower->version();
-    if (version < s.last) return report_violation(s.id, "went back");
+    if (version < s.last) return report_violation(s.id, "went back to an older version");
     if (version != Version{} && !log_index_.contains(version))
-      return report_violation(s.id, "has a state that never was");
+      return report_violation(s.id, "has a state that never existed");
     advance_expected(s, version == Version{} ? 0 : log_index_.at(version));
     std::map<std::string, std::string, std::less<>> has;
     for (const std::string& scope : s.scopes)
       s.follower->for_each_in(scope, [&](const Entry& entry) { return has[entry.key] = entry.value, true; });
     if (has != s.expected_values)
-      report_violation(s.id, "has another state than the true one of its version");
+      report_violation(s.id, "has a state that differs from the true one of its version");
   }
   // Waits until all servers have the newest state and know that it is the newest.
   void await_convergence() {
--- a/tests/fleet_of_replicas.hpp
+++ b/tests/fleet_of_replicas.hpp
@@ -519,7 +519,7 @@
       // the state from which a new history began.
       if (one.last_committed != head_) {
         if (history_ == 0 || version.token >= history_token_)
-          report_violation("member " + name_of(one) + " commits " + name_of(version) + " behind " +
+          report_violation("member " + name_of(one) + " commits " + name_of(version) + " after " +
                            name_of(one.last_committed) + ", the order is at " + name_of(head_));
         return void(one.last_committed = version);
       }
@@ -532,10 +532,10 @@
                   .first;
     }
     if (known->second.before != one.last_committed)
-      report_violation("member " + name_of(one) + " commits " + name_of(version) + " behind " +
-                       name_of(one.last_committed) + ", others behind " + name_of(known->second.before));
+      report_violation("member " + name_of(one) + " commits " + name_of(version) + " after " +
+                       name_of(one.last_committed) + ", others after " + name_of(known->second.before));
     else if (known->second.digest != digest_of(one.replica->entries()))
-      report_violation("member " + name_of(one) + " has another state at " + name_of(version));
+      report_violation("member " + name_of(one) + " has a different state at " + name_of(version));
     one.last_committed = version;
   }
   void check_put(const Record& record) {
@@ -544,13 +544,14 @@
     if (put == puts_.end()) return report_violation("a put that nobody made");
     PutState& p = put->second;
     if (p.written != Version{})
-      report_violation("a put twice, " + name_of(p.written) + " and " + name_of(record.entry.version));
+      report_violation("a put committed twice, " + name_of(p.written) + " and " +
+                       name_of(record.entry.version));
     p.written = record.entry.version;
     const Entry* held = reference_.find(record.entry.key);
     if (p.expected && (held && !held->deleted ? held->version != *p.expected : *p.expected != Version{}))
-      report_violation("a put over what was changed meanwhile, " + name_of(p.written));
+      report_violation("a conditional put over a changed entry, " + name_of(p.written));
     if (p.end == PutOutcome::refused)
-      report_violation("a put that was refused, " + name_of(record.entry.version));
+      report_violation("a refused put that is committed, " + name_of(record.entry.version));
   }
   void replaced(Member& one) {
     ++verdict_.transfers;
@@ -564,12 +565,13 @@
     const bool judged = history_ == 0 || version.token >= history_token_;
     if (version != Version{} && judged &&
         (unknown_version || known->second.digest != digest_of(one.replica->entries())))
-      report_violation("member " + name_of(one) + " was transferred another state at " + name_of(version));
+      report_violation("member " + name_of(one) + " received a different state by transfer at " +
+                       name_of(version));
     one.last_committed = version;
   }
   void ended(Member& one, PutNumber number, PutOutcome end, Version version) {
     const auto put = puts_.find({one.self, one.incarnation(), number});
-    if (put == puts_.end() || put->second.end) return report_violation("an answer to no put");
+    if (put == puts_.end() || put->second.end) return report_violation("an answer without a put");
     PutState& p = put->second;
     p.end = end;
     p.done = version;
@@ -579,7 +581,7 @@
         report_violation("a put answered as done at " + name_of(version) + " that is not committed there");
     } else if (end == PutOutcome::refused) {
       ++verdict_.refused;
-      if (p.written != Version{}) report_violation("a put that was committed, refused");
+      if (p.written != Version{}) report_violation("a committed put that is answered as refused");
     } else {
       ++verdict_.unknown;
     }
@@ -592,7 +594,7 @@
     if (!after_loss || head_ == Version{}) return;
     // Before a majority of the voters has learnt that it counts, a loss cannot be recognized.
     if (!formed_) verdict_.majority_kept = false;
-    if (verdict_.majority_kept) return report_violation("begun anew though a majority held");
+    if (verdict_.majority_kept) return report_violation("a new history although a majority had its state");
     // The new history starts from this writer's state.
     ++history_;
     history_token_ = token;
@@ -614,20 +616,20 @@
     const Member* first = nullptr;
     for (auto& one : members_) {
       if (!one->up || !one->replica->ready()) {
-        report_violation("member " + name_of(*one) + " is blank in the end");
+        report_violation("member " + name_of(*one) + " has no state in the end");
         continue;
       }
       if (!first) first = one.get();
       if (one->replica->committed() != first->replica->committed() ||
           digest_of(one->replica->entries()) != digest_of(first->replica->entries()))
-        report_violation("members " + name_of(*one) + " and " + name_of(*first) +
-                         " are not level in the end");
-      if (one->replica->entries_without_room() > 0) report_violation("no room for what was committed");
-      if (one->replica->status().puts > 0) report_violation("puts that never end");
+        report_violation("members " + name_of(*one) + " and " + name_of(*first) + " differ in the end");
+      if (one->replica->entries_without_room() > 0) report_violation("no room for committed entries");
+      if (one->replica->status().puts > 0) report_violation("puts without an outcome");
     }
     for (const PutId& id : last_puts_)
       if (const auto put = puts_.find(id); put == puts_.end() || put->second.end != PutOutcome::done)
-        report_violation("a put in quiet times is not done");
-    if (first && first->replica->committed() != head_) report_violation("the order's end is not held");
+        report_violation("a put after the faults is not done");
+    if (first && first->replica->committed() != head_)
+      report_violation("the newest committed version is missing");
   }
 };
