--- a/node/announce.cpp
+++ b/node/announce.cpp
@@ -86,15 +86,15 @@
                           });
 }
 
-void AnnounceClient::report_finished(bool ok) {
+void AnnounceClient::report_finished(bool succeeded) {
   ++generation_;
   report_in_flight_ = false;
-  if (!ok && !failure_logged_)
+  if (!succeeded && !failure_logged_)
     log_info("announce",
              "report failed: the announce service is unreachable, slow or did not reply with 204");
-  if (ok && failure_logged_) log_info("announce", "reported again");
-  failure_logged_ = !ok;
-  if (!ok || !reply_.keep_alive()) close_connection();
+  if (succeeded && failure_logged_) log_info("announce", "reported again");
+  failure_logged_ = !succeeded;
+  if (!succeeded || !reply_.keep_alive()) close_connection();
   schedule_next_report();
 }
 
--- a/node/announce.hpp
+++ b/node/announce.hpp
@@ -31,7 +31,7 @@
   void write();
   void read();
   void connection_failed();
-  void report_finished(bool ok);
+  void report_finished(bool succeeded);
   void schedule_next_report();
 
   asio::io_context& io_;
--- a/node/front.cpp
+++ b/node/front.cpp
@@ -183,16 +183,16 @@
 bool Front::may_close(const Connection& c) const {
   if (!c.open_streams.empty() || c.pending_bytes > 0) return false;
   if (c.peer_closed) return true;
-  const bool coming = c.filled > 0 && !c.input_ignored && now_ - c.frame_began < frame_timeout_;
-  return !coming && c.draining_since >= 0 && now_ - c.draining_since >= drain_delay_;
+  const bool frame_in_progress = c.filled > 0 && !c.input_ignored && now_ - c.frame_began < frame_timeout_;
+  return !frame_in_progress && c.draining_since >= 0 && now_ - c.draining_since >= drain_delay_;
 }
 
 void Front::check_timeouts() {
   std::vector<ConnectionId> ended, stuck, slow;
-  const Nanos least = std::min(idle_timeout_ > 0 ? idle_timeout_ : silence_timeout_,
-                               silence_timeout_ > 0 ? silence_timeout_ : idle_timeout_);
+  const Nanos timeout = std::min(idle_timeout_ > 0 ? idle_timeout_ : silence_timeout_,
+                                 silence_timeout_ > 0 ? silence_timeout_ : idle_timeout_);
   for (auto& [id, c] : connections_) {
-    if (least > 0 && c->open_streams.empty() && now_ - c->last_activity >= least) send_go_away(*c);
+    if (timeout > 0 && c->open_streams.empty() && now_ - c->last_activity >= timeout) send_go_away(*c);
     // Peers that send nothing, or that never complete a frame, even if its bytes keep trickling in.
     if (frame_timeout_ > 0 && c->frame_began >= 0 && now_ - c->frame_began >= frame_timeout_ &&
         !c->input_ignored)
@@ -282,19 +282,19 @@
 void Front::parse_frames(Connection& c) {
   std::size_t from = 0;
   while (from < c.filled) {
-    const std::size_t left = c.filled - from;
+    const std::size_t remaining = c.filled - from;
     if (c.input_ignored) {
       from = c.filled;
       break;
     }
     if (c.skip_bytes > 0) {
-      const std::size_t some = std::min(c.skip_bytes, left);
+      const std::size_t some = std::min(c.skip_bytes, remaining);
       c.skip_bytes -= some;
       from += some;
       if (c.skip_bytes == 0) c.frame_began = from < c.filled ? now_ : -1;
       continue;
     }
-    if (left < 4) break;
+    if (remaining < 4) break;
     const std::uint32_t length = frames::read_le(c.input.get() + from, 4);
     if (!frames::is_valid_length(length)) {
       reject_input(c, "frame length out of range");
@@ -302,7 +302,7 @@
     }
     const std::size_t size = length + 4;
     const bool whole = size <= input_buffer_bytes / 2; // of larger frames only the header is read
-    if (left < (whole ? size : frames::header_size)) break;
+    if (remaining < (whole ? size : frames::header_size)) break;
     const char* at = c.input.get() + from;
     const std::string_view payload(at + frames::header_size, whole ? size - frames::header_size : 0);
     if (!handle_frame(c, static_cast<std::uint8_t>(at[4]), StreamId{frames::read_le(at + 5, 4)}, payload,
@@ -398,16 +398,17 @@
   if (!names_.tenants.empty() && tenant == names_.tenants.end())
     return refuse_request(c, stream, "team: unknown tenant");
   std::uint64_t id = 0;
-  std::int64_t door_ms = 0, limit_ms = 0, caller = 0;
-  double kb = 0, rank = 0;
+  std::int64_t received_at_ms = 0, limit_ms = 0, caller = 0;
+  double held_kb = 0, rank = 0;
   if (!read_hex(txn, id) || id == no_op_id.raw) return refuse_request(c, stream, "invalid txn");
-  if (!frames::parse_integer(received_at, door_ms) || door_ms < 0 || door_ms > max_time_ms)
+  if (!frames::parse_integer(received_at, received_at_ms) || received_at_ms < 0 ||
+      received_at_ms > max_time_ms)
     return refuse_request(c, stream, "invalid door");
   if (!frames::parse_integer(lb, caller) || caller < 0) return refuse_request(c, stream, "invalid lb");
   if (present[5] ? !frames::parse_integer(limit, limit_ms) || limit_ms <= 0 || limit_ms > max_time_ms
-                 : names_.tells_patience)
+                 : names_.limit_required)
     return refuse_request(c, stream, "invalid limit");
-  if (!frames::parse_number(ram, kb) || kb <= 0 || kb >= 2000)
+  if (!frames::parse_number(ram, held_kb) || held_kb <= 0 || held_kb >= 2000)
     return refuse_request(c, stream, "invalid ram");
   if (!frames::parse_number(standing, rank) || rank < 0 || rank >= 1)
     return refuse_request(c, stream, "invalid standing");
@@ -418,8 +419,8 @@
   handler_.op_received(
       {c.id, stream}, OpId{id}, OpTypeId{static_cast<std::uint32_t>(type_at)},
       TenantId{names_.tenants.empty() ? 0 : static_cast<std::uint32_t>(tenant - names_.tenants.begin())},
-      CallerId{static_cast<std::uint64_t>(caller)}, door_ms * ms, limit_ms * ms, kb, rank, unique, item,
-      body);
+      CallerId{static_cast<std::uint64_t>(caller)}, received_at_ms * ms, limit_ms * ms, held_kb, rank, unique,
+      item, body);
   return true;
 }
 
@@ -526,8 +527,8 @@
 
 void Front::flush(Nanos now) {
   now_ = now;
-  if (now_ - swept_at_ >= drain_delay_ / 8) {
-    swept_at_ = now_;
+  if (now_ - timeouts_checked_at_ >= drain_delay_ / 8) {
+    timeouts_checked_at_ = now_;
     check_timeouts();
   }
   for (std::size_t i = 0; i < dirty_.size(); ++i) { // may grow: a lost stream can lead to more responses
--- a/node/front.hpp
+++ b/node/front.hpp
@@ -37,7 +37,7 @@
     std::vector<std::string> op_types;
     std::vector<bool> keyed; // op types whose requests carry an idempotency key
     std::vector<std::string> tenants;
-    bool tells_patience = false; // requests state the caller's time limit
+    bool limit_required = false; // requests state the caller's time limit
   };
 
   Front(asio::io_context& io, const std::string& listen, std::size_t max_connections,
@@ -71,7 +71,7 @@
   // Time between go_away and the close of a connection.
   void connection_drain_delay(Nanos time) { drain_delay_ = time; }
   // Delay after a failed accept, such as when no descriptor is free.
-  void accept_retry_delay(Nanos rest) { accept_retry_delay_ = rest; }
+  void accept_retry_delay(Nanos delay) { accept_retry_delay_ = delay; }
   // Closes the listener, after accepting what is pending, and sends go_away on all connections.
   void stop_accepting();
   // No longer accepting, and every connection has ended.
@@ -158,7 +158,7 @@
   std::uint64_t next_connection_ = 1;
   std::size_t pending_bytes_ = 0; // unwritten output of all connections
   Nanos now_ = 0;
-  Nanos swept_at_ = 0;
+  Nanos timeouts_checked_at_ = 0;
   Nanos idle_timeout_ = 0; // 0: no limit
   Nanos silence_timeout_ = 0;
   Nanos drain_delay_ = 0;
--- a/node/host.cpp
+++ b/node/host.cpp
@@ -39,7 +39,7 @@
   }
   for (int t = 0; settings.contains("tenant." + std::to_string(t) + ".name"); ++t)
     names.tenants.push_back(text(settings, "tenant." + std::to_string(t) + ".name", ""));
-  names.tells_patience = number(settings, "tells_patience", 0) != 0;
+  names.limit_required = number(settings, "tells_patience", 0) != 0;
   return names;
 }
 // Called before the listener opens: from then on, SIGHUP no longer ends a process that can reload its files.
@@ -48,14 +48,14 @@
   return config_path;
 }
 // The setting `name`, in `unit`, divided by `divisor`.
-std::size_t part_of(const Settings& settings, const char* name, std::size_t unit, std::size_t divisor) {
+std::size_t scaled_limit(const Settings& settings, const char* name, std::size_t unit, std::size_t divisor) {
   return static_cast<std::size_t>(number(settings, name, 0)) * unit / divisor;
 }
 // The number of connections of balancers: what calls and the server's own descriptors leave. Lingering
 // connections take a few in addition.
 std::size_t max_connections(const Settings& settings) {
-  const std::size_t calls = part_of(settings, "sockets", 1, calls_socket_divisor);
-  const std::size_t own = std::max(min_own_sockets, part_of(settings, "sockets", 1, own_socket_divisor));
+  const std::size_t calls = scaled_limit(settings, "sockets", 1, calls_socket_divisor);
+  const std::size_t own = std::max(min_own_sockets, scaled_limit(settings, "sockets", 1, own_socket_divisor));
   const auto all = static_cast<std::size_t>(number(settings, "sockets", 0));
   return all - std::min(all - 1, calls + own);
 }
@@ -79,10 +79,11 @@
       config_path_(catch_sighup(sighup_, std::move(config_path))), operator_path_(std::move(operator_path)),
       timer_(io_), names_(names_from(settings)),
       front_(io_, text(settings, "listen", ""), max_connections(settings),
-             part_of(settings, "memory_mb", mb, answers_memory_divisor), names_, *this),
-      interpreter_(io_, text(settings, "vm", ""), part_of(settings, "memory_mb", mb, link_memory_divisor),
-                   *this),
-      records_(io_, text(settings, "records", ""), part_of(settings, "sockets", 1, calls_socket_divisor)),
+             scaled_limit(settings, "memory_mb", mb, answers_memory_divisor), names_, *this),
+      interpreter_(io_, text(settings, "vm", ""),
+                   scaled_limit(settings, "memory_mb", mb, link_memory_divisor), *this),
+      records_(io_, text(settings, "records", ""),
+               scaled_limit(settings, "sockets", 1, calls_socket_divisor)),
       announce_(io_, text(settings, "announce", ""), text(settings, "name", "")), tape_(*this) {
   core_.reset(new Core(now(), settings, tape_));
   tape_.bind(*core_);
@@ -241,7 +242,7 @@
                     rank, mark, subject, Content(std::string(body)), digest);
 }
 void Host::stream_lost(StreamRef ref) { tape_.stream_lost(now(), ref); }
-void Host::machine_up(Nanos since) { tape_.machine_up(now(), since); }
+void Host::machine_up(Nanos uptime) { tape_.machine_up(now(), uptime); }
 void Host::link_down() { tape_.link_down(now()); }
 
 // The answer to a query proves that the interpreter has read everything sent before the query.
@@ -307,8 +308,8 @@
   log_info(kind, "%.*s", static_cast<int>(words.size()), words.data());
 }
 
-void Host::set_timing(Timing what, Nanos time) {
-  switch (what) {
+void Host::set_timing(Timing timing, Nanos time) {
+  switch (timing) {
   case Timing::report_interval:
     return announce_.set_report_interval(time);
   case Timing::report_timeout:
--- a/node/host.hpp
+++ b/node/host.hpp
@@ -53,7 +53,7 @@
   void health(bool good) override;
   void notify_callers(double value) override;
   void set_idle_timeout(Nanos after) override;
-  void set_timing(Timing what, Nanos time) override;
+  void set_timing(Timing timing, Nanos time) override;
   void set_eviction_order(std::span<const Eviction> order, int max_invalid_ops) override;
   void stop_accepting() override;
   void note(const char* kind, std::string_view words) override;
@@ -63,7 +63,7 @@
                    Nanos limit, double held_kb, double rank, std::string_view mark, std::string_view subject,
                    std::string_view body) override;
   void stream_lost(StreamRef ref) override;
-  void machine_up(Nanos since) override;
+  void machine_up(Nanos uptime) override;
   void caught_up(std::uint64_t answered_query) override;
   void link_down() override;
   void run_over(OpId id, Outcome outcome, Nanos lag, std::string result) override;
--- a/node/http_client.cpp
+++ b/node/http_client.cpp
@@ -67,11 +67,11 @@
 }
 
 void HttpClient::read(Connection& c) {
-  c.socket.async_read_some(asio::buffer(c.in),
+  c.socket.async_read_some(asio::buffer(c.input),
                            if_current(c, [this](Connection& from, asio::error_code error, std::size_t n) {
                              if (error)
                                return finish(from, Result::connection_lost); // unknown whether the call ran
-                             switch (from.reply.feed({from.in.data(), n})) {
+                             switch (from.reply.feed({from.input.data(), n})) {
                              case HttpReply::State::reading:
                                return read(from);
                              case HttpReply::State::malformed:
--- a/node/http_client.hpp
+++ b/node/http_client.hpp
@@ -53,7 +53,7 @@
     Callback callback;
     SendCheck may_send;
     std::string head, body;
-    std::array<char, 4096> in;
+    std::array<char, 4096> input;
     HttpReply reply;
   };
 
--- a/node/interpreter.cpp
+++ b/node/interpreter.cpp
@@ -45,21 +45,21 @@
 
 void encode_base64(std::string& out, std::string_view bytes) {
   for (std::size_t i = 0; i < bytes.size(); i += 3) {
-    std::uint32_t three = 0;
+    std::uint32_t group = 0;
     for (std::size_t k = 0; k < 3; ++k)
-      three = three << 8 | (i + k < bytes.size() ? static_cast<unsigned char>(bytes[i + k]) : 0);
+      group = group << 8 | (i + k < bytes.size() ? static_cast<unsigned char>(bytes[i + k]) : 0);
     for (std::size_t k = 0; k < 4; ++k)
-      out += i + k <= bytes.size() ? base64_digits[three >> (18 - 6 * k) & 63] : '=';
+      out += i + k <= bytes.size() ? base64_digits[group >> (18 - 6 * k) & 63] : '=';
   }
 }
 
 bool decode_base64(std::string_view text, std::string& out) {
   static const std::array<signed char, 256> value = [] {
-    std::array<signed char, 256> made;
-    made.fill(-1);
+    std::array<signed char, 256> table;
+    table.fill(-1);
     for (std::size_t i = 0; i < base64_digits.size(); ++i)
-      made[static_cast<unsigned char>(base64_digits[i])] = static_cast<signed char>(i);
-    return made;
+      table[static_cast<unsigned char>(base64_digits[i])] = static_cast<signed char>(i);
+    return table;
   }();
   out.clear();
   if (text.size() % 4 != 0) return false;
@@ -67,14 +67,15 @@
   while (padding < 2 && padding < text.size() && text[text.size() - 1 - padding] == '=') ++padding;
   out.reserve(text.size() / 4 * 3);
   for (std::size_t i = 0; i < text.size(); i += 4) {
-    std::uint32_t four = 0;
-    const std::size_t there = i + 4 == text.size() ? 4 - padding : 4;
+    std::uint32_t group = 0;
+    const std::size_t digits_present = i + 4 == text.size() ? 4 - padding : 4;
     for (std::size_t k = 0; k < 4; ++k) {
-      const int v = k < there ? value[static_cast<unsigned char>(text[i + k])] : 0;
+      const int v = k < digits_present ? value[static_cast<unsigned char>(text[i + k])] : 0;
       if (v < 0) return false;
-      four = four << 6 | static_cast<std::uint32_t>(v);
+      group = group << 6 | static_cast<std::uint32_t>(v);
     }
-    for (std::size_t k = 0; k + 1 < there; ++k) out += static_cast<char>(four >> (16 - 8 * k) & 0xff);
+    for (std::size_t k = 0; k + 1 < digits_present; ++k)
+      out += static_cast<char>(group >> (16 - 8 * k) & 0xff);
   }
   return true;
 }
@@ -190,13 +191,13 @@
     if (error == asio::error::would_block) break;
     if (error) return link_failed(error.message().c_str());
     received_ = true;
-    std::size_t from = 0, look = filled_;
+    std::size_t from = 0, search_from = filled_;
     filled_ += n;
-    while (const void* at = std::memchr(input_.data() + look, '\n', filled_ - look)) {
+    while (const void* at = std::memchr(input_.data() + search_from, '\n', filled_ - search_from)) {
       const auto end = static_cast<std::size_t>(static_cast<const char*>(at) - input_.data());
       if (end > from) handle_notice(input_.data() + from, end - from);
       if (link != link_generation_) return;
-      from = look = end + 1;
+      from = search_from = end + 1;
     }
     std::memmove(input_.data(), input_.data() + from, filled_ - from);
     filled_ -= from;
@@ -215,8 +216,8 @@
   return true;
 }
 
-void InterpreterLink::malformed_notice(std::uint64_t number, const char* what) {
-  if (number == 0 || !reconnect_from(number - 1)) log_info("notice", "skipped: %s", what);
+void InterpreterLink::malformed_notice(std::uint64_t number, const char* reason) {
+  if (number == 0 || !reconnect_from(number - 1)) log_info("notice", "skipped: %s", reason);
 }
 
 void InterpreterLink::handle_notice(const char* at, std::size_t size) {
--- a/node/interpreter.hpp
+++ b/node/interpreter.hpp
@@ -25,8 +25,8 @@
   class Handler {
    public:
     virtual ~Handler() = default;
-    // The interpreter is running, for `since` already.
-    virtual void machine_up(Nanos since) = 0;
+    // The interpreter is running, for `uptime` already.
+    virtual void machine_up(Nanos uptime) = 0;
     // The link is up and all earlier notices have been read. `answered_query`: the last query that was
     // answered on earlier links.
     virtual void caught_up(std::uint64_t answered_query) = 0;
@@ -55,11 +55,11 @@
   void set_address(const std::string& address);
 
   // Delay before a reconnect.
-  void link_reconnect_delay(Nanos rest) { reconnect_delay_ = rest; }
+  void link_reconnect_delay(Nanos delay) { reconnect_delay_ = delay; }
   // How long a move to another address waits for the last answer on the old link.
-  void link_handover_timeout(Nanos time) { handover_timeout_ = time; }
+  void link_handover_timeout(Nanos timeout) { handover_timeout_ = timeout; }
   // A link on which an answer is due, but nothing arrives for this long, is replaced.
-  void link_silence_timeout(Nanos time) { silence_timeout_ = time; }
+  void link_silence_timeout(Nanos timeout) { silence_timeout_ = timeout; }
   // Writes as much of the pending output as the socket takes.
   void flush();
 
@@ -72,7 +72,7 @@
   void on_readable();
   void handle_notice(const char* at, std::size_t size);
   bool reconnect_from(std::uint64_t after);
-  void malformed_notice(std::uint64_t number, const char* what);
+  void malformed_notice(std::uint64_t number, const char* reason);
   void send_query();
   void begin_command(std::string_view action, OpId id);
   void finish_command(std::string_view bytes);
--- a/node/member.cpp
+++ b/node/member.cpp
@@ -179,7 +179,7 @@
     if (self_messages_.empty()) break;
   }
   peers_.flush(now());
-  arm();
+  arm_timer();
 }
 
 // ---- voters
@@ -231,7 +231,7 @@
   voters_.list_received(grantor_now(), list);
 }
 
-void Member::arm() {
+void Member::arm_timer() {
   Nanos next = has_left() ? -1 : leave_deadline_; // wake at the deadline to notice that it has passed
   for (const Nanos at : {leases_.next_wake(), tasks_.next_wake(), peers_.next_wake(), voters_.next_wake()})
     if (at >= 0 && (next < 0 || at < next)) next = at;
@@ -281,10 +281,10 @@
 void Member::dial(MemberId to) { links_.dial(to); }
 void Member::disconnect(MemberId to) { links_.disconnect(to); }
 void Member::send(MemberId to, std::string frame) { links_.send(to, std::move(frame)); }
-void Member::peer_state_changed(MemberId of, PeerState before, PeerState now) {
-  const std::string_view was = to_text(before), is = to_text(now);
-  log_info("peers", "member %u: %.*s (%.*s before)", of.raw, log_length(is), is.data(), log_length(was),
-           was.data());
+void Member::peer_state_changed(MemberId member, PeerState before, PeerState after) {
+  const std::string_view before_text = to_text(before), after_text = to_text(after);
+  log_info("peers", "member %u: %.*s (%.*s before)", member.raw, log_length(after_text), after_text.data(),
+           log_length(before_text), before_text.data());
 }
 void Member::duplicate_member(MemberId number) {
   log_warning("peers", "two members use the number %u: give one of them another number", number.raw);
@@ -292,27 +292,27 @@
 
 // ---- messages of peers
 
-bool Member::message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t acked,
+bool Member::message(MemberId from, Incarnation incarnation, std::uint64_t number, std::uint64_t acked,
                      Incarnation acked_incarnation, bool leaving,
                      const peer_codec::HeartbeatTerms& heartbeat) {
-  return peers_.received(now(), from, of, number, acked, acked_incarnation, leaving, heartbeat);
+  return peers_.received(now(), from, incarnation, number, acked, acked_incarnation, leaving, heartbeat);
 }
-void Member::asked(MemberId from, Incarnation of, Epoch epoch, std::string_view lease, AskNo number,
+void Member::asked(MemberId from, Incarnation incarnation, Epoch epoch, std::string_view lease, AskNo number,
                    Token token, Nanos term) {
-  leases_.asked(grantor_now(), from, of, epoch, lease, number, token, term);
+  leases_.asked(grantor_now(), from, incarnation, epoch, lease, number, token, term);
 }
-void Member::released(MemberId from, Incarnation of, std::string_view lease, AskNo number) {
-  leases_.released(grantor_now(), from, of, lease, number);
+void Member::released(MemberId from, Incarnation incarnation, std::string_view lease, AskNo number) {
+  leases_.released(grantor_now(), from, incarnation, lease, number);
 }
-void Member::granted(MemberId from, Incarnation to, std::string_view lease, AskNo number, bool wanted) {
-  leases_.granted(now(), from, to, lease, number, wanted);
+void Member::granted(MemberId from, Incarnation to, std::string_view lease, AskNo number, bool contended) {
+  leases_.granted(now(), from, to, lease, number, contended);
 }
 void Member::refused(MemberId from, Incarnation to, std::string_view lease, AskNo number, Token known_token,
                      Nanos left) {
   leases_.refused(now(), from, to, lease, number, known_token, left);
 }
-void Member::done(MemberId, std::string_view task, Token token, Nanos ago) {
-  tasks_.completed_elsewhere(now(), task, token, ago);
+void Member::done(MemberId, std::string_view task, Token token, Nanos age) {
+  tasks_.completed_elsewhere(now(), task, token, age);
 }
 
 // ---- actions of the lease module
@@ -333,21 +333,22 @@
     leases_.released(grantor_now(), self_.from, self_.incarnation, lease, number);
   });
 }
-void Member::grant(MemberId to, Incarnation of, std::string_view lease, AskNo number, bool wanted) {
+void Member::grant(MemberId to, Incarnation incarnation, std::string_view lease, AskNo number,
+                   bool contended) {
   if (to != self_.from)
     return void(peers_.enqueue(to, Peers::MessageClass::response, lease,
-                               peer_codec::grant(of, lease, number, wanted)));
-  enqueue_to_self([this, of, lease = std::string(lease), number, wanted] {
-    leases_.granted(now(), self_.from, of, lease, number, wanted);
+                               peer_codec::grant(incarnation, lease, number, contended)));
+  enqueue_to_self([this, incarnation, lease = std::string(lease), number, contended] {
+    leases_.granted(now(), self_.from, incarnation, lease, number, contended);
   });
 }
-void Member::refuse(MemberId to, Incarnation of, std::string_view lease, AskNo number, Token known_token,
-                    Nanos left) {
+void Member::refuse(MemberId to, Incarnation incarnation, std::string_view lease, AskNo number,
+                    Token known_token, Nanos left) {
   if (to != self_.from)
     return void(peers_.enqueue(to, Peers::MessageClass::response, lease,
-                               peer_codec::refuse(of, lease, number, known_token, left)));
-  enqueue_to_self([this, of, lease = std::string(lease), number, known_token, left] {
-    leases_.refused(now(), self_.from, of, lease, number, known_token, left);
+                               peer_codec::refuse(incarnation, lease, number, known_token, left)));
+  enqueue_to_self([this, incarnation, lease = std::string(lease), number, known_token, left] {
+    leases_.refused(now(), self_.from, incarnation, lease, number, known_token, left);
   });
 }
 void Member::held(std::string_view lease, Token token, Nanos from, Nanos until) {
--- a/node/member.hpp
+++ b/node/member.hpp
@@ -49,26 +49,27 @@
   void dial(MemberId to) override;
   void disconnect(MemberId to) override;
   void send(MemberId to, std::string frame) override;
-  void peer_state_changed(MemberId of, PeerState before, PeerState now) override;
+  void peer_state_changed(MemberId member, PeerState before, PeerState after) override;
   void duplicate_member(MemberId number) override;
   // Messages of peers
-  bool message(MemberId from, Incarnation of, std::uint64_t number, std::uint64_t acked,
+  bool message(MemberId from, Incarnation incarnation, std::uint64_t number, std::uint64_t acked,
                Incarnation acked_incarnation, bool leaving,
                const peer_codec::HeartbeatTerms& heartbeat) override;
   void voters(MemberId from, Epoch on_file, const VoterList& list) override;
-  void asked(MemberId from, Incarnation of, Epoch epoch, std::string_view lease, AskNo number, Token token,
-             Nanos term) override;
-  void released(MemberId from, Incarnation of, std::string_view lease, AskNo number) override;
-  void granted(MemberId from, Incarnation to, std::string_view lease, AskNo number, bool wanted) override;
+  void asked(MemberId from, Incarnation incarnation, Epoch epoch, std::string_view lease, AskNo number,
+             Token token, Nanos term) override;
+  void released(MemberId from, Incarnation incarnation, std::string_view lease, AskNo number) override;
+  void granted(MemberId from, Incarnation to, std::string_view lease, AskNo number, bool contended) override;
   void refused(MemberId from, Incarnation to, std::string_view lease, AskNo number, Token known_token,
                Nanos left) override;
-  void done(MemberId from, std::string_view task, Token token, Nanos ago) override;
+  void done(MemberId from, std::string_view task, Token token, Nanos age) override;
   // Leases
   void ask(MemberId voter, Epoch epoch, std::string_view lease, AskNo number, Token token,
            Nanos term) override;
   void release(MemberId voter, std::string_view lease, AskNo number) override;
-  void grant(MemberId to, Incarnation of, std::string_view lease, AskNo number, bool wanted) override;
-  void refuse(MemberId to, Incarnation of, std::string_view lease, AskNo number, Token known_token,
+  void grant(MemberId to, Incarnation incarnation, std::string_view lease, AskNo number,
+             bool contended) override;
+  void refuse(MemberId to, Incarnation incarnation, std::string_view lease, AskNo number, Token known_token,
               Nanos left) override;
   void held(std::string_view lease, Token token, Nanos from, Nanos until) override;
   void lost(std::string_view lease, Token token, LossReason reason) override;
@@ -83,7 +84,7 @@
   Nanos grantor_now();
   // Makes the next turn handle the consequences of an event. Returns now().
   Nanos mark_pending();
-  void arm();
+  void arm_timer();
   void update_voters();
   std::string encode_voters() const;
   void enqueue_to_self(std::function<void()> action);
