--- a/tests/front.cpp
+++ b/tests/front.cpp
@@ -13,14 +13,14 @@
   std::vector<StreamRef> lost;
   bool quiet = false;
 
-  void op_received(StreamRef ref, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
+  void op_received(StreamRef ref, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos received_at,
                    Nanos limit, double held_kb, double rank, std::string_view mark, std::string_view subject,
                    std::string_view body) override {
     streams.push_back(ref);
     if (quiet) return;
     std::printf("  op %llx type %u tenant %u caller %llu door %lld limit %lld kb %.1f rank %.3f",
                 static_cast<unsigned long long>(id.raw), type.raw, tenant.raw,
-                static_cast<unsigned long long>(caller.raw), static_cast<long long>(door / ms),
+                static_cast<unsigned long long>(caller.raw), static_cast<long long>(received_at / ms),
                 static_cast<long long>(limit / ms), held_kb, rank);
     std::printf(" mark %s subject %s body of %zu\n", std::string(mark).c_str(), std::string(subject).c_str(),
                 body.size());
--- a/tests/link.cpp
+++ b/tests/link.cpp
@@ -39,7 +39,7 @@
 int main() {
   asio::io_context io;
   PrintingHandler handler;
-  TestConnection machine = TestConnection::listening(7300);
+  TestConnection interpreter = TestConnection::listening(7300);
   InterpreterLink link(io, TestConnection::at(7300), 1 << 20, handler);
   link.link_reconnect_delay(ms);
   TestConnection::turn = [&] {
@@ -61,7 +61,7 @@
   const std::string run = R"("uid":"9b1f03aa5c7e2d41")";
 
   say("the interpreter is up late: nothing but CONNECT is sent until then");
-  TestConnection at = machine.next();
+  TestConnection at = interpreter.next();
   print_line(at);
   link.request_gauges(); // not sent: the link is not up yet
   std::printf("  up: %d\n", link.up());
@@ -105,7 +105,7 @@
   at.reset();
   TestConnection::until("break", [&] { return !link.up(); });
   link.request_gauges();
-  TestConnection again = machine.next();
+  TestConnection again = interpreter.next();
   print_line(again);
   all = notices(2);
   again.say(
@@ -118,7 +118,7 @@
 
   say("missing or malformed notices: requested once more, then skipped");
   const auto reconnect = [&](const char* first, int times) {
-    TestConnection next = machine.next();
+    TestConnection next = interpreter.next();
     print_line(next);
     next.say("{\"action\":\"BANNER\",\"code\":\"starting\",\"wall_ms\":950}\n" + std::string(first));
     std::printf("> %s\n", next.line().c_str());
@@ -140,16 +140,16 @@
 
   say("a line that is too long: reconnects");
   fifth.say(std::string(70'000, 'x'));
-  TestConnection sixth = machine.next();
+  TestConnection sixth = interpreter.next();
   print_line(sixth);
 
   say("a link that is accepted but silent, or silent with a query unanswered: reconnects; any input counts "
       "as a sign of life");
   link.link_silence_timeout(100 * ms);
   sixth.reset();
-  TestConnection mute = machine.next();
+  TestConnection mute = interpreter.next();
   print_line(mute);
-  TestConnection seventh = machine.next();
+  TestConnection seventh = interpreter.next();
   print_line(seventh);
   mute.to_end();
   const std::string banner = "{\"action\":\"BANNER\",\"code\":\"running\",\"wall_ms\":990}\n";
@@ -165,7 +165,7 @@
   pass(250 * ms); // no answer is due
   std::printf("  up: %d\n", link.up());
   link.request_gauges();
-  TestConnection eighth = machine.next();
+  TestConnection eighth = interpreter.next();
   print_line(eighth);
 
   say("no descriptor is free: connects once one is");
@@ -178,7 +178,7 @@
       pass(90 * ms);
       std::printf("  up: %d\n", link.up());
     }
-    TestConnection ninth = machine.next();
+    TestConnection ninth = interpreter.next();
     print_line(ninth);
   }
 
--- a/tests/many.cpp
+++ b/tests/many.cpp
@@ -34,8 +34,8 @@
 // One server process with its interpreter and its announce service, on ports of their own.
 struct Server {
   int number;
-  Tcp::endpoint listen, vm, list;
-  std::unique_ptr<Machine> machine;
+  Tcp::endpoint listen_at, interpreter_at, announce_at;
+  std::unique_ptr<Machine> interpreter;
   std::unique_ptr<AnnounceService> announce;
   std::unique_ptr<Child> process;
   std::unique_ptr<TestConnection> caller;
@@ -47,15 +47,19 @@
     const std::string place = TestConnection::at(port);
     return {asio::ip::make_address(place.substr(0, place.find(':'))), static_cast<unsigned short>(port)};
   }
-  explicit Server(int n) : number(n), listen(at(20000 + n)), vm(at(21000 + n)), list(at(22000 + n)) {}
-  void with_machine() { machine = std::make_unique<Machine>(io, vm, 4, number + 1, Watcher{}); }
-  void with_list() { announce = std::make_unique<AnnounceService>(io, list, number + 1); }
+  explicit Server(int n)
+      : number(n), listen_at(at(20000 + n)), interpreter_at(at(21000 + n)), announce_at(at(22000 + n)) {}
+  void with_interpreter() {
+    interpreter = std::make_unique<Machine>(io, interpreter_at, 4, number + 1, Watcher{});
+  }
+  void with_announce() { announce = std::make_unique<AnnounceService>(io, announce_at, number + 1); }
   // `limit`: the limit on its descriptors; 0: unchanged.
   void start(const std::string& program, Site site, Tcp::endpoint records, int limit = 0) {
     const std::string path = work_folder + "/" + std::to_string(number);
     site.name = "n" + std::to_string(number);
     site.seed = static_cast<std::uint64_t>(number) + 1;
-    write_file(path + ".json", configuration(site, words(listen), words(vm), words(list), words(records)));
+    write_file(path + ".json", configuration(site, words(listen_at), words(interpreter_at),
+                                             words(announce_at), words(records)));
     std::vector<std::string> command{program, "serve", "--config", path + ".json"};
     if (limit > 0)
       command = {"/bin/sh", "-c",
@@ -67,15 +71,16 @@
   // Sends an op each `every`; reconnects until a connection is accepted.
   void send_periodically(Nanos now, Nanos every) {
     if (!caller || caller->ended())
-      caller = std::make_unique<TestConnection>(TestConnection::to(listen.port())), stream = 0;
+      caller = std::make_unique<TestConnection>(TestConnection::to(listen_at.port())), stream = 0;
     take();
     if (now - last_asked < every) return;
     last_asked = now;
     char txn[17];
     std::snprintf(txn, sizeof txn, "%08x%08x", number + 1, ++asked_);
-    const std::string door = std::to_string(unix_now() / ms);
+    const std::string received_at = std::to_string(unix_now() / ms);
     caller->send_without_turn(
-        ask(++stream, txn, {{"verb", "bay-check"}, {"team", "main-lot"}, {"door", door}, {"limit", "1800"}},
+        ask(++stream, txn,
+            {{"verb", "bay-check"}, {"team", "main-lot"}, {"door", received_at}, {"limit", "1800"}},
             "w=2000;c=1;"));
   }
   void take() {
@@ -117,21 +122,21 @@
 
 void drain_and_check(Servers& servers) {
   for (Server* server : servers) server->process->tell(SIGTERM);
-  int well = 0, gone = 0;
+  int exited_cleanly = 0, exited = 0;
   const Nanos end = steady_now() + 10 * second;
   std::vector<bool> ended(servers.size());
-  while (gone < static_cast<int>(servers.size()) && steady_now() < end) {
+  while (exited < static_cast<int>(servers.size()) && steady_now() < end) {
     run_for(5 * ms);
     for (std::size_t i = 0; i < servers.size(); ++i) {
       Child::Cost cost;
       if (servers[i]->caller) servers[i]->caller->hear();
       if (servers[i]->caller && servers[i]->caller->ended()) servers[i]->caller.reset();
       if (ended[i] || !servers[i]->process->ended(cost)) continue;
-      ended[i] = true, ++gone;
-      well += cost.exit_code == 0;
+      ended[i] = true, ++exited;
+      exited_cleanly += cost.exit_code == 0;
     }
   }
-  std::printf("  told to leave: %d of %zu ended, %d with 0\n", gone, servers.size(), well);
+  std::printf("  told to leave: %d of %zu ended, %d with 0\n", exited, servers.size(), exited_cleanly);
 }
 
 void test_start(const std::string& program) {
@@ -144,11 +149,11 @@
   static std::vector<Tcp::socket> held;
   for (Server* server : servers) {
     const int kind = server->number % 6;
-    if (kind != 1 && kind != 2) server->with_machine();
+    if (kind != 1 && kind != 2) server->with_interpreter();
     if (kind == 2) // accepts connections, never sends anything
-      silent_listeners.push_back(
-          std::make_unique<Door>(io, server->vm, [](Tcp::socket s) { held.push_back(std::move(s)); }));
-    if (kind != 4) server->with_list();
+      silent_listeners.push_back(std::make_unique<Door>(io, server->interpreter_at,
+                                                        [](Tcp::socket s) { held.push_back(std::move(s)); }));
+    if (kind != 4) server->with_announce();
     if (kind == 3) server->announce->silent(1);
   }
   records.down(true);
@@ -162,10 +167,10 @@
         now - begun >= 2 * second) { // late parties appear, and silent listeners are replaced by interpreters
       recovered = true;
       records.down(false);
-      for (auto& door : silent_listeners) door->shut();
+      for (auto& received_at : silent_listeners) received_at->shut();
       run_for(ms);
       for (Server* server : servers)
-        if (!server->machine) server->with_machine();
+        if (!server->interpreter) server->with_interpreter();
     }
     count = 0;
     for (Server* server : servers) {
@@ -180,7 +185,7 @@
   for (Server* server : servers) listed += server->announce && server->announce->listed();
   std::printf("  listed: %d\n", listed);
   for (Server* server : servers)
-    if (!server->announce) server->with_list();
+    if (!server->announce) server->with_announce();
   const Nanos up = steady_now();
   const auto all_listed = [&] {
     return std::all_of(servers.begin(), servers.end(), [](const Server* s) { return s->announce->listed(); });
@@ -200,7 +205,7 @@
   Servers servers = new_servers(1);
   Server& server = *servers[0];
   RecordsService& records = service_below();
-  server.with_machine(), server.with_list();
+  server.with_interpreter(), server.with_announce();
   const Site site{.leave_time = 3 * second};
   const auto serves = [&] {
     const int before = server.acked;
@@ -216,7 +221,7 @@
   for (int i = 0; i < 5; ++i) {
     run_for(50 * ms); // earlier ops have ended
     const std::size_t before = server.descriptors();
-    TestConnection fresh = TestConnection::to(server.listen.port());
+    TestConnection fresh = TestConnection::to(server.listen_at.port());
     fresh.send_without_turn(
         ask(1, "ffffffff0000000" + std::to_string(i), {{"verb", "bay-check"}, {"team", "main-lot"}}));
     const Nanos written = steady_now();
@@ -241,7 +246,7 @@
   records.crowding(1000);
   constexpr double budget = 6;
   for (Server* server : servers) {
-    server->with_machine(), server->with_list();
+    server->with_interpreter(), server->with_announce();
     server->start(program, {.leave_time = 3 * second, .cold = true, .calls_out = budget / server_count},
                   records.address());
   }
@@ -271,12 +276,12 @@
   Servers servers = new_servers(1);
   Server& server = *servers[0];
   RecordsService& records = service_below();
-  server.with_machine();
+  server.with_interpreter();
   server.start(program, {.leave_time = 3 * second, .sockets = limit}, records.address(), limit);
-  while (!server.machine->linked() && steady_now() - server.began < 10 * second) run_for(5 * ms);
+  while (!server.interpreter->linked() && steady_now() - server.began < 10 * second) run_for(5 * ms);
   std::vector<TestConnection> idle;
   for (int n = 0; n < 2 * limit; ++n) {
-    idle.push_back(TestConnection::to(server.listen.port()));
+    idle.push_back(TestConnection::to(server.listen_at.port()));
     if (n % 2) idle.back().send_without_turn(frame_of(frames::health_check, 1, {}));
     if (n % 16 == 0) run_for(ms);
   }
@@ -289,7 +294,7 @@
   }
   std::printf("  within its descriptors: %d; a caller gets in and its op, with a call, is acked: %d\n",
               most<static_cast<std::size_t>(limit), server.acked> 0);
-  server.with_list();
+  server.with_announce();
   const Nanos up = steady_now();
   while (!server.announce->listed() && steady_now() - up < 3 * second) run_for(5 * ms);
   std::printf("  the list is back: listed within 1.5 s: %d\n", steady_now() - up < 3 * second / 2);
