--- a/tests/front.cpp
+++ b/tests/front.cpp
@@ -121,13 +121,13 @@
 
   const std::string head("\x09\0\0\0\x0a\0\0\0\0\1\5ab\0", 13);
   const std::pair<const char*, std::string> unreadable[] = {
-      {"a length under the least", std::string("\4\0\0\0", 4)},
-      {"a length over the most", std::string("\1\0\4\0", 4)},
-      {"an unknown type", frame_of(12, 3, {})},
-      {"a type only servers send", frame_of(frames::response, 3, {})},
-      {"fields that overrun it", head},
+      {"a length below the minimum", std::string("\4\0\0\0", 4)},
+      {"a length above the maximum", std::string("\1\0\4\0", 4)},
+      {"an unknown frame type", frame_of(12, 3, {})},
+      {"a frame type that only servers send", frame_of(frames::response, 3, {})},
+      {"fields that overrun the payload", head},
       {"stream 0", ask(0, txn)},
-      {"a stream used twice", ask(1, txn)}};
+      {"a stream number used twice", ask(1, txn)}};
   for (const auto& [what, bytes] : unreadable) {
     say(what);
     TestConnection bad = TestConnection::to(5050);
--- a/tests/lasting.cpp
+++ b/tests/lasting.cpp
@@ -115,7 +115,7 @@
     });
     most = std::max(most, core_bytes);
     if (t % (5 * minute) == 0 && t > 0) {
-      std::printf("%3lld min  %lld KB in %lld pieces\n", static_cast<long long>(t / minute),
+      std::printf("%3lld min  %lld KB in %lld allocations\n", static_cast<long long>(t / minute),
                   static_cast<long long>(core_bytes / 1024), static_cast<long long>(core_allocations));
       (t <= 15 * minute ? early : late) = std::max(t <= 15 * minute ? early : late, core_bytes);
     }
@@ -125,9 +125,9 @@
   // Without new ops, everything kept for ops and their repeats must be freed.
   const std::int64_t before = core_allocations;
   for (Nanos t = 45 * minute; t < 48 * minute; t += ms) server.as_core_work([&] { server.step(t, false); });
-  std::printf("quiet for three minutes: %lld KB in %lld pieces\n", static_cast<long long>(core_bytes / 1024),
-              static_cast<long long>(core_allocations));
+  std::printf("idle for three minutes: %lld KB in %lld allocations\n",
+              static_cast<long long>(core_bytes / 1024), static_cast<long long>(core_allocations));
   const bool flat = late <= early + early / 10;
-  std::printf("%s, %s\n", flat ? "flat" : "GROWS", core_allocations < before / 4 ? "given back" : "KEPT");
+  std::printf("%s, %s\n", flat ? "flat" : "GROWS", core_allocations < before / 4 ? "freed" : "NOT FREED");
   return flat && core_allocations < before / 4 ? 0 : 1;
 }
--- a/tests/many.cpp
+++ b/tests/many.cpp
@@ -136,7 +136,7 @@
       exited_cleanly += cost.exit_code == 0;
     }
   }
-  std::printf("  told to leave: %d of %zu ended, %d with 0\n", exited, servers.size(), exited_cleanly);
+  std::printf("  drained: %d of %zu exited, %d with code 0\n", exited, servers.size(), exited_cleanly);
 }
 
 void test_start(const std::string& program) {
@@ -179,7 +179,7 @@
     }
   }
   std::printf("  an op acked within 10 s of the start: %s\n",
-              count * 10 >= server_count * 9 ? "nine in ten or more" : "too few");
+              count * 10 >= server_count * 9 ? "at least nine in ten" : "too few");
   int listed = 0;
   run_for(second);
   for (Server* server : servers) listed += server->announce && server->announce->listed();
@@ -192,8 +192,9 @@
   };
   for (Server* server : servers) server->announce->silent(0);
   while (!all_listed() && steady_now() - up < 3 * second) run_for(5 * ms);
-  std::printf("  the list is back: all listed within 1.5 s: %d\n", steady_now() - up < 3 * second / 2);
-  std::printf("  served nobody: %d\n",
+  std::printf("  announce service is back: all listed within 1.5 s: %d\n",
+              steady_now() - up < 3 * second / 2);
+  std::printf("  servers that acked no op: %d\n",
               static_cast<int>(std::count_if(servers.begin(), servers.end(),
                                              [](const Server* s) { return s->acked == 0; })));
   drain_and_check(servers);
@@ -262,9 +263,9 @@
     most = std::max(most, in_hand.mean_with(in_hand.count(), 0));
   }
   for (Server* server : servers) answers += server->answers, acked += server->acked;
-  std::printf("  the mean in hand over five seconds never passed its budget of %.0f: %d\n", budget,
+  std::printf("  mean calls in flight over five seconds never exceeded the budget of %.0f: %d\n", budget,
               most <= budget);
-  std::printf("  it was used for more than a tenth: %d; ops answered: %d\n", most > budget / 10,
+  std::printf("  more than a tenth of it was used: %d; ops answered: %d\n", most > budget / 10,
               answers > 1000 && acked > 100);
   drain_and_check(servers);
 }
@@ -272,7 +273,7 @@
 // Idle clients connect until no descriptor is free, half of them after one health check, while the announce
 // service is down.
 void test_descriptor_limit(const std::string& program, int limit) {
-  std::printf("# idle clients fill %d descriptors while the list is down\n", limit);
+  std::printf("# idle clients fill %d descriptors while the announce service is down\n", limit);
   Servers servers = new_servers(1);
   Server& server = *servers[0];
   RecordsService& records = service_below();
@@ -292,16 +293,17 @@
     run_for(2 * ms);
     server.send_periodically(steady_now(), 100 * ms);
   }
-  std::printf("  within its descriptors: %d; a caller gets in and its op, with a call, is acked: %d\n",
-              most<static_cast<std::size_t>(limit), server.acked> 0);
+  std::printf(
+      "  within its descriptor limit: %d; a caller is accepted and its op, with a call, is acked: %d\n",
+      most<static_cast<std::size_t>(limit), server.acked> 0);
   server.with_announce();
   const Nanos up = steady_now();
   while (!server.announce->listed() && steady_now() - up < 3 * second) run_for(5 * ms);
-  std::printf("  the list is back: listed within 1.5 s: %d\n", steady_now() - up < 3 * second / 2);
+  std::printf("  announce service is back: listed within 1.5 s: %d\n", steady_now() - up < 3 * second / 2);
   drain_and_check(servers);
   if (std::ifstream log(work_folder + "/" + std::to_string(server.number) + ".log"); log)
     for (std::string line; std::getline(log, line);)
-      if (line.find("Too many open files") != std::string::npos) std::puts("  none was free");
+      if (line.find("Too many open files") != std::string::npos) std::puts("  no descriptor was free");
 }
 
 } // namespace
--- a/tests/member.sh
+++ b/tests/member.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# One server as the only member and voter of a fleet, its task's target gone: what stands is told at SIGUSR1, a list of voters is taken at
-# a hang-up, all else is not; two under one address; what is held is given up when it leaves. Usage: member.sh PROGRAM CONFIG
+# One server as the only member and voter of a fleet, with the target of its task down: SIGUSR1 logs the status, SIGHUP applies a new
+# list of voters but no other fleet setting, a second process at the same fleet address can't start, and a drain gives up held leases.
+# Usage: member.sh PROGRAM CONFIG
 host=127.88.$(($$ % 250)).$(($$ / 250 % 250 + 1))
 sed "s/127\.0\.0\.1/$host/g" "$2" >member.json
 fleet() { # EPOCH MORE
@@ -18,7 +19,7 @@
 until_said 1 'fails here'
 kill -USR1 $pid
 until_said 1 'status of tasks'
-echo "# another under the same fleet address, which has the first one's name"
+echo "# a second process with the fleet address and name of the first"
 sed "s/5050/5051/" member.json >other.json
 "$1" serve --config other.json --operator member.kdl 2>&1
 echo "exit $?"
@@ -35,7 +36,7 @@
 kill -TERM $pid
 wait $pid
 echo "exit $?"
-echo "# what it said"
+echo "# its log"
 sed 's/^[0-9.]* //; s/incarnation [0-9a-f]*/incarnation I/; s/token [0-9a-f]*/token T/; s/-*[0-9]* ms/N ms/g; s/[0-9]* rounds/N rounds/; s/here [0-9]* begun, 0 done, [0-9]* failed/here N begun, 0 done, N failed/; s/[0-9]* messages queued, [0-9]* sent, [0-9]* dials/N messages queued/; s/ (\([0-9]*\) more left out)//' member.log |
   grep -E '^(fleet|lease|voters|status|reload: fleet settings|task: sweep: fails)' | grep -v '^status of leases' | sed 's/running/idle/' | awk '!seen[$0]++'
 rm -f member.json other.json member.kdl member.log
