--- a/leases/leases.hpp
+++ b/leases/leases.hpp
@@ -7,9 +7,9 @@
 // Why there are never two holders at the same time, in short:
 // (1) A voter has at most one unexpired grant per lease.
 // (2) A holder has grants of a majority of the voters, all for the same ask (lease request message).
-// (3) The holder counts its holding time from before that ask was sent, and for a shorter time than a
-//     voter counts from when it received the ask.
-// (4) A voter that has lost its grants (by a restart) stays silent until the longest of them has expired.
+// (3) The time of a holding counts from before that ask is sent, the time of a grant from the ask's arrival,
+//     and a holding is shorter by what the clocks may drift. So a holding ends before its grants do.
+// (4) A voter that has lost its grants (by a restart) grants nothing until all of them must have expired.
 //
 // Any two majorities share a voter, and that voter's two grants cannot have been valid at the same time.
 //
@@ -45,7 +45,8 @@
 // Sequence number of an ask, rising within one incarnation.
 using AskNo = Id<struct AskNoTag, std::uint64_t>;
 
-// Why a holding ended.
+// Why a holding ended: not renewed in time, dropped by its owner, yielded to members that ask for the lease
+// (leases.most_terms), or because a target has seen a greater token.
 enum class LossReason { ended, given_up, yielded, refused_by_target };
 std::string_view to_text(LossReason reason);
 
@@ -53,19 +54,22 @@
 class LeaseActions {
  public:
   virtual ~LeaseActions() = default;
-  // Messages to a voter: ask for a grant of the lease for `term` (0: only whether it would be granted), and
-  // release what the voter granted up to this ask. `epoch`: of the voter list that the asking member uses.
+  // Sends a message to a voter: an ask for a grant of the lease for `term` (0: only asks whether it would be
+  // granted), or the release of what the voter granted up to this ask. `epoch` is that of the voter list that
+  // the asking member uses.
   virtual void ask(MemberId voter, Epoch epoch, std::string_view lease, AskNo number, Token token,
                    Nanos term) = 0;
   virtual void release(MemberId voter, std::string_view lease, AskNo number) = 0;
-  // A voter's answers. `contended`: other members ask for the lease too. `highest_token`: no token up to it
-  // will be granted. `remaining`: time left of the conflicting grant, 0: there is none.
+  // Sends a voter's answer. `incarnation`: that of the asking member. `contended`: the voter has refused
+  // another member's ask within the last term. `highest_token`: a new holder's token must be greater.
+  // `remaining`: how long the voter expects to refuse, mostly the time left of a conflicting grant; 0: only
+  // the token was too small.
   virtual void grant(MemberId to, Incarnation incarnation, std::string_view lease, AskNo number,
                      bool contended) = 0;
   virtual void refuse(MemberId to, Incarnation incarnation, std::string_view lease, AskNo number,
                       Token highest_token, Nanos remaining) = 0;
   // This member holds the lease and may act from `from` until `until` under this token. Repeated with each
-  // renewal.
+  // renewal. `lost`: the holding under this token has ended.
   virtual void held(std::string_view lease, Token token, Nanos from, Nanos until) = 0;
   virtual void lost(std::string_view lease, Token token, LossReason reason) = 0;
 };
@@ -73,23 +77,24 @@
 // One member's part in all leases of the fleet.
 class Leases {
  public:
-  // `settings`, durations in ns:
+  // `settings`, durations in ns; term, longest_term, drift and most are required:
   // - leases.term: duration of a grant
   // - leases.longest_term: the longest leases.term that any member has been configured with within the last
   //   term; a voter stays silent that long after a start
   // - leases.answer: how long a round waits for its answers. It must exceed the round trip to the farthest
   //   voter, or no round completes when every reachable voter is needed. Default: an eighth of the term
   // - leases.drift: bound on a clock's rate error, as a fraction
-  // - leases.longest_act: for targets that cannot reject old tokens: the next holder waits that long before
-  //   it acts; 0: it does not wait
+  // - leases.longest_act: the longest duration of an act at a target that cannot reject old tokens. A new
+  //   holder waits that long before it acts; 0: it does not wait
   // - leases.most_terms: after so many renewals a holder yields the lease if others ask for it; 0: never
-  // - leases.first_token: lower bound of new tokens: a count that at each start exceeds what one count per
-  //   millisecond could have reached before, such as Unix time in ms. It is a hint: without it, tokens may
-  //   go back after most voters have lost their state, until a target's refusal corrects that
+  // - leases.first_token: lower bound of the counter from which new tokens are made. It must rise by at
+  //   least one per millisecond, also while the process is down, as Unix time in ms does. It is a hint:
+  //   without it, tokens may go back after most voters have lost their state, until a target's refusal
+  //   corrects that
   // - leases.most: the maximum number of lease names known at once, for the voter side and the requesting
   //   side each
   //
-  // `voters` is consulted at each step for the current voter list.
+  // `voters` is consulted at each call for the current voter list; it and `actions` must outlive this object.
   Leases(Nanos now, MemberId self, Incarnation incarnation, const Voters& voters, const Settings& settings,
          std::uint64_t seed, LeaseActions& actions);
   Leases(const Leases&) = delete;
@@ -101,19 +106,24 @@
   void raise_token_counter(std::uint64_t at_least) { token_counter_ = std::max(token_counter_, at_least); }
 
   // ---- requesting side
-  // Requests a lease and keeps it until it is dropped. False: the name is invalid or there is no room for it.
+  // Requests a lease, renews it while it is held and requests it again after a loss, until it is dropped.
+  // Cancels a pending release. False: the name is invalid or there is no room for it.
   bool acquire(Nanos now, std::string_view lease);
-  void drop(Nanos now, std::string_view lease); // releases it, at once unless an act is in progress
-  void leave(Nanos now);                        // drops all leases, before this member stops
+  // Releases a lease, or withdraws its request. While acts are in progress, the release waits for their end.
+  void drop(Nanos now, std::string_view lease);
+  void leave(Nanos now); // drops all leases, before this member stops
   // The token under which an act that takes at most `act` may begin now, or Token{0}.
   Token may_act(Nanos now, std::string_view lease, Nanos act) const;
-  // As may_act, and the lease is not released voluntarily until every begun act has ended.
+  // As may_act, and the lease is not released voluntarily until `end_act` was called for every begun act. No
+  // act may begin while a release is pending.
   Token begin_act(Nanos now, std::string_view lease, Nanos act);
   void end_act(Nanos now, std::string_view lease, Token token);
   // The target of an act rejected this member's token because it has seen a greater one.
   void refused_by_target(Nanos now, std::string_view lease, Token highest_token);
 
   // ---- messages of other members
+  // `from`: the sender; `incarnation`: that of the sender; `to`: the incarnation that the answer is for. An
+  // answer to another incarnation than this one is ignored.
   void asked(Nanos now, MemberId from, Incarnation incarnation, Epoch epoch, std::string_view lease,
              AskNo number, Token token, Nanos term);
   void released(Nanos now, MemberId from, Incarnation incarnation, std::string_view lease, AskNo number);
@@ -128,9 +138,9 @@
 
   struct Status { // of a lease that this member requests
     std::string lease;
-    Token token{0}; // 0: not held
-    Nanos since = 0, until = 0;
-    int rounds = 0; // request rounds since it was last held, or since `acquire`
+    Token token{0};             // 0: not held
+    Nanos since = 0, until = 0; // held since, may act until; meaningful only while held
+    int rounds = 0;             // request rounds since it was last held, or since `acquire`
   };
   std::vector<Status> status() const;
   // Whether this member, as a voter, still stays silent after its start.
@@ -153,7 +163,7 @@
     Nanos until = 0;
     Token highest_token{0}; // the greatest token granted or seen
     Nanos contended_until = 0;
-    bool open(Nanos now) const { return now >= until; }
+    bool open(Nanos now) const { return now >= until; } // another member may be granted the lease
     template <class Serializer>
     void serialize(Serializer& serializer) {
       serializer(holder, incarnation, last_ask, until, highest_token, contended_until);
@@ -164,7 +174,7 @@
     AskNo number{}; // the last ask
     Nanos asked_at = 0;
     Token token{0};       // requested or held
-    Token token_floor{0}; // tokens up to it are known to be in use
+    Token token_floor{0}; // tokens up to it are known to have been used
     std::set<MemberId> granted, refused_by;
     bool held = false, contended = false;
     bool probing = false;                 // the current ask only checks whether it would be granted
--- a/leases/voters.cpp
+++ b/leases/voters.cpp
@@ -10,6 +10,7 @@
 constexpr std::size_t max_voters = 7;           // with seven, three may fail; more voters only cost messages
 constexpr std::size_t max_known_members = 4096; // members whose reported epochs are kept
 
+// Whether more than half of `voters` are in `subset`.
 bool majority(const std::set<MemberId>& subset, const std::set<MemberId>& voters) {
   const auto count =
       std::count_if(voters.begin(), voters.end(), [&](MemberId member) { return subset.contains(member); });
@@ -64,15 +65,16 @@
   update_joint(now);
 }
 
-// Other members use the newer list, so asks under an older one increasingly fail. Whatever epochs lie
-// between, the members that applied the newer list have seen them settled.
+// Voters that use a newer list refuse asks under an older one, so the newer list is adopted. It may skip
+// epochs, unlike one on file: members apply a list from their files only once the epochs before are settled.
 void Voters::list_received(Nanos now, const VoterList& list) {
   if (is_valid(list) && list.epoch > list_.epoch) adopt(now, list);
 }
 
 void Voters::update_joint(Nanos now) {
   if (!joint_) return;
-  std::set<MemberId> refusing; // previous voters that refuse the previous epoch for good
+  // The previous voters that refuse asks of the previous epoch, also after a restart.
+  std::set<MemberId> refusing;
   for (const MemberId member : list_.previous) {
     const auto at = file_epochs_.find(member);
     if (member == self_ ? on_file_ >= list_.epoch : at != file_epochs_.end() && at->second >= list_.epoch)
--- a/peers/control_follower.cpp
+++ b/peers/control_follower.cpp
@@ -21,6 +21,7 @@
                                  std::vector<std::string> scopes, const Settings& settings,
                                  std::uint64_t seed, ControlFollowerActions& actions)
     : actions_(actions), zone_(location.zone), now_(now),
+      // The settle time of 1 ns is never used: this list has no previous one and is never replaced.
       voters_(now, self.from, {Epoch{1}, {controls.front().member}, {}}, 1),
       follower_(now, self.incarnation, location, controls, std::move(scopes), settings, seed, *this),
       peers_(now, self, member_ids(controls), voters_, settings, seed + 1, *this) {}
@@ -44,11 +45,13 @@
   peers_.flush(now);
 }
 Nanos ControlFollower::next_wake() const {
-  const Nanos link = peers_.next_wake(), state = follower_.next_wake();
-  return link < 0 ? state : state < 0 ? link : std::min(link, state);
+  const Nanos peers_wake = peers_.next_wake(), follower_wake = follower_.next_wake();
+  return peers_wake < 0      ? follower_wake
+         : follower_wake < 0 ? peers_wake
+                             : std::min(peers_wake, follower_wake);
 }
 
-// Keeps connections to the followed control members, and closes those to others after their last message.
+// Requests connections to the followed control members only; those to others are closed by `Peers::due`.
 void ControlFollower::update_connections() {
   std::set<MemberId> wanted;
   for (const Follower::Attachment& attachment : follower_.attachments()) wanted.insert(attachment.member);
@@ -62,8 +65,8 @@
 
 // ---- peers
 
-void ControlFollower::peer_state_changed(MemberId member, PeerState, PeerState now) {
-  if (now == PeerState::unresponsive || now == PeerState::one_way || now == PeerState::left)
+void ControlFollower::peer_state_changed(MemberId member, PeerState, PeerState after) {
+  if (after == PeerState::unresponsive || after == PeerState::one_way || after == PeerState::left)
     disconnected_.push_back(member);
 }
 bool ControlFollower::message(MemberId from, Incarnation incarnation, std::uint64_t number,
@@ -76,7 +79,7 @@
   control_codec::read(bytes, *this);
 }
 void ControlFollower::enqueue(MemberId to, std::string_view key, std::string message) {
-  // The recipient may be followed only from the end of this turn on.
+  // The follower may have chosen this recipient after the last `update_connections`.
   peers_.request_connection(now_, to, true);
   requested_.insert(to);
   peers_.enqueue(to, Peers::MessageClass::control, key, peer_codec::control(message));
--- a/peers/control_follower.hpp
+++ b/peers/control_follower.hpp
@@ -60,7 +60,7 @@
   void dial(MemberId to) override { actions_.dial(to); }
   void disconnect(MemberId to) override { actions_.disconnect(to); }
   void send(MemberId to, std::string frame) override { actions_.send(to, std::move(frame)); }
-  void peer_state_changed(MemberId member, PeerState before, PeerState now) override;
+  void peer_state_changed(MemberId member, PeerState before, PeerState after) override;
   void duplicate_member(MemberId number) override { actions_.duplicate_member(number); }
   bool message(MemberId from, Incarnation incarnation, std::uint64_t number, std::uint64_t acked,
                Incarnation acked_incarnation, bool leaving,
--- a/tests/fleet_of_leases.hpp
+++ b/tests/fleet_of_leases.hpp
@@ -1,7 +1,7 @@
 // A simulated fleet of lease members in one process, driven by one seed. The network loses, delays,
 // duplicates, reorders and cuts messages; clocks run at different rates and show different times; members
-// crash and lose their state, and pause at any point, also during an act. The referee knows the true time and
-// sees every holding and every act.
+// crash and lose their state, and pause at any point, also during an act. The invariant checks use the true
+// time and see every holding and every act.
 #pragma once
 
 #include "leases.hpp"
@@ -18,37 +18,45 @@
 constexpr Nanos second = 1000 * ms;
 constexpr const char* lease_name = "trial";
 
+// What a run simulates. Times: ns.
 struct Plan {
   std::uint64_t seed = 1;
   unsigned members = 5, voters = 3;
   Nanos term = second;
   double drift = 0.01;   // the drift bound in the members' settings
-  double clocks_off = 1; // fraction of the bound that clocks use; above 1 they violate it
+  double clocks_off = 1; // clocks' largest rate error, as a multiple of the bound; above 1 violates it
   Nanos act = 50 * ms;   // the longest act a member plans for
   Nanos lock_delay = 0;  // leases.longest_act
   int most_terms = 0;
   double list_updates = 0.1;      // fraction of the messages that carry the voter list
-  bool unsettled_changes = false; // the operator does not wait until a list is settled
+  bool unsettled_changes = false; // the operator makes a new list before the last one is settled
   bool raises_counter = false;    // members raise their token counter
   bool first_token_hint = true;   // leases.first_token rises with each start
   Nanos length = 30 * second;
   double lost = 0.1, duplicated = 0.1, late = 0.02; // fractions of the messages; late: by up to three terms
   Nanos kill_every = 0; // interval between kills of the holder, up to a half longer; 0: never
-  double crashes = 0.3, pauses = 0.3, cuts = 0.3, drops = 0.1; // per second, in the whole fleet
+  // Faults per second in the whole fleet. `cuts`: of the network; `drops`: a member drops the lease.
+  double crashes = 0.3, pauses = 0.3, cuts = 0.3, drops = 0.1;
   Nanos longest_pause = 3 * second;
   double in_act = 0.02;              // fraction of the acts with a pause in them
-  Nanos longest_in_act = 3 * second; // of those pauses
+  Nanos longest_in_act = 3 * second; // the longest of those pauses
   bool check_unfenced = false;       // concurrent acts at the target that cannot fence are a violation
   Nanos faults_until = -1;           // no faults from then on; -1: faults until the end
-  double changes = 0; // changes of the voter list per second, by an operator who waits until each is settled
+  // Attempts per second to change the voter list. The operator skips an attempt while the last list is not
+  // settled, unless `unsettled_changes`.
+  double changes = 0;
 };
 
+// The counts and violations of a run. `overlaps`: pairs of holdings that overlap, counted again at each
+// renewal, and acts begun after the end of the holding. `stale_refused`: acts that the fencing target
+// refused. `concurrent_acts_unfenced`: acts that overlap an act under another token at the target that cannot
+// fence.
 struct Verdict {
   int holdings = 0, renewals = 0, overlaps = 0, acts = 0, stale_refused = 0, concurrent_acts_unfenced = 0;
-  std::uint64_t changes = 0; // voter lists that were settled
+  std::uint64_t changes = 0; // voter lists that the operator made, settled or not
   int non_rising_tokens = 0; // holdings whose token was not greater than the previous one
-  Nanos longest_gap = 0;     // time without a holder, after faults_until
-  std::vector<Nanos> gaps;   // from the kill of a holder to the next holder's first act
+  Nanos longest_gap = 0;     // time without a holder, from six terms after faults_until on
+  std::vector<Nanos> gaps;   // from the kill of a holder to the start of the next act that completes
   std::string first;         // the first violation
 };
 
@@ -57,7 +65,7 @@
     FleetOfLeases& fleet;
     MemberId self;
     std::uint64_t starts = 0;
-    VoterList file; // the operator file's list, read at a start or on a signal
+    VoterList file; // the operator file's list, read at a start, on a signal and at a timer's wake
     std::unique_ptr<Voters> voters;
     std::unique_ptr<Leases> leases;
     double rate = 1;        // rate of its clock
@@ -65,7 +73,7 @@
     Nanos paused_until = 0;
     bool up = false;
     std::vector<std::function<void()>> waiting; // what arrived while it was paused
-    std::size_t holding = ~std::size_t{0};
+    std::size_t holding = ~std::size_t{0};      // index in holdings_; all bits set: none
     Nanos scheduled_wake = -1;
 
     Member(FleetOfLeases& f, MemberId id) : fleet(f), self(id) {}
@@ -86,23 +94,30 @@
                    action(*at.leases, now);
                  });
     }
-    void ask(MemberId voter, Epoch epoch, std::string_view l, AskNo n, Token t, Nanos term) override {
-      send(voter, [from = self, of = incarnation(), epoch, l = std::string(l), n, t,
-                   term](Leases& at, Nanos now) { at.asked(now, from, of, epoch, l, n, t, term); });
-    }
-    void release(MemberId voter, std::string_view l, AskNo n) override {
-      send(voter, [from = self, of = incarnation(), l = std::string(l), n](Leases& at, Nanos now) {
-        at.released(now, from, of, l, n);
+    void ask(MemberId voter, Epoch epoch, std::string_view lease, AskNo number, Token token,
+             Nanos term) override {
+      send(voter, [from = self, requester_incarnation = incarnation(), epoch, lease = std::string(lease),
+                   number, token, term](Leases& at, Nanos now) {
+        at.asked(now, from, requester_incarnation, epoch, lease, number, token, term);
       });
     }
-    void grant(MemberId to, Incarnation of, std::string_view l, AskNo n, bool wanted) override {
-      send(to, [from = self, of, l = std::string(l), n, wanted](Leases& at, Nanos now) {
-        at.granted(now, from, of, l, n, wanted);
+    void release(MemberId voter, std::string_view lease, AskNo number) override {
+      send(voter,
+           [from = self, requester_incarnation = incarnation(), lease = std::string(lease),
+            number](Leases& at, Nanos now) { at.released(now, from, requester_incarnation, lease, number); });
+    }
+    void grant(MemberId to, Incarnation requester_incarnation, std::string_view lease, AskNo number,
+               bool contended) override {
+      send(to, [from = self, requester_incarnation, lease = std::string(lease), number,
+                contended](Leases& at, Nanos now) {
+        at.granted(now, from, requester_incarnation, lease, number, contended);
       });
     }
-    void refuse(MemberId to, Incarnation of, std::string_view l, AskNo n, Token seen, Nanos left) override {
-      send(to, [from = self, of, l = std::string(l), n, seen, left](Leases& at, Nanos now) {
-        at.refused(now, from, of, l, n, seen, left);
+    void refuse(MemberId to, Incarnation requester_incarnation, std::string_view lease, AskNo number,
+                Token highest_token, Nanos remaining) override {
+      send(to, [from = self, requester_incarnation, lease = std::string(lease), number, highest_token,
+                remaining](Leases& at, Nanos now) {
+        at.refused(now, from, requester_incarnation, lease, number, highest_token, remaining);
       });
     }
     Incarnation incarnation() const { return Incarnation{starts}; }
@@ -132,7 +147,7 @@
   std::deque<Act> unfenced_acts_; // ordered by end
   Nanos last_end_ = 0;
   VoterList list_;              // the operator's newest list
-  Nanos holder_killed_at_ = -1; // when the holder was killed, -1 once another member has acted
+  Nanos holder_killed_at_ = -1; // when the holder was killed; -1 once any act has completed since
   using Event = std::pair<std::pair<Nanos, std::uint64_t>, std::function<void()>>;
   struct Later {
     bool operator()(const Event& a, const Event& b) const { return a.first > b.first; }
@@ -275,9 +290,9 @@
     member.paused_until = now + length;
     at(member.paused_until, [&member, incarnation = member.starts] {
       if (!member.up || member.starts != incarnation) return;
-      const auto came = std::move(member.waiting);
+      const auto deferred = std::move(member.waiting);
       member.waiting.clear();
-      for (const auto& action : came) action();
+      for (const auto& action : deferred) action();
     });
   }
   void cut_links() {
@@ -325,7 +340,7 @@
       });
     }
   }
-  // Runs now, or when the pause ends; only in the same incarnation.
+  // Runs the action now, or when the member's pause ends; drops it if the member is down or crashes first.
   void run_on(Member& member, std::function<void()> action) {
     if (!member.up) return;
     if (member.paused_until > now)
@@ -336,8 +351,9 @@
   void wake(Member& member) {
     member.voters->advance_time(member.clock());
     Nanos next = member.leases->next_wake();
-    if (const Nanos settled = member.voters->next_wake(); settled >= 0 && (next < 0 || settled < next))
-      next = settled;
+    if (const Nanos voters_wake = member.voters->next_wake();
+        voters_wake >= 0 && (next < 0 || voters_wake < next))
+      next = voters_wake;
     if (next < 0 || next == member.scheduled_wake) return;
     member.scheduled_wake = next;
     at(member.true_time(next), [this, &member, next, incarnation = member.starts] {
@@ -353,8 +369,9 @@
     });
   }
 
-  // ---- the referee
+  // ---- the invariant checks
 
+  // Records a time without a holder that ends now or with the run.
   void no_holder_until(Nanos end) {
     const Nanos since = std::max(last_end_, plan_.faults_until + 6 * plan_.term);
     verdict_.longest_gap = std::max(verdict_.longest_gap, end - since);
--- a/tests/link_costs.cpp
+++ b/tests/link_costs.cpp
@@ -1,6 +1,6 @@
 // The cost of the connections as a fleet grows: real Peers with complete frames on a simulated network and
-// clock. Only counts; the exponent of each cost over N is fitted, so that a cost that becomes quadratic again
-// is detected.
+// clock. Measures counts, no times. For each cost it fits the exponent of its growth with the fleet's size N,
+// so that a cost that becomes quadratic again is detected.
 #include "pcg.hpp"
 #include "peers.hpp"
 
@@ -17,13 +17,13 @@
 namespace {
 
 constexpr Nanos ms = 1'000'000, second = 1000 * ms;
-constexpr std::size_t tcp_ip = 40; // bytes of headers for each frame, sent as one segment
+constexpr std::size_t tcp_ip_header_bytes = 40; // for each frame, sent as one segment
 
 class SimulatedNetwork {
  public:
   Nanos now = 0;
   void at(Nanos time, std::function<void()> action) { events_.push({time, next_++, std::move(action)}); }
-  void to(Nanos time) {
+  void run_until(Nanos time) {
     while (!events_.empty() && events_.top().at <= time) {
       const Event event = events_.top();
       events_.pop();
@@ -47,16 +47,16 @@
 struct Member;
 using Members = std::vector<std::unique_ptr<Member>>; // by number; 0 is unused
 
-// A member with its peers and its list of voters. Instead of leases it sends requests and responses of its
-// own.
+// A member with its Peers and Voters but without Leases: the test enqueues its requests, and it grants every
+// request that it receives.
 struct Member final : PeerActions, peer_codec::Listener {
   SimulatedNetwork& net;
   Members& all;
   peer_codec::Sender self;
   Voters voter_list;
   Peers peers;
-  Nanos armed = -1, list_received_at = -1;
-  std::map<MemberId, std::uint64_t> connections; // the current one
+  Nanos scheduled_wake = -1, list_received_at = -1;
+  std::map<MemberId, std::uint64_t> connections; // number of the current connection to each member; 0: none
   std::uint64_t next_connection = 0;
 
   Member(SimulatedNetwork& n, Members& members, MemberId number, const VoterList& list,
@@ -71,11 +71,11 @@
     peers.due(net.now);
     peers.flush(net.now);
     const Nanos next = peers.next_wake();
-    if (next < 0 || next == armed) return;
-    armed = next;
+    if (next < 0 || next == scheduled_wake) return;
+    scheduled_wake = next;
     net.at(std::max(next, net.now), [this, next] {
-      if (armed != next) return;
-      armed = -1;
+      if (scheduled_wake != next) return;
+      scheduled_wake = -1;
       turn();
     });
   }
@@ -103,16 +103,17 @@
       if (!recipient) return peers.broken(net.now, to);
       peer_codec::Sender sender = self;
       sender.to = to;
+      // The first 9 bytes are the frame header (frames.hpp).
       peer_codec::decode_message(std::string_view(frame).substr(9), sender, *recipient);
       recipient->turn();
       peers.written(net.now, to);
     });
   }
-  void peer_state_changed(MemberId, PeerState, PeerState now) override {
-    silences += now == PeerState::unresponsive;
+  void peer_state_changed(MemberId, PeerState, PeerState after) override {
+    unresponsive_count += after == PeerState::unresponsive;
   }
   void duplicate_member(MemberId) override {}
-  int silences = 0;
+  int unresponsive_count = 0;
 
   bool message(MemberId from, Incarnation incarnation, std::uint64_t number, std::uint64_t acked,
                Incarnation acked_incarnation, bool leaving,
@@ -151,18 +152,20 @@
   return (n * xy - x * y) / (n * xx - x * x);
 }
 void check_exponent(const char* text, const std::vector<double>& sizes, const std::vector<double>& costs,
-                    double most) {
+                    double max_exponent) {
   const double exponent_found = exponent(sizes, costs);
   std::printf("  %s: exponent %.2f, %s\n", text, std::abs(exponent_found) < 0.005 ? 0 : exponent_found,
-              exponent_found <= most ? "holds" : "TOO STEEP");
+              exponent_found <= max_exponent ? "holds" : "TOO STEEP");
 }
 
+// Of the member in the centre: peers examined, messages and bytes sent (with TCP/IP headers) and dials;
+// `received`: messages that the N others sent.
 struct Cost {
   double examined = 0, messages = 0, bytes = 0, received = 0, dials = 0;
 };
 
-// One voter, or one member with connections on request only (`by_choice`), and N that exchange messages with
-// it.
+// One member in the centre, a voter or (`by_choice`) one that connects on request only, and N others that
+// exchange messages with it.
 struct Star {
   SimulatedNetwork net;
   Members all;
@@ -182,25 +185,27 @@
     for (std::uint32_t number = 2; number < members + 2; ++number) // all start within ten seconds
       net.at(10 * second * number / static_cast<Nanos>(members + 2), [start, number] { start(number); });
   }
+  // The costs since the start.
   Cost sum() const {
     const Peers::Costs& costs = all[1]->peers.costs();
     Cost cost{static_cast<double>(costs.peers_examined), static_cast<double>(costs.messages),
-              static_cast<double>(costs.bytes + tcp_ip * costs.messages), 0,
+              static_cast<double>(costs.bytes + tcp_ip_header_bytes * costs.messages), 0,
               static_cast<double>(costs.dials)};
     for (const auto& member : all)
       if (member && member != all[1]) cost.received += static_cast<double>(member->peers.costs().messages);
     return cost;
   }
-  Cost during(Nanos span) {
+  // Runs for `span` and returns the costs per second of that time.
+  Cost per_second_during(Nanos span) {
     const Cost before = sum();
-    net.to(net.now + span);
+    net.run_until(net.now + span);
     const Cost after = sum();
     const double seconds = static_cast<double>(span) / 1e9;
     return {(after.examined - before.examined) / seconds, (after.messages - before.messages) / seconds,
             (after.bytes - before.bytes) / seconds, (after.received - before.received) / seconds,
             (after.dials - before.dials) / seconds};
   }
-  // Each member sends a request to the voter every two seconds.
+  // Sends a request of this member to the centre now, and another one every two seconds.
   void ask(std::uint32_t number, std::uint64_t ask_number) {
     Member& member = *all[number];
     member.peers.enqueue(MemberId{1}, Peers::MessageClass::request, "t",
@@ -218,21 +223,21 @@
       busy_examined;
   for (const std::size_t size : {100, 300, 1000, 3000, 6600}) {
     Star star(size, by_choice);
-    star.net.to(20 * second);
+    star.net.run_until(20 * second);
     const Cost cold = star.sum();
-    star.net.to(300 * second);
-    const Cost idle = star.during(300 * second);
-    int silences = 0;
-    for (const auto& member : star.all) silences += member ? member->silences : 0;
+    star.net.run_until(300 * second);
+    const Cost idle = star.per_second_during(300 * second);
+    int unresponsive_count = 0;
+    for (const auto& member : star.all) unresponsive_count += member ? member->unresponsive_count : 0;
     for (std::uint32_t number = 2; number < size + 2; ++number)
       star.net.at(star.net.now + 2 * second * number / static_cast<Nanos>(size + 2),
                   [&star, number] { star.ask(number, 1); });
-    star.net.to(star.net.now + 4 * second);
-    const Cost busy = star.during(10 * second);
+    star.net.run_until(star.net.now + 4 * second);
+    const Cost busy = star.per_second_during(10 * second);
     std::printf("  %4zu: cold %.0f examined, %.0f messages, %.0f dials; idle %.1f examined, %.1f messages, "
                 "%.0f bytes, %.1f received, %.1f dials, %d unresponsive; busy %.0f examined, %.0f messages\n",
                 size, cold.examined, cold.messages, cold.dials, idle.examined, idle.messages, idle.bytes,
-                idle.received, idle.dials, silences, busy.examined, busy.messages);
+                idle.received, idle.dials, unresponsive_count, busy.examined, busy.messages);
     sizes.push_back(static_cast<double>(size));
     cold_examined.push_back(cold.examined);
     cold_messages.push_back(cold.messages);
@@ -249,7 +254,8 @@
   check_exponent("examined a second, busy", sizes, busy_examined, 1.1);
 }
 
-// The voters that all members know are gone; of N others, some know a newer list.
+// The voters of the old list are gone. Of the N other members, the three voters of a newer list and
+// `with_list` more know that list.
 void without_voters() {
   std::printf("# the old voters are gone, and some of N know the new ones: how long until all others learn "
               "them from the members they contact\n");
@@ -263,7 +269,7 @@
     std::vector<MemberId> numbers;
     for (std::uint32_t number = 1; number <= size + 3; ++number) numbers.push_back(MemberId{number});
     all.resize(size + 4);
-    // The new voters use their list too, and the members that know it receive from them.
+    // The new voters use the new list too, so the other members that know it receive messages from voters.
     for (std::uint32_t number = 1; number <= size; ++number)
       all[number] =
           std::make_unique<Member>(net, all, MemberId{number}, number <= 3 + with_list ? after : before,
@@ -271,7 +277,9 @@
     std::vector<double> learned_after;
     int without_list = 0;
     std::uint64_t total_dials = 0;
-    net.to(120 * second);
+    net.run_until(120 * second);
+    // First contact is at 8 s: a member contacts others after no voter was received from for four times
+    // peers.silent.
     for (std::uint32_t number = 4 + with_list; number <= size; ++number) {
       ++without_list;
       total_dials += all[number]->peers.costs().dials;
