--- a/control/follower.hpp
+++ b/control/follower.hpp
@@ -5,7 +5,7 @@
 //
 // The state never goes back to an older version, whichever member sends it. A delta is accepted only if it
 // continues from the position here, a renewal only if it is not older than the state here, and both are
-// applied only when they are complete. A member that is behind this server therefore sends nothing that is
+// applied only when they are complete. Updates from a member that is behind this server are therefore never
 // accepted. Messages to another incarnation or attachment are ignored, so late and duplicate messages do no
 // harm. The staging area is discarded when the attachment ends, because another control member may be behind
 // the state that the staged parts were read from.
@@ -13,9 +13,9 @@
 // There are two attachments: the primary sends updates, the secondary only reports its version. Members are
 // chosen by distance (same zone, same region, others), and at equal distance in random order from the seed,
 // so that the followers spread evenly. A control member that is unresponsive, has no state, or sends nothing
-// while the other one is ahead is left, and is retried after a backoff that doubles each time. When a closer
-// member may be retried, it is attached as the secondary first, and becomes the primary after it has been
-// healthy for `control.settle`.
+// while the other one is ahead is detached, and is retried after a backoff that doubles each time. When a
+// closer member may be retried, it is attached as the secondary first, and becomes the primary after it has
+// been healthy for the time that `control.settle` sets.
 //
 // An entry that `check` refuses is reported and counted. The previous value of its key stays in force, and
 // the version advances. (After a restart there is no previous value: the key is absent until it is written
@@ -36,7 +36,7 @@
 
 namespace cometshift {
 
-// Why a control member is no longer followed, or no longer as the primary.
+// Why an attachment was ended, or why its member is no longer the primary.
 enum class LeaveReason { unresponsive, no_state, stale, disconnected, closer_member, invalid };
 std::string_view to_text(LeaveReason reason); // for the log
 
@@ -52,8 +52,9 @@
                        const std::vector<std::uint64_t>& digests) = 0;
   virtual void unfollow(MemberId to, AttachmentNumber number) = 0;
   // ---- to the server itself
-  // Why the server cannot use the entry; empty if it can.
+  // Returns why the server cannot use the entry, or an empty text if it can.
   virtual std::string check(const Entry& entry) = 0;
+  // `check` has refused the entry, for `reason`.
   virtual void refused(const Entry& entry, std::string_view reason) = 0;
   // The state is at `version` now. `changed` has the keys whose value in force has changed, removed ones
   // marked as deleted. Called if anything changed, and after each renewal. Dropping a scope from the followed
@@ -76,14 +77,17 @@
 
   // Settings; time spans in ns:
   // - control.beat: the interval at which the position is sent to each attached control member
-  // - control.silent: a control member that has sent nothing for so long is left; more than two heartbeats
-  // - control.behind: a primary that has sent no progress for so long while the secondary is ahead is left
-  // - control.settle: how long a closer member has to be healthy before it becomes the primary
-  // - control.rest_least, control.rest_most: backoff before a member that was left is retried, doubled each
-  //   time
-  // - control.compare: the interval at which digests are sent
-  // - control.first_number: where attachment numbers begin, as Unix time in ms, so that a later incarnation
-  //   has greater numbers. Only a hint, for the directory
+  // - control.silent: a control member that has sent nothing for this long is detached; at least two
+  //   heartbeat intervals
+  // - control.behind: a primary that has brought no progress for this long while the secondary is ahead is
+  //   detached
+  // - control.settle: how long a closer member has to be healthy before it becomes the primary; each
+  //   attachment draws a random time from once to twice this setting
+  // - control.rest_least, control.rest_most: the shortest and the longest backoff before a detached member is
+  //   retried, doubled each time and varied at random by up to half
+  // - control.compare: the average interval at which digests of the state are sent; at least control.beat
+  // - control.first_number: attachment numbers begin after this one; by default 0. With the Unix time in
+  //   ms, a later incarnation usually has greater numbers; only the directory uses this, as a hint
   // - and those of entries.hpp
   Follower(Nanos now, Incarnation self, const Location& place, const std::vector<Control>& controls,
            std::vector<std::string> scopes, const Settings& settings, std::uint64_t seed,
@@ -106,13 +110,13 @@
   void rest(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number, Nanos rest);
   void elsewhere(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number);
   void again(Nanos now, MemberId from, Incarnation to_incarnation, AttachmentNumber number);
-  // The connection to a control member is lost. Detects this sooner than control.silent would.
+  // The connection to a control member is lost: it is detached without waiting for control.silent.
   void disconnected(Nanos now, MemberId control);
 
   // ---- the state
   // The entry that is in force for a key; nullptr if there is none.
   const Entry* find(std::string_view key) const;
-  // Visits the entries in force of one scope in order of key. Stops when `each` returns false.
+  // Visits the entries of one scope that are in force, in order of key. Stops when `each` returns false.
   void for_each_in(std::string_view scope, const std::function<bool(const Entry&)>& each) const;
   Version version() const { return position_.taken; }
   // The time since this state was last known to be the newest; -1 if never in this incarnation.
@@ -131,7 +135,9 @@
   };
   std::vector<Attachment> attachments() const; // the primary first
   struct Counts {
-    // misaddressed: messages to another incarnation or attachment; moves: attachments left or swapped
+    // gaps: parts that do not continue from the position here; outdated: parts from an older state;
+    // misaddressed: messages to another incarnation or attachment, or updates from a secondary;
+    // moves: attachments that ended, and changes of the primary to a closer member
     std::uint64_t deltas = 0, parts = 0, renewals = 0, refused = 0, gaps = 0, outdated = 0, invalid = 0,
                   misaddressed = 0, moves = 0;
   };
@@ -144,18 +150,19 @@
     int distance = 0;            // 0: same zone, 1: same region, 2: another
     std::uint32_t tie_break = 0; // random order at equal distance
     Nanos retry_at = 0;
-    int failures = 0; // consecutive attachments that were left, until one is healthy for control.settle
+    // Consecutive attachments that failed; 0 again after one has been healthy for control.settle.
+    int failures = 0;
     // While attached:
     bool attached = false, primary = false, responded = false;
     AttachmentNumber number{};
     Nanos attached_at = 0, healthy_since = 0, last_received_at = 0, next_have_at = 0, settle_time = 0;
-    Nanos ahead_since = -1; // since when it has reported a version that is newer than the state here
+    Nanos ahead_since = -1; // when it first reported a version newer than the state here; -1: not ahead
     Version committed{};
   };
   struct Stage {
     std::map<std::string, Entry, std::less<>> entries;
     std::set<std::string, std::less<>> replaced; // scopes that the renewal replaces
-    // The newest state that any part was read from. Entries that it no longer had are not staged.
+    // The newest state that any part was read from. Entries overwritten before it may be missing here.
     Version read_at{};
     std::size_t bytes = 0;
   };
--- a/control/replica.hpp
+++ b/control/replica.hpp
@@ -15,14 +15,14 @@
 // be in force names it. A new incarnation is added only by a committed roster, so by a majority of the
 // others, and only when it holds everything up to that roster. A promise or an acknowledgement of an earlier
 // incarnation therefore never stands in for one that has lost its state. None of this depends on clocks;
-// `until` of the lease only stops a writer that could not commit anything any more.
+// the expiry of the lease (`until`) only stops a writer that could no longer commit anything.
 //
 // Recovery: if a majority of the voters has lost its state at once, the writer waits until all listed voters
-// have answered twice in the same incarnations, so that everything that they still hold existed at one
-// moment. It then starts from the log with the greatest last version of any control member that has answered,
-// with a new roster. What only lost incarnations held is gone, which `began` reports. That no earlier writer
-// continues beside it depends on the lease, and so on clocks. The first start of a fleet works in the same
-// way.
+// have answered twice in the same incarnations, so that all of them were running, bound by their promises, at
+// one moment. It then starts from the log with the greatest last version of any control member that has
+// answered, with a new roster. What only lost incarnations held is gone, which `began` reports. That no
+// earlier writer continues beside it depends on the lease, and so on clocks. The first start of a fleet works
+// in the same way.
 //
 // Not supported: changing the list of voters at run time. All control members have to be stopped and started
 // with the new list, and what they held is lost. (A change between two lists needs joint majorities, as in
@@ -34,8 +34,9 @@
 // is counted and changes nothing. All control members need the same limits on entries.
 //
 // Sources: Oki and Liskov 1988, Liskov and Cowling 2012 (Viewstamped Replication, Revisited), Lamport 1998
-// (Paxos), Ongaro and Ousterhout 2014 (Raft: log matching, commit by the own term only), Michael et al. 2017
-// (recovery without a disk, crash vectors), Burrows 2006 (Chubby's sequencers).
+// (Paxos), Ongaro and Ousterhout 2014 (Raft: log matching; only records of the own term are committed by
+// counting), Michael et al. 2017 (recovery without a disk, crash vectors), Burrows 2006 (Chubby's
+// sequencers).
 #pragma once
 
 #include "entries.hpp"
@@ -142,23 +143,27 @@
   // began under `since`.
   virtual void fetch(MemberId to, Token token, Version base, Version cursor, Token since) = 0;
   virtual void chunk(MemberId to, Incarnation incarnation, const Chunk& chunk) = 0;
+  // Forwards a put of this member to the writer.
   virtual void pass(MemberId to, Incarnation incarnation, Token token, const ForwardedPut& put) = 0;
+  // The outcome of a put that the receiver forwarded.
   virtual void answer(MemberId to, Incarnation incarnation, Token token, PutNumber put, PutOutcome end,
                       Version version, std::string_view reason) = 0;
 
   // ---- to this member itself
-  // Why the entry cannot be written; empty if it can. Called at the writer before it writes.
+  // Returns why the entry cannot be written, or an empty text if it can. Called at the writer before it
+  // writes.
   virtual std::string rejection_reason(const Entry& entry) = 0;
   // The record has been committed and is in `entries()`. Called in order of version.
   virtual void committed(const Record& record) = 0;
   virtual void replaced() = 0; // a state transfer has replaced `entries()` by a later version
+  // The outcome of a put of this member.
   virtual void ended(PutNumber put, PutOutcome end, Version version, std::string_view reason) = 0;
   // This member has become the writer. `after_loss`: it starts a new history after all voters have answered;
   // what only lost incarnations held is gone.
   virtual void began(Token token, bool after_loss) = 0;
   virtual void stepped_down(Token token) = 0; // only after `began`
-  // Another member has promised a greater token than this holder's; to be passed to
-  // Leases::refused_by_target.
+  // Another member has promised a token greater than `token`, which this member holds. The caller has to pass
+  // `seen` to Leases::refused_by_target.
   virtual void superseded(Token token, Token seen) = 0;
 };
 
@@ -168,15 +173,15 @@
   // `members`: all control members; `voters`: an odd number of them, the same list at all members. Settings,
   // besides those of Entries; time spans in ns:
   // - control.beat: the longest time between two messages of the writer to a member
-  // - control.again: retransmission time-out
+  // - control.again: retransmission timeout
   // - control.batch: how long a write waits to be batched with others; may be 0
   // - control.grace: how long the recovery after a loss of voters waits for members that do not vote
-  // - control.patience: a state transfer is given up if its source has sent nothing for so long
-  // - control.put_timeout: after it the outcome of a put is unknown, or refused if the put was never
-  //   forwarded
+  // - control.patience: a state transfer is abandoned if its source has sent nothing for this long
+  // - control.put_timeout: a put without an outcome ends after this time: as refused if no writer can have
+  //   written it, otherwise as unknown
   // - control.most_puts: concurrent puts of this member
-  // - control.most_log: records kept for members that lag behind; control.most_pending: uncommitted ones
-  //   among them
+  // - control.most_log: records kept for members that lag behind
+  // - control.most_pending: uncommitted records
   // - control.most_batch: bytes of keys and values in one append or chunk (a single larger record is sent
   //   whole)
   // - control.record_overhead: encoded bytes of a record beyond key and value; 0 by default
@@ -237,8 +242,10 @@
     std::map<MemberId, Version> matched; // at the writer: how far each other member is
   };
   Status status() const;
+  // Invalid messages received.
   std::uint64_t invalid() const { return invalid_; }
-  // Committed entries that exceeded the limits here: they are smaller than the writer's.
+  // Committed entries that exceeded the limits of this member, because its limits are smaller than the
+  // writer's.
   std::uint64_t entries_without_room() const { return entries_without_room_; }
 
  private:
@@ -246,7 +253,7 @@
   struct Writer { // the member whose token was promised last
     MemberId member{};
     Incarnation incarnation{};
-    Nanos last_received_at = -1; // as the writer; -1: it has not begun
+    Nanos last_received_at = -1; // in its term as the writer; -1: the term has not begun
   };
   struct Answer { // to a prepare
     Incarnation incarnation{};
@@ -257,8 +264,8 @@
     bool incarnation_known = false;         // a message of `incarnation` has been received
     std::uint64_t first_known_sequence = 0; // the first append that was sent after that
     bool confirmed = false;                 // this incarnation has answered one of those
-    bool lagging = false;                   // the log does not reach back far enough: it has to fetch
-    Version matched{}, sent{}, base{}, sent_committed{}; // base: where the last rewind went
+    bool lagging = false; // the writer's log no longer reaches back to its version: it has to fetch
+    Version matched{}, sent{}, base{}, sent_committed{}; // base: the target of the last rewind
     // rewind_sequence: appends up to it were sent before `sent` was rewound
     std::uint64_t last_sequence = 0, acked_sequence = 0, rewind_sequence = 0;
     std::uint64_t window = 0; // batches that may be in flight
@@ -278,7 +285,7 @@
   };
   struct Put { // of this member
     ForwardedPut put;
-    Token token{};               // forwarded under it; 0: known not to have been written by any writer
+    Token token{};               // forwarded under it; 0: no writer can have written the put
     bool outcome_hidden = false; // a state transfer may have skipped the record that shows its outcome
     Nanos retry_at = 0, deadline = 0;
   };
@@ -288,11 +295,11 @@
     Incarnation incarnation{};
     bool incarnation_known = false;
     Version base{}, cursor{}, floor{}, committed{};
-    bool first = true;
+    bool first = true;                                  // no chunk has been staged yet
     std::map<Version, Chunk> out_of_order;              // by `from`
     std::map<Version, Record> records;                  // received so far
     std::map<std::string, Version, std::less<>> newest; // of each key in `records`
-    std::size_t bytes = 0, chunks_received = 0;         // chunks since the last request
+    std::size_t bytes = 0, chunks_received = 0;         // of `records`; since the last request
     Nanos retry_at = 0, deadline = 0;
   };
 
@@ -359,13 +366,13 @@
   Nanos preparing_since_ = 0, prepare_again_at_ = 0;
   std::map<MemberId, Answer> answers_;
   std::map<MemberId, Incarnation> previous_round_incarnations_;
-  bool by_all_voters_ = false;
+  bool by_all_voters_ = false; // the term starts a new history, after answers from all voters
   MemberId source_{};
   LogStatus chosen_log_;
   Version known_committed_{}; // the greatest among the promises
   std::map<MemberId, Peer> peers_;
   std::map<std::pair<MemberId, Incarnation>, Session> sessions_;
-  Nanos send_at_ = -1;
+  Nanos send_at_ = -1; // when the waiting batch is sent; -1: none
 
   Fetch fetch_;
   std::map<PutNumber, Put> puts_;
--- a/tests/fleet_of_followers.hpp
+++ b/tests/fleet_of_followers.hpp
@@ -1,9 +1,9 @@
 // Simulates control members at different versions and the servers that follow them in one process,
-// deterministically from a seed. A connection delivers in order, and of messages of one topic only the newest
-// waits to be sent. Connections break; messages sent before are then lost, delayed or duplicated. Both sides
-// restart; control members pause, stop sending, lag, become inactive and are activated again, sometimes at an
-// older version than before. The checker knows every write, everything that each server has received since
-// its start, and the size of every message.
+// deterministically from a seed. A connection delivers in order; of the messages of one topic that are not
+// yet sent, it keeps only the newest. When a connection breaks, messages in transit are lost, delayed or
+// duplicated. Both sides restart; control members pause, stop sending, lag, become inactive and are activated
+// again, sometimes at an older version than before. The checker knows every write, everything that each
+// server has received since its start, and the size of every message.
 #pragma once
 
 #include "feed.hpp"
@@ -22,23 +22,28 @@
 struct Plan {
   std::uint64_t seed = 1;
   unsigned controls = 5, servers = 30, zones = 4, scopes = 10, keys = 6; // keys: per scope
-  double commits = 8, bursts = 0.1;                                      // per second; a burst has 100
+  double commits = 8, bursts = 0.1;                                      // per second; a burst is 100 commits
   double deleted = 0.2, bad = 0.05;                                      // fractions of the commits
-  double link_breaks = 10, cuts = 0.3; // per second: of connections; of control members from all servers
+  // Per second: single connections that break; control members that lose all connections in one direction or
+  // in both.
+  double link_breaks = 10, cuts = 0.3;
   double control_restarts = 0.5, deactivations = 0.2, pauses = 0.3,
          muted_periods = 0.1;                      // per second, of control members
   double server_restarts = 1, scope_changes = 0.3; // per second, of servers
   double zone_restarts = 0.05;                     // per second: all servers of a zone restart at once
-  double lag = 0.2;                                // fraction of the commits that reach a control member late
+  double lag = 0.2; // fraction of the commits that reach a control member up to 2 s late
+  // delay: the longest usual delay of a message or commit; length: of the run; quiet_after: no new faults
+  // from then on
   Nanos delay = 60 * ms, length = 24 * second, quiet_after = 10 * second;
   Nanos faults_last = 4 * second;     // the longest duration of a fault
   Nanos converge_within = 6 * second; // after the last fault
-  std::size_t most_whole = 3;
-  bool small_parts = true;
+  std::size_t most_whole = 3;         // concurrent renewals of one control member
+  bool small_parts = true;            // small messages and bursts, so that renewals take several parts
 };
 
 struct Verdict {
   std::string first; // the first violation
+  // taken: states applied by servers
   std::uint64_t commits = 0, taken = 0, states_checked = 0, server_starts = 0;
   Feed::Counts feed;
   Follower::Counts follower;
@@ -52,13 +57,13 @@
   struct Control;
   struct Server;
   using Event = std::pair<std::pair<Nanos, std::uint64_t>, std::function<void()>>;
-  struct LaterFirst {
+  struct EarliestFirst {
     bool operator()(const Event& a, const Event& b) const { return a.first > b.first; }
   };
   struct Link { // in one direction
     bool up = true;
-    int epoch = 0;
-    std::map<int, std::function<void()>> waiting; // the newest message by topic
+    int epoch = 0;                                // increased whenever the connection breaks
+    std::map<int, std::function<void()>> waiting; // by topic: the newest message not yet sent
     bool flush_scheduled = false;
     Nanos last = 0; // the arrival time of the last message
   };
@@ -77,50 +82,50 @@
     Nanos last_arrival = 0, paused_until = 0, scheduled_wake = -1;
     bool muted = false;
     std::uint64_t start_count = 0;
-    std::map<MemberId, Bucket> credit;
-    std::set<MemberId> renewing;
+    std::map<MemberId, Bucket> credit;           // by server
+    std::set<MemberId> renewing;                 // servers with a renewal in progress
     std::vector<std::function<void()>> deferred; // events that arrived during a pause
 
     Control(FleetOfFollowers& f, MemberId i) : fleet(f), id(i) {}
     void send(MemberId to, int topic, std::function<void(Follower&)> what) {
       if (!muted) fleet.to_server(*this, to, topic, std::move(what));
     }
-    static std::vector<Entry> copied(const std::vector<const Entry*>& entries) {
+    static std::vector<Entry> copy_entries(const std::vector<const Entry*>& entries) {
       std::vector<Entry> all;
       for (const Entry* entry : entries) all.push_back(*entry);
       return all;
     }
-    void count(MemberId to, const std::vector<const Entry*>& entries) {
+    // Charges a message to the credit of its receiver.
+    void charge(MemberId to, const std::vector<const Entry*>& entries) {
       std::size_t bytes = message_overhead;
       for (const Entry* entry : entries) bytes += max_encoded_size(*entry);
       fleet.check_credit(*this, to, bytes);
     }
     void delta(MemberId to, Incarnation incarnation, AttachmentNumber n, Version from, Version upto,
                Version last, Nanos age, const std::vector<const Entry*>& entries) override {
-      count(to, entries);
+      charge(to, entries);
       send(to, 1,
-           [id = id, incarnation, n, from, upto, last, age, all = copied(entries), &f = fleet](Follower& at) {
-             at.delta(f.now, id, incarnation, n, from, upto, last, age, all);
-           });
+           [id = id, incarnation, n, from, upto, last, age, all = copy_entries(entries),
+            &f = fleet](Follower& at) { at.delta(f.now, id, incarnation, n, from, upto, last, age, all); });
     }
     void renewal(MemberId to, Incarnation incarnation, AttachmentNumber n, Version at,
                  const std::vector<std::uint16_t>& scopes, Version from, Version upto, Version last,
                  const std::vector<const Entry*>& entries) override {
-      count(to, entries);
+      charge(to, entries);
       renewing.insert(to);
-      send(to, 1, [=, id = id, all = copied(entries), &f = fleet](Follower& one) {
+      send(to, 1, [=, id = id, all = copy_entries(entries), &f = fleet](Follower& one) {
         one.renewal(f.now, id, incarnation, n, at, scopes, from, upto, last, all);
       });
     }
     void beat(MemberId to, Incarnation incarnation, AttachmentNumber n, Version committed,
               Nanos age) override {
-      count(to, {});
+      charge(to, {});
       send(to, 2, [id = id, incarnation, n, committed, age, &f = fleet](Follower& at) {
         at.beat(f.now, id, incarnation, n, committed, age);
       });
     }
     void rest(MemberId to, Incarnation incarnation, AttachmentNumber n, Nanos rest) override {
-      count(to, {});
+      charge(to, {});
       send(to, 3, [id = id, incarnation, n, rest, &f = fleet](Follower& at) {
         at.rest(f.now, id, incarnation, n, rest);
       });
@@ -143,7 +148,7 @@
     std::unique_ptr<Follower> follower;
     std::uint64_t start_count = 0;
     Nanos scheduled_wake = -1;
-    Version last{};
+    Version last{}; // as last applied
     // By key: the newest version received, and the value that has to be in force.
     std::map<std::string, Version, std::less<>> known_versions;
     std::map<std::string, std::string, std::less<>> expected_values;
@@ -198,8 +203,8 @@
   std::map<std::string, std::map<std::string, std::vector<std::size_t>>>
       history_by_key_; // positions by scope and key
   Version version_{Token{1}, 0};
-  std::priority_queue<Event, std::vector<Event>, LaterFirst> event_queue_;
-  std::uint64_t order_ = 0;
+  std::priority_queue<Event, std::vector<Event>, EarliestFirst> event_queue_;
+  std::uint64_t next_event_number_ = 0;
 
  public:
   Nanos now = 0;
@@ -217,7 +222,7 @@
     }
     for (auto& one : controls_) start(*one);
     for (auto& one : servers_) {
-      one->scopes = some_scopes();
+      one->scopes = random_scopes();
       start(*one);
     }
     schedule_fault(plan.commits, [this] { commit(); });
@@ -230,7 +235,7 @@
     schedule_fault(plan.deactivations, [this] { deactivate(*random_of(controls_)); });
     schedule_fault(plan.pauses,
                    [this] { random_of(controls_)->paused_until = now + random_up_to(3 * second); });
-    schedule_fault(plan.muted_periods, [this] { silence(*random_of(controls_)); });
+    schedule_fault(plan.muted_periods, [this] { mute(*random_of(controls_)); });
     schedule_fault(plan.server_restarts, [this] { start(*random_of(servers_)); });
     schedule_fault(plan.scope_changes, [this] { change_scopes(*random_of(servers_)); });
     schedule_fault(plan.zone_restarts, [this] {
@@ -238,7 +243,7 @@
       for (auto& one : servers_)
         if (one->place.zone == zone) start(*one);
     });
-    beat_of_writer();
+    confirm_current_members();
     schedule(plan.quiet_after + plan.faults_last, [this] { await_convergence(); });
   }
 
@@ -269,7 +274,7 @@
     return *std::next(all.begin(), static_cast<std::ptrdiff_t>(random_.next() % all.size()));
   }
   void schedule(Nanos when, std::function<void()> what) {
-    event_queue_.push({{std::max(when, now), order_++}, std::move(what)});
+    event_queue_.push({{std::max(when, now), next_event_number_++}, std::move(what)});
   }
   bool faults() const { return now < plan_.quiet_after; }
   void report_violation(MemberId member, const std::string& what) {
@@ -277,7 +282,7 @@
       verdict_.first = std::to_string(now / ms) + " ms: " + std::to_string(member.raw) + " " + what;
   }
   template <class Counts>
-  static void add(Counts& sum, const Counts& more) { // adds up structs that consist of counters only
+  static void add(Counts& sum, const Counts& more) { // for structs that consist of 64-bit counters only
     constexpr std::size_t count = sizeof(Counts) / sizeof(std::uint64_t);
     auto* const to = reinterpret_cast<std::uint64_t*>(&sum);
     const auto* const from = reinterpret_cast<const std::uint64_t*>(&more);
@@ -324,9 +329,9 @@
     history_by_key_[scope][entry.key].push_back(log_.size());
     ++verdict_.commits;
     for (auto& one : controls_) {
-      Nanos takes = ms + random_up_to(plan_.delay);
-      if (faults() && random_.unit() < plan_.lag) takes = random_up_to(2 * second);
-      one->last_arrival = std::max(one->last_arrival, now + takes);
+      Nanos latency = ms + random_up_to(plan_.delay);
+      if (faults() && random_.unit() < plan_.lag) latency = random_up_to(2 * second);
+      one->last_arrival = std::max(one->last_arrival, now + latency);
       schedule(one->last_arrival, [this, &c = *one, upto = log_.size()] {
         c.arrived = std::max(c.arrived, upto);
         run_or_defer(c, [this, &c] { catch_up(c); });
@@ -339,12 +344,13 @@
       c.state->apply(log_[c.position]);
       c.feed->committed(now, log_[c.position]);
     }
-    after_turn(c);
+    after_event(c);
   }
-  void beat_of_writer() {
+  // Stands for the heartbeats of the writer: tells up-to-date control members that they are.
+  void confirm_current_members() {
     for (auto& one : controls_)
       if (one->position == log_.size() && !one->feed->is_inactive()) one->feed->confirm_current(now);
-    schedule(now + 200 * ms, [this] { beat_of_writer(); });
+    schedule(now + 200 * ms, [this] { confirm_current_members(); });
   }
 
   // ---- control members
@@ -372,35 +378,38 @@
     c.state->clear();
     c.position = c.arrived - std::min<std::size_t>(c.arrived, random_.next() % 2 * (random_.next() % 30));
     for (const auto& [scope, keys] : history_by_key_)
-      for (const auto& [key, places] : keys)
-        if (const std::size_t place = newest(places, c.position); place > 0 && !log_[place - 1].deleted)
-          c.state->apply(log_[place - 1]);
+      for (const auto& [key, positions] : keys)
+        if (const std::size_t position = newest(positions, c.position);
+            position > 0 && !log_[position - 1].deleted)
+          c.state->apply(log_[position - 1]);
     if (c.position > 0) {
       c.state->advance_to(log_[c.position - 1].version);
       c.state->raise_floor(log_[c.position - 1].version);
     }
     c.feed->activate(now);
     schedule(now + random_up_to(second), [this, &c] { run_or_defer(c, [this, &c] { catch_up(c); }); });
-    after_turn(c);
+    after_event(c);
   }
   void deactivate(Control& c) {
     if (c.feed->is_inactive()) return;
     c.feed->deactivate(now);
-    after_turn(c);
+    after_event(c);
     schedule(now + random_up_to(2 * second), [this, &c, start_count = c.start_count] {
       if (c.start_count == start_count) load_state(c);
     });
   }
-  void silence(Control& c) {
+  void mute(Control& c) {
     c.muted = true;
     schedule(now + random_up_to(4 * second), [&c] { c.muted = false; });
   }
+  // Breaks the connections of a control member, in one direction or in both.
   void cut(Control& c) {
-    const double way = random_.unit();
-    std::vector<std::pair<MemberId, MemberId>> mine;
+    const double direction = random_.unit();
+    std::vector<std::pair<MemberId, MemberId>> affected;
     for (auto& [ends, link] : links_)
-      if ((ends.first == c.id && way < 0.7) || (ends.second == c.id && way > 0.3)) mine.push_back(ends);
-    for (const auto& ends : mine) break_link(ends, 3 * second);
+      if ((ends.first == c.id && direction < 0.7) || (ends.second == c.id && direction > 0.3))
+        affected.push_back(ends);
+    for (const auto& ends : affected) break_link(ends, 3 * second);
   }
   void break_link(std::pair<MemberId, MemberId> ends, Nanos longest) {
     Link& link = links_.at(ends);
@@ -413,6 +422,7 @@
       flush(ends);
     });
   }
+  // At once, or when the pause ends; dropped after a restart.
   void run_or_defer(Control& c, std::function<void()> what) {
     if (c.paused_until <= now && c.deferred.empty()) return what();
     if (c.deferred.empty())
@@ -425,13 +435,14 @@
       if (c.start_count == start_count) what();
     });
   }
-  void after_turn(Control& c) {
+  // Runs what is due, checks the limit on renewals, and schedules the next wake.
+  void after_event(Control& c) {
     c.feed->due(now);
     if (!c.renewing.empty()) {
-      std::set<MemberId> still;
+      std::set<MemberId> still_renewing;
       for (const Feed::Status& one : c.feed->status())
-        if (one.renewing) still.insert(one.member);
-      std::erase_if(c.renewing, [&](MemberId one) { return !still.contains(one); });
+        if (one.renewing) still_renewing.insert(one.member);
+      std::erase_if(c.renewing, [&](MemberId one) { return !still_renewing.contains(one); });
       verdict_.most_renewals = std::max({verdict_.most_renewals, c.renewing.size(), c.feed->renewals()});
       if (verdict_.most_renewals > plan_.most_whole) report_violation(c.id, "runs too many renewals at once");
     }
@@ -441,11 +452,13 @@
     schedule(next, [this, &c, next, start_count = c.start_count] {
       if (c.start_count != start_count || c.scheduled_wake != next) return;
       c.scheduled_wake = -1;
-      run_or_defer(c, [this, &c] { after_turn(c); });
+      run_or_defer(c, [this, &c] { after_event(c); });
     });
   }
-  // Checks that no more than the burst and the rate is sent over any period.
+  // Checks that over any period, a server is sent no more bytes than the burst plus the rate times the
+  // period.
   void check_credit(Control& c, MemberId to, std::size_t bytes) {
+    // Bytes per second; bytes. As control.rate and control.burst in `settings`.
     const double rate = 5000, burst = plan_.small_parts ? 5000 : 24000;
     Bucket& bucket = c.credit[to];
     if (bucket.tokens < 0)
@@ -460,7 +473,7 @@
 
   // ---- servers
 
-  std::vector<std::string> some_scopes() {
+  std::vector<std::string> random_scopes() {
     std::set<std::string> some;
     for (std::uint32_t i = 0, count = 1 + random_.next() % 4; i < count; ++i)
       some.insert("s" + std::to_string(random_.next() % plan_.scopes));
@@ -478,19 +491,19 @@
     s.follower = std::make_unique<Follower>(now, s.incarnation(), s.place, controls, s.scopes, settings(),
                                             plan_.seed * 1000 + s.id.raw * 7 + s.start_count, s);
     s.scheduled_wake = -1;
-    after_turn(s);
+    after_event(s);
   }
   void change_scopes(Server& s) {
-    s.scopes = some_scopes();
-    const auto gone = [&](const auto& one) {
+    s.scopes = random_scopes();
+    const auto not_followed = [&](const auto& one) {
       return std::find(s.scopes.begin(), s.scopes.end(), scope_of(one.first)) == s.scopes.end();
     };
-    std::erase_if(s.known_versions, gone);
-    std::erase_if(s.expected_values, gone);
+    std::erase_if(s.known_versions, not_followed);
+    std::erase_if(s.expected_values, not_followed);
     s.follower->set_scopes(now, s.scopes);
-    after_turn(s);
+    after_event(s);
   }
-  void after_turn(Server& s) {
+  void after_event(Server& s) {
     const Nanos next = s.follower->next_wake();
     if (next < 0 || next == s.scheduled_wake) return;
     s.scheduled_wake = next;
@@ -498,7 +511,7 @@
       if (s.start_count != start_count || s.scheduled_wake != next) return;
       s.scheduled_wake = -1;
       s.follower->due(now);
-      after_turn(s);
+      after_event(s);
     });
   }
 
@@ -507,7 +520,7 @@
   void to_server(Control& from, MemberId to, int topic, std::function<void(Follower&)> what) {
     put({from.id, to}, topic, [this, &s = *servers_[to.raw - 100], what = std::move(what)] {
       what(*s.follower);
-      after_turn(s);
+      after_event(s);
     });
   }
   void to_control(Server& from, MemberId to, int topic, std::function<void(Feed&)> what) {
@@ -515,7 +528,7 @@
     put({from.id, to}, topic, [this, &c, what = std::move(what)] {
       run_or_defer(c, [this, &c, what] {
         what(*c.feed);
-        after_turn(c);
+        after_event(c);
       });
     });
   }
@@ -542,17 +555,18 @@
 
   // ---- the checker
 
-  static std::size_t newest(const std::vector<std::size_t>& places, std::size_t upto) { // 0: none
-    const auto behind = std::upper_bound(places.begin(), places.end(), upto);
-    return behind == places.begin() ? 0 : *std::prev(behind);
+  // The greatest of the ascending positions that is not after `upto`; 0: none.
+  static std::size_t newest(const std::vector<std::size_t>& positions, std::size_t upto) {
+    const auto after = std::upper_bound(positions.begin(), positions.end(), upto);
+    return after == positions.begin() ? 0 : *std::prev(after);
   }
 
-  // Advances the expected values to a state. For a key whose newest entry the server refuses, the previous
-  // value stays in force.
-  void advance_expected(Server& s, std::size_t place) {
+  // Advances the expected values to the state after the first `position` log entries. For a key whose newest
+  // entry the server refuses, the previous value stays in force.
+  void advance_expected(Server& s, std::size_t position) {
     for (const std::string& scope : s.scopes)
-      for (const auto& [key, places] : history_by_key_[scope]) {
-        const std::size_t newest_at = newest(places, place);
+      for (const auto& [key, positions] : history_by_key_[scope]) {
+        const std::size_t newest_at = newest(positions, position);
         const Entry* const entry = newest_at == 0 ? nullptr : &log_[newest_at - 1];
         if (!entry || entry->deleted) {
           s.known_versions.erase(key);
@@ -566,15 +580,15 @@
   void taken(Server& s, Version version, const std::vector<const Entry*>& changed) {
     ++verdict_.taken;
     if (version < s.last) return report_violation(s.id, "applies an older state after a newer one");
-    const auto place = log_index_.find(version);
-    if (place == log_index_.end()) return report_violation(s.id, "applies a state that never existed");
+    const auto position = log_index_.find(version);
+    if (position == log_index_.end()) return report_violation(s.id, "applies a state that never existed");
     if (plan_.link_breaks == 0 && s.last != Version{})
-      for (std::size_t i = log_index_.at(s.last); i < place->second; ++i)
+      for (std::size_t i = log_index_.at(s.last); i < position->second; ++i)
         if (std::find(s.scopes.begin(), s.scopes.end(), scope_of(log_[i].key)) != s.scopes.end())
           verdict_.gaps.push_back(now - log_times_[i]);
     s.last = version;
     std::map<std::string, std::string, std::less<>> before = s.expected_values;
-    advance_expected(s, place->second);
+    advance_expected(s, position->second);
     for (const Entry* const entry : changed)
       if (entry->deleted ? before.erase(entry->key) == 0
                          : std::exchange(before[entry->key], entry->value) == entry->value)
@@ -583,8 +597,8 @@
       return report_violation(s.id, "applies a state that differs from the true one of its version");
     check_state(s);
   }
-  // Checks that the values in force are the true state of the server's version, also if the version has
-  // advanced without a change.
+  // Checks that the values in force are the true state at the server's version. Called also when the version
+  // may have advanced without a change.
   void check_state(Server& s) {
     ++verdict_.states_checked;
     const Version version = s.follower->version();
--- a/tests/fleet_of_replicas.hpp
+++ b/tests/fleet_of_replicas.hpp
@@ -22,28 +22,29 @@
 struct Plan {
   std::uint64_t seed = 1;
   unsigned members = 7, voters = 3, regions = 3;
-  Nanos term = second;
-  double drift = 0.01;
-  double clock_error_factor = 1; // the part of `drift` that clocks use; above 1 they exceed the bound
-  // Fractions of messages; delays are up to three terms.
+  Nanos term = second;           // of leases
+  double drift = 0.01;           // the bound on the error of clock rates, as a fraction
+  double clock_error_factor = 1; // scales the actual errors; above 1 some clocks exceed the bound
+  // Fractions of messages; a delayed message takes up to three terms.
   double lost = 0.05, duplicated = 0.05, delayed = 0.02;
   double crashes = 0.5, writer_crashes = 0.1, pauses = 0.3, cuts = 0.3; // per second, in the whole fleet
   double losses = 0;          // per second: all voters, or most of them, at once
-  bool spare_majority = true; // skip crashes that would leave less than a majority of the voters ready
+  bool spare_majority = true; // skip crashes that would leave fewer voters ready than a majority
   // A restarted member keeps its incarnation, which the protocol does not allow.
   bool reuse_incarnation = false;
   // If not 0, leases are not used: at this interval on average, a random member is told that it holds the
-  // lease for a long time, and no holder is told that it has lost it, so that several members write at once.
+  // lease for the next 20 s. No holder is told that it has lost the lease, so several members write at once.
   Nanos random_holding = 0;
   bool quick_restart = false; // crashed members restart almost at once
   double puts = 20;           // per second
+  // No new faults or puts after `quiet_after`, except for one last put at each member.
   Nanos quiet_after = 10 * second, length = 22 * second;
 };
 
 struct Verdict {
   std::uint64_t commits = 0, puts = 0, done = 0, refused = 0, unknown = 0, terms = 0, losses = 0,
                 transfers = 0, starts = 0;
-  int wrong = 0;
+  int wrong = 0;             // violations
   bool majority_kept = true; // a majority of the voters always had its state
   std::string first;         // the first violation
 };
@@ -60,7 +61,7 @@
     Nanos clock_offset = 0, paused_until = 0, scheduled_wake = -1;
     bool up = false;
     std::vector<std::function<void()>> deferred; // events that arrived while it was paused
-    std::vector<Token> superseded_by;            // to be passed to the leases after the action has returned
+    std::vector<Token> superseded_by;            // tokens to pass to the leases after the action has returned
     Version last_committed{};                    // as seen by the checker
 
     Member(FleetOfReplicas& f, MemberId id) : fleet(f), self(id) {}
@@ -185,10 +186,10 @@
     std::optional<PutOutcome> end;
     Version done{}, written{};
   };
-  struct CommittedVersion { // a version in the total order, as first committed at any member
-    Version before{};
-    std::uint64_t digest = 0;
-    std::size_t history = 0;
+  struct CommittedVersion {   // a version in the total order, as first committed at any member
+    Version before{};         // its predecessor
+    std::uint64_t digest = 0; // of the state at this version
+    std::size_t history = 0;  // see history_
   };
 
   Plan plan_;
@@ -199,20 +200,20 @@
   std::set<std::pair<MemberId, MemberId>> cut_;
   std::map<Version, Record> written_;
   std::map<Version, CommittedVersion> committed_order_;
-  Entries reference_;
-  Version head_{};
+  Entries reference_;       // the state at head_
+  Version head_{};          // the newest version of the total order
   std::size_t history_ = 0; // number of losses after which a new history began
   Token history_token_{}, newest_token_{};
   std::map<PutId, PutState> puts_;
   std::vector<PutId> last_puts_;
-  bool formed_ = false; // a majority of the voters has counted at some time
+  bool formed_ = false; // at some time a majority of the voters has been ready
   using Event = std::pair<std::pair<Nanos, std::uint64_t>, std::function<void()>>;
-  struct LaterFirst {
+  struct EarliestFirst {
     bool operator()(const Event& a, const Event& b) const { return a.first > b.first; }
   };
-  std::priority_queue<Event, std::vector<Event>, LaterFirst> event_queue_;
-  std::uint64_t events_ = 0;
-  std::uint64_t granted_ = 100;
+  std::priority_queue<Event, std::vector<Event>, EarliestFirst> event_queue_;
+  std::uint64_t next_event_number_ = 0;
+  std::uint64_t last_token_number_ = 100;
 
  public:
   Nanos now = 0;
@@ -288,7 +289,7 @@
   Nanos random_up_to(Nanos limit) { return static_cast<Nanos>(random_.unit() * static_cast<double>(limit)); }
   Member& random_member() { return *members_[random_.next() % members_.size()]; }
   void schedule(Nanos when, std::function<void()> what) {
-    event_queue_.push({{std::max(when, now), events_++}, std::move(what)});
+    event_queue_.push({{std::max(when, now), next_event_number_++}, std::move(what)});
   }
   bool faults() const { return now < plan_.quiet_after; }
   void report_violation(const std::string& what) {
@@ -337,16 +338,16 @@
     if (plan_.random_holding == 0) one.leases->acquire(one.clock(), control_lease);
     schedule_wake(one);
   }
+  // Tells a member that it holds the lease. `back`: how far its token number is behind the newest one.
   void hold_lease(Member& one, std::uint64_t back) {
-    granted_ += 3;
-    one.replica->lease_held(one.clock(), Token{(granted_ - back) << 16 | one.self.raw},
+    last_token_number_ += 3;
+    one.replica->lease_held(one.clock(), Token{(last_token_number_ - back) << 16 | one.self.raw},
                             one.clock() + 20 * second);
     schedule_wake(one);
   }
   void schedule_random_holding() {
     schedule(now + random_up_to(2 * plan_.random_holding), [this] {
-      // After the faults one holder stays. Before, the token is sometimes older than one that is in use
-      // already.
+      // After the faults there is one last holder. Before, a token may be older than one already in use.
       if (!faults())
         return schedule(plan_.quiet_after + 4 * plan_.term, [this] { hold_lease(*members_.front(), 0); });
       Member& one = random_member();
@@ -374,52 +375,52 @@
   void crash_majority() {
     ++verdict_.losses;
     const bool all = random_.unit() < 0.3;
-    std::size_t left = all ? plan_.members : majority();
+    std::size_t remaining = all ? plan_.members : majority();
     for (auto& one : members_)
-      if (left > 0 && (all || voter_ids_.contains(one->self))) crash(*one, false), --left;
+      if (remaining > 0 && (all || voter_ids_.contains(one->self))) crash(*one, false), --remaining;
   }
   void pause(Member& one, Nanos length) {
     if (!one.up || one.paused_until > now) return;
     one.paused_until = now + length;
     schedule(one.paused_until, [&one, start_count = one.start_count] {
       if (!one.up || one.start_count != start_count) return;
-      const auto came = std::move(one.deferred);
+      const auto events = std::move(one.deferred);
       one.deferred.clear();
-      for (const auto& what : came) what();
+      for (const auto& what : events) what();
     });
   }
-  // Partitions a random half or a region from the others, in one direction or in both.
+  // Separates a random half of the members, or one region, from the others, in one direction or in both.
   void partition_network() {
-    const double way = random_.unit();
+    const double direction = random_.unit();
     const bool region = random_.unit() < 0.5;
     const unsigned which = random_.next() % plan_.regions;
     std::set<MemberId> side;
     for (auto& one : members_)
       if (region ? one->self.raw % plan_.regions == which : random_.unit() < 0.5) side.insert(one->self);
-    std::set<std::pair<MemberId, MemberId>> mine;
+    std::set<std::pair<MemberId, MemberId>> affected;
     for (auto& a : members_)
       for (auto& b : members_) {
         const bool out = side.contains(a->self) && !side.contains(b->self);
         const bool in = !side.contains(a->self) && side.contains(b->self);
-        if ((out && way < 0.7) || (in && way > 0.3)) mine.emplace(a->self, b->self);
+        if ((out && direction < 0.7) || (in && direction > 0.3)) affected.emplace(a->self, b->self);
       }
-    cut_.insert(mine.begin(), mine.end());
-    schedule(now + random_up_to(4 * plan_.term), [this, mine] {
-      for (const auto& one : mine) cut_.erase(one);
+    cut_.insert(affected.begin(), affected.end());
+    schedule(now + random_up_to(4 * plan_.term), [this, affected] {
+      for (const auto& one : affected) cut_.erase(one);
     });
   }
 
   // ---- messages
 
   void send(MemberId from, MemberId to, std::function<void(Member&, Nanos)> what) {
-    const bool troubled = faults();
-    const int copies = troubled && random_.unit() < plan_.duplicated ? 2 : 1;
+    const bool faults_active = faults();
+    const int copies = faults_active && random_.unit() < plan_.duplicated ? 2 : 1;
     for (int c = 0; c < copies; ++c) {
-      if (troubled && random_.unit() < plan_.lost) continue;
-      const bool near = from.raw % plan_.regions == to.raw % plan_.regions;
-      Nanos takes = ms + random_up_to(near ? 2 * ms : 30 * ms);
-      if (troubled && random_.unit() < plan_.delayed) takes = random_up_to(3 * plan_.term);
-      schedule(now + takes, [this, from, to, what] {
+      if (faults_active && random_.unit() < plan_.lost) continue;
+      const bool same_region = from.raw % plan_.regions == to.raw % plan_.regions;
+      Nanos latency = ms + random_up_to(same_region ? 2 * ms : 30 * ms);
+      if (faults_active && random_.unit() < plan_.delayed) latency = random_up_to(3 * plan_.term);
+      schedule(now + latency, [this, from, to, what] {
         if (cut_.contains({from, to})) return;
         Member& one = *members_[to.raw - 1];
         run_or_defer(one, [this, &one, what] {
@@ -429,8 +430,8 @@
       });
     }
   }
-  void run_or_defer(Member& one,
-                    std::function<void()> what) { // at once, or when the pause ends; dropped after a restart
+  // At once, or when the pause ends; dropped after a restart.
+  void run_or_defer(Member& one, std::function<void()> what) {
     if (!one.up) return;
     if (one.paused_until > now)
       one.deferred.push_back(std::move(what));
@@ -484,7 +485,7 @@
   }
   PutId put_at(Member& one, const std::string& key, std::string value, std::optional<Version> expected,
                bool deleted = false) {
-    // The put may end within the call, so the checker has to know it before.
+    // The put may end within the call, so it is registered with the checker first.
     const PutId id{one.self, one.incarnation(), PutNumber{one.replica->status().total_puts + 1}};
     puts_[id] = {key, expected, std::nullopt, {}, {}};
     if (one.replica->put(one.clock(), key, std::move(value), deleted, expected).raw == 0)
@@ -498,8 +499,8 @@
   // ---- the checker
 
   void written(const Record& record) {
-    const auto [at, fresh] = written_.emplace(record.entry.version, record);
-    if (!fresh && at->second != record)
+    const auto [at, inserted] = written_.emplace(record.entry.version, record);
+    if (!inserted && at->second != record)
       report_violation("two entries under " + name_of(record.entry.version));
   }
   static std::uint64_t digest_of(const Entries& entries) {
@@ -560,10 +561,10 @@
       report_violation("member " + name_of(one) + " goes back to " + name_of(version));
     const auto known = committed_order_.find(version);
     const bool unknown_version = known == committed_order_.end();
-    // Of versions from before a loss only their first commit is known, not their place in the current
-    // history.
-    const bool judged = history_ == 0 || version.token >= history_token_;
-    if (version != Version{} && judged &&
+    // For a version from before a loss, only the state at its first commit is known. The current history may
+    // have another state at that version, or may not contain it.
+    const bool comparable = history_ == 0 || version.token >= history_token_;
+    if (version != Version{} && comparable &&
         (unknown_version || known->second.digest != digest_of(one.replica->entries())))
       report_violation("member " + name_of(one) + " received a different state by transfer at " +
                        name_of(version));
@@ -592,7 +593,7 @@
     if (token < newest_token_) return;
     newest_token_ = token;
     if (!after_loss || head_ == Version{}) return;
-    // Before a majority of the voters has learnt that it counts, a loss cannot be recognized.
+    // Until a majority of the voters has been ready once, `track_majority` does not detect a loss.
     if (!formed_) verdict_.majority_kept = false;
     if (verdict_.majority_kept) return report_violation("a new history although a majority had its state");
     // The new history starts from this writer's state.
@@ -608,9 +609,9 @@
       if (put.written > head_) put.written = {}; // the write is lost
   }
   void track_majority() {
-    const std::size_t holding = ready_voters();
-    if (holding >= majority()) formed_ = true;
-    if (formed_ && holding < majority()) verdict_.majority_kept = false;
+    const std::size_t ready_count = ready_voters();
+    if (ready_count >= majority()) formed_ = true;
+    if (formed_ && ready_count < majority()) verdict_.majority_kept = false;
   }
   void check_final_state() {
     const Member* first = nullptr;
