--- a/node/front.hpp
+++ b/node/front.hpp
@@ -1,6 +1,6 @@
 // The listener and the balancers' connections. Owns both, their input and output buffers, and the set of open
-// streams. The wire protocol is confined to this class: another protocol would be implemented here and
-// deliver the same ops.
+// streams. The wire protocol is confined to this class: for another protocol only its code
+// changes, and it delivers the same ops.
 #pragma once
 
 #include "interface.hpp"
@@ -21,8 +21,10 @@
 // Accepts connections, decodes requests into ops and writes the responses.
 class Front {
  public:
-  // Receives ops and lost streams. `received_at` is Unix time, `limit` a duration; limit 0 and empty texts
-  // mean that the request doesn't state them. Views are valid until the call returns.
+  // Receives ops and lost streams. `received_at` is Unix time and `limit` the caller's time limit, both in
+  // ns; `held_kb` is the memory and `rank` the rank, in [0, 1), that the request states; `mark` is its
+  // idempotency key and `subject` the item it concerns. A limit of 0 and empty texts mean that the request
+  // doesn't state them. Views are valid until the call returns.
   class Handler {
    public:
     virtual ~Handler() = default;
@@ -40,6 +42,8 @@
     bool limit_required = false; // requests state the caller's time limit
   };
 
+  // Listens on the address `listen`; throws std::invalid_argument if that fails. While the unwritten output
+  // of all connections exceeds `max_pending_bytes`, those with the most of it are closed.
   Front(asio::io_context& io, const std::string& listen, std::size_t max_connections,
         std::size_t max_pending_bytes, Names names, Handler& handler);
 
@@ -50,25 +54,26 @@
 
   // Reported in health responses.
   void health(bool good) { healthy_ = good; }
-  // Sent with every response from now on; negative: not sent.
+  // The value that every response carries from now on; negative: none.
   void feedback(double value) { feedback_ = value; }
-  // A connection without open streams is told to go away after this time; 0: no limit.
+  // A connection that has been idle, without open streams, for this time is sent go_away; 0: no limit.
   void set_idle_timeout(Nanos after) { idle_timeout_ = after; }
-  // The same for connections that their peer may have abandoned; the shorter of the two applies.
+  // A second limit of the same kind, meant for connections whose peer disappeared without closing them. The
+  // shorter of the two applies to every connection; 0: no limit.
   void silent_connection_timeout(Nanos after) { silence_timeout_ = after; }
   // Bounds the time to the first frame of a connection, and from the first to the last byte of a frame.
   void frame_timeout(Nanos time) { frame_timeout_ = time; }
   // A connection whose output makes no progress for this long is closed.
   void write_stall_timeout(Nanos time) { write_stall_timeout_ = time; }
-  // `order`: whom to close when the connection table is full. `max_invalid_ops`: invalid ops in a row after
-  // which a connection's input is rejected.
+  // `order`: which connections to close first when the connection table is full. `max_invalid_ops`: the
+  // number of invalid ops without a served op between them at which a connection's input is rejected.
   void set_eviction_order(std::vector<Eviction> order, int max_invalid_ops) {
     eviction_order_ = std::move(order);
     max_invalid_ops_ = max_invalid_ops;
   }
-  // Counts an invalid op, one that no caller would send, against its connection.
+  // Counts an invalid op, one that a correct caller never sends, against the connection it came from.
   void penalize(StreamRef ref);
-  // Time between go_away and the close of a connection.
+  // Time between go_away and the close of a connection, and the longest time that a closed one lingers.
   void connection_drain_delay(Nanos time) { drain_delay_ = time; }
   // Delay after a failed accept, such as when no descriptor is free.
   void accept_retry_delay(Nanos delay) { accept_retry_delay_ = delay; }
@@ -90,15 +95,16 @@
     ConnectionId id;
     std::unique_ptr<char[]> input;
     std::size_t filled = 0;
-    std::size_t skip_bytes = 0; // rest of a frame that is too large to buffer
+    std::size_t skip_bytes = 0; // still to be discarded, of a frame that is too large to buffer
     std::deque<std::string> output;
-    std::size_t written = 0;       // bytes of output.front()
+    std::size_t written = 0;       // bytes of output.front() that are already written
     std::size_t pending_bytes = 0; // unwritten output
     std::set<StreamId> open_streams;
-    StreamId used_through;         // all streams up to this one have been used
-    std::set<StreamId> used_above; // the highest used streams above it
+    StreamId used_through;         // all stream numbers up to this one have been used
+    std::set<StreamId> used_above; // used stream numbers above used_through; only the highest are kept
     Nanos last_activity = 0;       // last complete frame received or response queued
-    Nanos frame_began = 0;         // start of the wait for the first frame or the rest of one; -1: no wait
+    // Since when the first frame, or the rest of a partly received one, is awaited; -1: neither.
+    Nanos frame_began = 0;
     bool received_frame = false;   // at least one complete frame was received
     int invalid_ops = 0;           // since the last op that was served
     int frames_after_drain = 0;    // frames received after the drain delay
@@ -113,7 +119,7 @@
 
   // A connection whose output is complete: the sending side is shut down, and further input is read and
   // discarded. Closing at once with unread input would send a reset, which could destroy responses that the
-  // peer has not read yet. Discarded input is never executed as an op; callers rely on that proof.
+  // peer has not read yet. Discarded input is never executed as an op; callers rely on this.
   struct Lingering {
     Lingering(asio::ip::tcp::socket s, Nanos n) : socket(std::move(s)), since(n) {}
     asio::ip::tcp::socket socket;
@@ -152,9 +158,9 @@
   Names names_;
   Handler& handler_;
   std::map<ConnectionId, std::unique_ptr<Connection>> connections_;
-  std::map<std::uint64_t, Lingering> lingering_; // keyed in the order of their shutdown
+  std::map<std::uint64_t, Lingering> lingering_; // the oldest first
   std::uint64_t next_lingering_ = 1;
-  std::vector<ConnectionId> dirty_;
+  std::vector<ConnectionId> dirty_; // have output that the next flush() is to write
   std::uint64_t next_connection_ = 1;
   std::size_t pending_bytes_ = 0; // unwritten output of all connections
   Nanos now_ = 0;
@@ -169,7 +175,7 @@
   Nanos accept_retry_delay_ = 0;
   double feedback_ = -1;
   bool healthy_ = true;
-  bool accepting_ = false;
+  bool accepting_ = false; // an asynchronous wait for new connections is in progress
   bool stopped_accepting_ = false;
 };
 
--- a/node/host.cpp
+++ b/node/host.cpp
@@ -22,12 +22,13 @@
 constexpr std::size_t calls_socket_divisor = 8;   // of the descriptors, for calls
 // Of the descriptors, for the listener, the links, files and a margin.
 constexpr std::size_t own_socket_divisor = 8;
-// The standard streams, the event loop's, two links and a file, and the same again as a margin.
+// The standard streams, the descriptors of the event loop, two links and a file, and as many again as a
+// margin.
 constexpr std::size_t min_own_sockets = 24;
 
-constexpr int handlers_per_turn = 128; // a few milliseconds at most if each reads from a connection
+constexpr int handlers_per_turn = 128; // take a few milliseconds at most if each reads from a connection
 
-constexpr Nanos max_gauges_lead = 5 * ms; // older gauges would be stale at the wake-up
+constexpr Nanos max_gauges_lead = 5 * ms; // gauges requested earlier would be stale at the wake-up
 
 Front::Names names_from(const Settings& settings) {
   Front::Names names;
@@ -42,7 +43,8 @@
   names.limit_required = number(settings, "tells_patience", 0) != 0;
   return names;
 }
-// Called before the listener opens: from then on, SIGHUP no longer ends a process that can reload its files.
+// Catches SIGHUP if there is a file to reload, and returns the path. Called before the listener opens, so
+// that SIGHUP can't end a server that is already reachable.
 std::string catch_sighup(asio::signal_set& sighup, std::string config_path) {
   if (!config_path.empty()) sighup.add(SIGHUP);
   return config_path;
@@ -51,8 +53,8 @@
 std::size_t scaled_limit(const Settings& settings, const char* name, std::size_t unit, std::size_t divisor) {
   return static_cast<std::size_t>(number(settings, name, 0)) * unit / divisor;
 }
-// The number of connections of balancers: what calls and the server's own descriptors leave. Lingering
-// connections take a few in addition.
+// The limit on connections of balancers: the descriptors that remain after those for calls and the server's
+// own. Lingering connections take a few in addition.
 std::size_t max_connections(const Settings& settings) {
   const std::size_t calls = scaled_limit(settings, "sockets", 1, calls_socket_divisor);
   const std::size_t own = std::max(min_own_sockets, scaled_limit(settings, "sockets", 1, own_socket_divisor));
@@ -119,7 +121,7 @@
   tape_.end(now());
 }
 
-// The number of handlers is bounded, so that peers that send without end can't delay due times.
+// The number of handlers is bounded, so that peers that send without end can't delay the core's wake-ups.
 void Host::run_ready_handlers() {
   for (int n = 0; n < handlers_per_turn && io_.poll_one() > 0;) ++n;
 }
@@ -146,8 +148,8 @@
   });
 }
 
-// Operator settings can change at any time, except for joining a fleet. Whatever is unchanged is not
-// disturbed.
+// Operator settings can change at any time, except that joining a fleet needs a restart. Pools and a
+// recording whose settings are unchanged are not started anew.
 void Host::apply_operator_settings(const Settings& operator_settings) {
   configure_log(text(operator_settings, "log.format", "text") == "json",
                 text(operator_settings, "log.level", "info"));
@@ -168,7 +170,7 @@
 }
 
 void Host::reload(const Settings& settings, const Settings& operator_settings) {
-  apply_operator_settings(operator_settings); // first, because it may throw, and then nothing changes
+  apply_operator_settings(operator_settings); // first: if it throws, the addresses stay as they are
   log_info("reload", "vm %s, records %s, announce %s", text(settings, "vm", "").c_str(),
            text(settings, "records", "").c_str(), text(settings, "announce", "").c_str());
   interpreter_.set_address(text(settings, "vm", ""));
@@ -194,8 +196,8 @@
   if (core_->anything_due(now())) tape_.due(now());
   request_gauges();
   if (stopped_accepting_)
-    front_.stop_accepting(); // not from within the core's action, as it can pass further ops to the core
-  do {                       // a stream lost while writing can make the core answer or start others
+    front_.stop_accepting(); // not within the core's action: it can pass further ops to the core
+  do {                       // a stream lost while writing can make the core answer or start other ops
     if (core_->has_repeats_to_answer()) tape_.answer_repeats(now());
     front_.flush(now());
   } while (core_->has_repeats_to_answer());
@@ -205,7 +207,8 @@
   arm_timer();
 }
 
-// Requests the gauges a round trip before the wake-up that uses them. The wake-up does not wait for them.
+// Requests the gauges `gauges_lead_` before the wake-up that uses them, so that they normally arrive in time.
+// The wake-up does not wait for them.
 void Host::request_gauges() {
   const Nanos wake = core_->next_wake();
   if (wake < 0 || !interpreter_.up() || gauges_requested_for_ == wake || wake - now() > gauges_lead_) return;
@@ -263,7 +266,7 @@
   if (gauges_requested_at_ > 0)
     gauges_lead_ = std::min(2 * (now() - gauges_requested_at_) + ms, max_gauges_lead);
   if (interpreter_.up())
-    confirm_read(interpreter_.answered_query_number()); // before it has caught up, caught_up() does this
+    confirm_read(interpreter_.answered_query_number()); // until the link is up, caught_up() does this
   tape_.gauges(now(), values);
 }
 void Host::command_rejected(OpId id, std::string_view command) {
--- a/server/main.cpp
+++ b/server/main.cpp
@@ -1,8 +1,8 @@
 // The command line of cometshift. Without arguments it serves with the configuration file that RELAY_CONFIG
 // names.
 //
-// Exit codes: 0 success; 1 can't start, a replay differs, or nothing found; 2 a file can't be read or is not
-// in the expected format; 64 invalid command line.
+// Exit codes: 0 success; 1 can't start, a checked file is invalid, a replay differs, or nothing was found; 2
+// a recording can't be read or is not in the expected format; 64 invalid command line.
 #include "configuration.hpp"
 #include "format.hpp"
 #include "host.hpp"
@@ -24,20 +24,21 @@
   return value ? value : "";
 }
 
+// The files of the commands serve and check, from the options or the environment.
 struct Paths {
-  std::string configuration, operators;
+  std::string config_option, operator_option;
 
   void add_options(CLI::App& app) {
-    app.add_option("--config", configuration, "configuration file (default: RELAY_CONFIG)");
-    app.add_option("--operator", operators,
+    app.add_option("--config", config_option, "configuration file (default: RELAY_CONFIG)");
+    app.add_option("--operator", operator_option,
                    "operator file (default: COMETSHIFT_OPERATOR; without one, all defaults)");
   }
   std::string config() const {
-    const std::string path = option_or_environment(configuration, "RELAY_CONFIG");
+    const std::string path = option_or_environment(config_option, "RELAY_CONFIG");
     if (path.empty()) throw std::invalid_argument("RELAY_CONFIG: missing");
     return path;
   }
-  std::string operator_file() const { return option_or_environment(operators, "COMETSHIFT_OPERATOR"); }
+  std::string operator_file() const { return option_or_environment(operator_option, "COMETSHIFT_OPERATOR"); }
   cometshift::Settings operator_values() const {
     return operator_file().empty() ? cometshift::operator_in("", "")
                                    : cometshift::read_operator(operator_file());
@@ -62,7 +63,7 @@
       exit_code = exit_failure;
     }
   };
-  if (!option_or_environment(paths.configuration, "RELAY_CONFIG").empty())
+  if (!option_or_environment(paths.config_option, "RELAY_CONFIG").empty())
     check_file("configuration", [&] { cometshift::read_configuration(paths.config()); });
   if (!paths.operator_file().empty()) check_file("operator file", [&] { paths.operator_values(); });
   return exit_code;
@@ -112,7 +113,7 @@
   capturing->require_subcommand(1);
   CLI::App* info = capturing->add_subcommand("info", "show the contents of each segment");
   with_files(info);
-  std::uint64_t from = 0, to = ~std::uint64_t{0};
+  std::uint64_t from = 0, to = ~std::uint64_t{0}; // ms; by default the whole recording
   CLI::App* list = capturing->add_subcommand("list", "list each entry with the decisions made");
   with_files(list);
   list->add_option("--from", from, "ms from the beginning of the recording");
--- a/tests/host.cpp
+++ b/tests/host.cpp
@@ -1,5 +1,6 @@
-// A whole server with the other parties played by the test: calls, keyed ops and their repeats, breaks of the
-// link and of callers' connections, reload and drain. Each op is answered once, and no keyed op runs twice.
+// Tests a whole server; the test plays the other parties. Covers calls, keyed ops and their repeats, loss of
+// the link and of balancers' connections, reload and drain. Each op must be answered once, and no keyed op
+// may run twice.
 #include "server_fixture.hpp"
 
 void say(const char* what) { std::printf("# %s\n", what); }
@@ -7,7 +8,7 @@
 int main() {
   const std::string a = "aaaaaaaaaaaaaaa1", b = "aaaaaaaaaaaaaaa2", c = "aaaaaaaaaaaaaaa3",
                     d = "aaaaaaaaaaaaaaa4", e = "aaaaaaaaaaaaaaa5", f = "aaaaaaaaaaaaaaa6";
-  const std::string fine = ",\"code\":\"fine\",\"wall_ms\":3,\"content\":\"cmVzdWx0\"";
+  const std::string result_fields = ",\"code\":\"fine\",\"wall_ms\":3,\"content\":\"cmVzdWx0\"";
   {
     ServerFixture w("3000");
     const auto print_command = [&] { std::printf("  link: %s\n", w.command().c_str()); };
@@ -29,23 +30,23 @@
     print_call(records);
     records.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue");
     print_command();
-    w.notice(2, "VALUE", a, fine);
+    w.notice(2, "VALUE", a, result_fields);
     print_frame();
 
     say("a keyed op runs once: its repeats wait for its result, or get it later");
     w.book(2, b, "m1");
     print_command();
     w.book(3, c, "m1");
-    w.book(4, b, "m1"); // an id that is already known
+    w.book(4, b, "m1"); // the id of the op that is running
     print_frame();
-    w.notice(3, "VALUE", b, fine);
+    w.notice(3, "VALUE", b, result_fields);
     print_frame(), print_frame();
     w.book(5, d, "m1");
     print_frame();
 
     say("a duplicate end of a run, or that of a run never started, causes no second answer");
-    w.notice(4, "VALUE", b, fine);
-    w.notice(5, "VALUE", "ffffffffffffffff", fine);
+    w.notice(4, "VALUE", b, result_fields);
+    w.notice(5, "VALUE", "ffffffffffffffff", result_fields);
     w.notice(6, "AWAIT", b, ",\"content\":\"\"");
     w.balancer.say(frame_of(frames::health_check, 2, {}));
     print_frame();
@@ -68,15 +69,15 @@
     w.last_query.clear();
     w.link_up();
     print_command();
-    w.notice(7, "VALUE", f, fine);
+    w.notice(7, "VALUE", f, result_fields);
     print_frame();
     print_command();
 
     say("a balancer resets while its op runs: the op is forgotten, and its slot is free once the run ends");
     w.balancer.reset();
     w.balancer = TestConnection::to(5050);
-    w.notice(8, "VALUE", "bbbbbbbbbbbbbbb1", fine);
-    w.notice(9, "VALUE", "bbbbbbbbbbbbbbb2", fine);
+    w.notice(8, "VALUE", "bbbbbbbbbbbbbbb1", result_fields);
+    w.notice(9, "VALUE", "bbbbbbbbbbbbbbb2", result_fields);
     w.book(1, "ccccccccccccccc1", "m3");
     print_frame();
 
@@ -87,10 +88,10 @@
     w.balancer.reset();
     w.balancer = TestConnection::to(5050);
     w.book(1, "ddddddddddddddd4", "m4");
-    w.notice(10, "VALUE", "ddddddddddddddd1", fine);
+    w.notice(10, "VALUE", "ddddddddddddddd1", result_fields);
     print_command();
-    w.notice(11, "VALUE", "ddddddddddddddd2", fine);
-    w.notice(12, "VALUE", "ddddddddddddddd4", fine);
+    w.notice(11, "VALUE", "ddddddddddddddd2", result_fields);
+    w.notice(12, "VALUE", "ddddddddddddddd4", result_fields);
     print_frame();
 
     say("drain: the announce service is notified, health checks fail, ops are still served; then go_away, "
@@ -112,7 +113,7 @@
     w.ask(3, "ccccccccccccccc3");
     print_frame();
     std::printf("  over: %d\n", w.finished);
-    w.notice(13, "VALUE", "ccccccccccccccc2", fine);
+    w.notice(13, "VALUE", "ccccccccccccccc2", result_fields);
     print_frame();
     w.balancer.to_end();
     TestConnection::until("end", [&] { return w.finished; });
@@ -130,7 +131,7 @@
     w.notice(1, "AWAIT", a, ",\"content\":\"Y2FsbA==\"");
     w.book(2, b, "m1", "other");
     print_frame();
-    w.notice(2, "VALUE", a, fine);
+    w.notice(2, "VALUE", a, result_fields);
     print_frame();
     w.book(3, c, "m1", "other");
     print_frame();
@@ -146,7 +147,7 @@
     w.interpreter.say("{\"action\":\"ERROR\",\"code\":\"APPLY\",\"uid\":\"" + e + "\"}\n");
     print_frame();
     w.book(7, "bbbbbbbbbbbbbbb1", "m2");
-    w.notice(3, "VALUE", f, fine);
+    w.notice(3, "VALUE", f, result_fields);
     print_frame(), print_frame();
 
     say("the first try was too late for the interpreter: none of its repeats has run, so one runs");
@@ -157,7 +158,7 @@
     w.notice(4, "VALUE", "bbbbbbbbbbbbbbb2", ",\"code\":\"late\",\"wall_ms\":0");
     print_frame();
     print_command();
-    w.notice(5, "VALUE", "bbbbbbbbbbbbbbb3", fine);
+    w.notice(5, "VALUE", "bbbbbbbbbbbbbbb3", result_fields);
     print_frame(), print_frame();
   }
   {
@@ -171,8 +172,8 @@
     w.notice(1, "AWAIT", a, ",\"content\":\"Y2FsbA==\"");
     TestConnection records = w.records_services.next();
     records.request({});
-    const std::string elsewhere = ServerFixture::json("3000", 1);
-    ServerFixture::reload_with(elsewhere.substr(0, 300));
+    const std::string moved_config = ServerFixture::json("3000", 1);
+    ServerFixture::reload_with(moved_config.substr(0, 300));
     ServerFixture::reload_with("{}");
     w.notice(2, "AWAIT", b, ",\"content\":\"Y2FsbA==\"");
     TestConnection second = w.records_services.next();
@@ -180,26 +181,25 @@
     TestConnection interpreters = TestConnection::listening(7301),
                    announce_services = TestConnection::listening(2380),
                    records_services = TestConnection::listening(5433);
-    ServerFixture::reload_with(elsewhere);
-    ServerFixture::reload_with(elsewhere); // the same file again changes nothing
+    ServerFixture::reload_with(moved_config);
+    ServerFixture::reload_with(moved_config); // the same file again changes nothing
     TestConnection announce = announce_services.next();
     std::printf("  announce there: %s\n", announce.request({}).c_str());
-    records.say(
-        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"); // in flight: finishes at the old address
+    // The call in flight finishes at the old address.
+    records.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue");
     records.to_end();
     w.ask(3, c); // both cores are free, as the other runs wait for calls
-    TestConnection::until("end of the old link",
-                          [&] { // ends once its last query is answered; no other command is sent on it
-                            if (w.interpreter.has_line()) {
-                              const std::string line = w.interpreter.line();
-                              w.last_query = line.substr(line.find("\"echo\":\"") + 8);
-                              w.last_query.resize(w.last_query.find('"'));
-                              if (line.find("TOP") == std::string::npos)
-                                std::printf("  on the old link: %s\n", line.c_str());
-                              w.answer_gauges();
-                            }
-                            return w.interpreter.ended();
-                          });
+    // The old link ends once its last query is answered; no other command may be sent on it.
+    TestConnection::until("end of the old link", [&] {
+      if (w.interpreter.has_line()) {
+        const std::string line = w.interpreter.line();
+        w.last_query = line.substr(line.find("\"echo\":\"") + 8);
+        w.last_query.resize(w.last_query.find('"'));
+        if (line.find("TOP") == std::string::npos) std::printf("  on the old link: %s\n", line.c_str());
+        w.answer_gauges();
+      }
+      return w.interpreter.ended();
+    });
     w.interpreter = interpreters.next();
     std::printf("  link there: %s\n", w.command().c_str());
     w.last_query.clear();
@@ -208,7 +208,7 @@
     w.notice(3, "AWAIT", c, ",\"content\":\"Y2FsbA==\"");
     TestConnection third = records_services.next();
     std::printf("  records there: %s\n", third.request({"Op-Of"}).c_str());
-    w.notice(4, "VALUE", a, fine);
+    w.notice(4, "VALUE", a, result_fields);
     print_frame();
     second.reset();
     std::remove(fixture_config_path.c_str());
