--- a/node/front.hpp
+++ b/node/front.hpp
@@ -1,6 +1,6 @@
 // The listener and the balancers' connections. Owns both, their input and output buffers, and the set of open
-// streams. The wire protocol is confined to this class: for another protocol only its code
-// changes, and it delivers the same ops.
+// streams. The wire protocol is confined to this class: for another protocol only its code changes, and it
+// delivers the same ops.
 #pragma once
 
 #include "interface.hpp"
