--- a/capture/decided.cpp
+++ b/capture/decision.cpp
@@ -1,4 +1,4 @@
-#include "decided.hpp"
+#include "decision.hpp"
 
 #include "hex.hpp"
 
@@ -28,7 +28,7 @@
   return at < kind_words.size() ? kind_words[at] : "unknown";
 }
 
-std::string hex_of(OpId op) {
+std::string op_id_text(OpId op) {
   std::string text;
   put_hex(text, op.raw);
   return text;
@@ -41,11 +41,11 @@
   return at < words.size() ? words[at] : "unknown";
 }
 
-std::string words_of(const Decided& one, const std::vector<std::string>& op_types) {
+std::string words_of(const Decision& one, const std::vector<std::string>& op_types) {
   std::string said(to_text(one.kind));
-  if (one.op != no_op_id) said += " " + hex_of(one.op);
+  if (one.op != no_op_id) said += " " + op_id_text(one.op);
   const auto add = [&](const std::string& more) { said += ", " + more; };
-  if (one.why != Reason::none) add("why " + std::string(to_text(one.why)));
+  if (one.reason != Reason::none) add("why " + std::string(to_text(one.reason)));
   char text[48];
   switch (one.kind) {
   case Kind::served:
@@ -88,14 +88,14 @@
   return said;
 }
 
-std::string token_of(Digest digest) {
+std::string digest_token(Digest digest) {
   std::string token(sizeof digest.high + sizeof digest.low, '\0');
   std::memcpy(token.data(), &digest.high, sizeof digest.high);
   std::memcpy(token.data() + sizeof digest.high, &digest.low, sizeof digest.low);
   return token;
 }
 
-Digest digest_in(std::string_view token) {
+Digest token_digest(std::string_view token) {
   Digest digest;
   if (token.size() != sizeof digest.high + sizeof digest.low) return digest; // none: an empty content
   std::memcpy(&digest.high, token.data(), sizeof digest.high);
@@ -105,17 +105,22 @@
 
 // ---- orders
 
-void Listener::served(StreamRef line, OpId op, Content result) {
+void DecisionSink::served(StreamRef line, OpId op, Content result) {
   take({.kind = Kind::served, .op = op, .line = line, .content = digest(result), .size = result.size});
 }
-void Listener::refused(StreamRef line, OpId op, Reason why, Nanos retry_after, bool no_retry) {
-  take({.kind = Kind::refused, .op = op, .line = line, .why = why, .span = retry_after, .flag = no_retry});
+void DecisionSink::refused(StreamRef line, OpId op, Reason reason, Nanos retry_after, bool no_retry) {
+  take({.kind = Kind::refused,
+        .op = op,
+        .line = line,
+        .reason = reason,
+        .span = retry_after,
+        .flag = no_retry});
 }
-void Listener::failed(StreamRef line, OpId op, Reason why) {
-  take({.kind = Kind::failed, .op = op, .line = line, .why = why});
+void DecisionSink::failed(StreamRef line, OpId op, Reason reason) {
+  take({.kind = Kind::failed, .op = op, .line = line, .reason = reason});
 }
-void Listener::penalize(StreamRef line) { take({.kind = Kind::penalize, .line = line}); }
-void Listener::start(OpId op, OpTypeId type, const Content& body, StartNo number) {
+void DecisionSink::penalize(StreamRef line) { take({.kind = Kind::penalize, .line = line}); }
+void DecisionSink::start(OpId op, OpTypeId type, const Content& body, StartNo number) {
   take({.kind = Kind::start,
         .op = op,
         .content = digest(body),
@@ -123,23 +128,23 @@
         .number = type.raw,
         .start = number.raw});
 }
-void Listener::resume(OpId op, const Content& reply) {
+void DecisionSink::resume(OpId op, const Content& reply) {
   take({.kind = Kind::resume, .op = op, .content = digest(reply), .size = reply.size});
 }
-void Listener::call(OpId op, Nanos time_out, const Content& body) {
+void DecisionSink::call(OpId op, Nanos time_out, const Content& body) {
   take({.kind = Kind::call, .op = op, .span = time_out, .content = digest(body), .size = body.size});
 }
-void Listener::cancel_call(OpId op) { take({.kind = Kind::cancel_call, .op = op}); }
-void Listener::health(bool good) { take({.kind = Kind::health, .flag = good}); }
-void Listener::notify_callers(double value) { take({.kind = Kind::notify_callers, .value = value}); }
-void Listener::set_idle_timeout(Nanos after) { take({.kind = Kind::set_idle_timeout, .span = after}); }
-void Listener::set_timing(Timing what, Nanos time) {
+void DecisionSink::cancel_call(OpId op) { take({.kind = Kind::cancel_call, .op = op}); }
+void DecisionSink::health(bool good) { take({.kind = Kind::health, .flag = good}); }
+void DecisionSink::notify_callers(double value) { take({.kind = Kind::notify_callers, .value = value}); }
+void DecisionSink::set_idle_timeout(Nanos after) { take({.kind = Kind::set_idle_timeout, .span = after}); }
+void DecisionSink::set_timing(Timing what, Nanos time) {
   take({.kind = Kind::timing, .span = time, .number = static_cast<std::uint32_t>(what)});
 }
-void Listener::set_eviction_order(std::span<const Eviction>, int max_invalid_ops) {
+void DecisionSink::set_eviction_order(std::span<const Eviction>, int max_invalid_ops) {
   take({.kind = Kind::set_eviction_order, .number = static_cast<std::uint32_t>(max_invalid_ops)});
 }
-void Listener::stop_accepting() { take({.kind = Kind::stop_accepting}); }
-void Listener::note(const char*, std::string_view) {}
+void DecisionSink::stop_accepting() { take({.kind = Kind::stop_accepting}); }
+void DecisionSink::note(const char*, std::string_view) {}
 
 } // namespace cometshift
--- a/capture/decided.hpp
+++ b/capture/decision.hpp
@@ -33,11 +33,11 @@
   return kind == Kind::served || kind == Kind::refused || kind == Kind::failed;
 }
 
-struct Decided {
+struct Decision {
   Kind kind{};
   OpId op = no_op_id;
   StreamRef line{};
-  Reason why = Reason::none;
+  Reason reason = Reason::none;
   Nanos span = 0; // to stay away, a time-out, a pace
   double value = 0;
   bool flag = false; // no retry, health
@@ -45,24 +45,24 @@
   std::uint32_t size = 0;   // of the content
   std::uint32_t number = 0; // op type, timing, penalties
   std::uint64_t start = 0;  // which start
-  bool operator==(const Decided&) const = default;
+  bool operator==(const Decision&) const = default;
 };
 
 // In one line, in the words of docs/on-call.md.
-std::string words_of(const Decided& one, const std::vector<std::string>& op_types);
+std::string words_of(const Decision& one, const std::vector<std::string>& op_types);
 std::string words_of(Outcome outcome);
-std::string hex_of(OpId op);
+std::string op_id_text(OpId op);
 
 // Stands in a replay for a content of that digest and size: its bytes are those of the digest.
-std::string token_of(Digest digest);
-Digest digest_in(std::string_view token); // of a token
+std::string digest_token(Digest digest);
+Digest token_digest(std::string_view token); // of a token
 
 // Hands on what the core orders, as `Decided`, to `take`; notes go nowhere. `digest` tells a content's.
-class Listener : public Actions {
+class DecisionSink : public Actions {
  public:
   void served(StreamRef line, OpId op, Content result) override;
-  void refused(StreamRef line, OpId op, Reason why, Nanos retry_after, bool no_retry) override;
-  void failed(StreamRef line, OpId op, Reason why) override;
+  void refused(StreamRef line, OpId op, Reason reason, Nanos retry_after, bool no_retry) override;
+  void failed(StreamRef line, OpId op, Reason reason) override;
   void penalize(StreamRef line) override;
   void start(OpId op, OpTypeId type, const Content& body, StartNo number) override;
   void resume(OpId op, const Content& reply) override;
@@ -77,7 +77,7 @@
   void note(const char* kind, std::string_view words) override;
 
  protected:
-  virtual void take(const Decided& one) = 0;
+  virtual void take(const Decision& one) = 0;
   virtual Digest digest(const Content& content) = 0;
 };
 
--- a/capture/format.cpp
+++ b/capture/format.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::uint32_t most_head = 1024 * 1024;
+constexpr std::uint32_t max_head_bytes = 1024 * 1024;
 
 void put_number(std::string& out, std::uint64_t value, int bytes) {
   for (; bytes > 0; --bytes, value >>= 8) out += static_cast<char>(value & 0xff);
@@ -37,44 +37,44 @@
 
 } // namespace
 
-std::string block_of(std::string_view payload) {
+std::string encode_block(std::string_view payload) {
   std::string out;
-  out.reserve(block_head + payload.size());
+  out.reserve(block_header_bytes + payload.size());
   put_number(out, payload.size(), 4);
   put_number(out, checksum(std::string_view(out).substr(0, 4), payload), 8);
   out += payload;
   return out;
 }
 
-void put_setting(wire::Setting& into, const std::string& name, const Settings::mapped_type& value) {
+void encode_setting(wire::Setting& into, const std::string& name, const Settings::mapped_type& value) {
   into.set_name(name);
   if (const double* number = std::get_if<double>(&value))
     into.set_number(*number);
   else
     into.set_text(std::get<std::string>(value));
 }
-void take_setting(Settings& into, const wire::Setting& one) {
+void decode_setting(Settings& into, const wire::Setting& one) {
   if (one.value_case() == wire::Setting::kNumber)
     into[one.name()] = one.number();
   else
     into[one.name()] = one.text();
 }
 
-void put_settings(wire::Head& head, const Settings& given) {
-  for (const auto& [name, value] : given)
-    if (!is_address(name)) put_setting(*head.add_setting(), name, value);
-  head.set_settings_digest(settings_digest(given));
+void encode_settings(wire::Head& head, const Settings& settings) {
+  for (const auto& [name, value] : settings)
+    if (!is_address(name)) encode_setting(*head.add_setting(), name, value);
+  head.set_settings_digest(settings_digest(settings));
 }
 
-Settings settings_in(const wire::Head& head) {
-  Settings given;
-  for (const wire::Setting& one : head.setting()) take_setting(given, one);
-  return given;
+Settings decode_settings(const wire::Head& head) {
+  Settings settings;
+  for (const wire::Setting& one : head.setting()) decode_setting(settings, one);
+  return settings;
 }
 
-std::uint64_t settings_digest(const Settings& given) {
+std::uint64_t settings_digest(const Settings& settings) {
   std::string all;
-  for (const auto& [name, value] : given) {
+  for (const auto& [name, value] : settings) {
     if (is_address(name)) continue;
     all.append(name).append(1, '\0');
     if (const double* number = std::get_if<double>(&value))
@@ -86,7 +86,7 @@
   return XXH3_64bits(all.data(), all.size());
 }
 
-void put_entry(std::string& payload, const wire::Entry& entry) {
+void append_entry(std::string& payload, const wire::Entry& entry) {
   std::uint32_t size = static_cast<std::uint32_t>(entry.ByteSizeLong());
   for (std::uint32_t left = size;; left >>= 7) {
     payload += static_cast<char>(left >= 0x80 ? left | 0x80 : left);
@@ -113,22 +113,22 @@
   std::rewind(file_.get());
   if (size < 0) throw Unreadable(path + ": not a file");
   size_ = static_cast<std::uint64_t>(size);
-  char mark[segment_mark.size()];
+  char mark[segment_magic.size()];
   if (size_ < sizeof mark || std::fread(mark, 1, sizeof mark, file_.get()) != sizeof mark)
-    bad<Unbegun>(0, size_ == 0 ? "empty" : "too short for a segment of a recording");
-  if (std::string_view(mark, sizeof mark - 1) != segment_mark.substr(0, sizeof mark - 1))
+    bad<IncompleteSegment>(0, size_ == 0 ? "empty" : "too short for a segment of a recording");
+  if (std::string_view(mark, sizeof mark - 1) != segment_magic.substr(0, sizeof mark - 1))
     bad(0, "not a segment of a recording");
-  if (mark[sizeof mark - 1] != segment_mark.back())
+  if (mark[sizeof mark - 1] != segment_magic.back())
     bad(sizeof mark - 1, "framed in a way that this build does not know");
   at_ = sizeof mark;
-  if (!block()) bad<Unbegun>(at_, "ends within its head");
-  if (payload_.size() > most_head || !head_->ParseFromString(payload_))
+  if (!block()) bad<IncompleteSegment>(at_, "ends within its head");
+  if (payload_.size() > max_head_bytes || !head_->ParseFromString(payload_))
     bad(block_at_, "a head that can't be read");
   left_ = {};
   if (head_->format() != capture_format)
     bad(block_at_,
         "format " + std::to_string(head_->format()) + ", this build reads " + std::to_string(capture_format));
-  if (settings_digest(settings_in(*head_)) != head_->settings_digest())
+  if (settings_digest(decode_settings(*head_)) != head_->settings_digest())
     bad(block_at_, "settings that are not those of their digest");
 }
 SegmentReader::~SegmentReader() = default;
@@ -136,14 +136,15 @@
 bool SegmentReader::block() {
   block_at_ = at_;
   if (at_ == size_) return false;
-  char head[block_head];
-  if (size_ - at_ < block_head || std::fread(head, 1, block_head, file_.get()) != block_head) {
+  char head[block_header_bytes];
+  if (size_ - at_ < block_header_bytes ||
+      std::fread(head, 1, block_header_bytes, file_.get()) != block_header_bytes) {
     torn_ = true;
     return false;
   }
   const std::uint64_t length = number_at(head, 4);
-  if (length == 0 || length > most_block) bad(at_, "a block of " + std::to_string(length) + " bytes");
-  if (length > size_ - at_ - block_head) { // before any memory is taken for it
+  if (length == 0 || length > max_block_bytes) bad(at_, "a block of " + std::to_string(length) + " bytes");
+  if (length > size_ - at_ - block_header_bytes) { // before any memory is taken for it
     torn_ = true;
     return false;
   }
@@ -151,7 +152,7 @@
   if (std::fread(payload_.data(), 1, length, file_.get()) != length) bad(at_, "can't be read");
   if (checksum(std::string_view(head, 4), payload_) != number_at(head + 4, 8))
     bad(at_, "a block whose checksum is not that of its bytes");
-  at_ += block_head + length;
+  at_ += block_header_bytes + length;
   left_ = payload_;
   return true;
 }
--- a/capture/format.hpp
+++ b/capture/format.hpp
@@ -25,11 +25,11 @@
 
 namespace cometshift {
 
-constexpr std::string_view segment_mark = "CMTSHFT\x01";
+constexpr std::string_view segment_magic = "CMTSHFT\x01";
 constexpr std::uint32_t capture_format = 1;
 constexpr std::uint32_t snapshot_layout = 2;
-constexpr std::size_t block_head = 12;
-constexpr std::size_t most_block = 64 * 1024 * 1024; // a snapshot with every table full takes some MB
+constexpr std::size_t block_header_bytes = 12;
+constexpr std::size_t max_block_bytes = 64 * 1024 * 1024; // a snapshot with every table full takes some MB
 extern const char* const build_name;
 
 // What can't be read, and where: "FILE: byte N: what".
@@ -39,19 +39,19 @@
 
 // A segment that ends before its first entry, as of a writer that was killed when it began it: nothing in it
 // is lost.
-struct Unbegun : Unreadable {
+struct IncompleteSegment : Unreadable {
   using Unreadable::Unreadable;
 };
 
 // A payload with what stands before it.
-std::string block_of(std::string_view payload);
+std::string encode_block(std::string_view payload);
 // Of the settings' names and values, addresses left out.
-std::uint64_t settings_digest(const Settings& given);
-void put_settings(wire::Head& head, const Settings& given);
-Settings settings_in(const wire::Head& head);
-void put_setting(wire::Setting& into, const std::string& name, const Settings::mapped_type& value);
-void take_setting(Settings& into, const wire::Setting& one);
-void put_entry(std::string& payload, const wire::Entry& entry);
+std::uint64_t settings_digest(const Settings& settings);
+void encode_settings(wire::Head& head, const Settings& settings);
+Settings decode_settings(const wire::Head& head);
+void encode_setting(wire::Setting& into, const std::string& name, const Settings::mapped_type& value);
+void decode_setting(Settings& into, const wire::Setting& one);
+void append_entry(std::string& payload, const wire::Entry& entry);
 
 // Reads one segment, a block at a time: its memory does not grow with the file. Throws Unreadable.
 class SegmentReader {
--- a/capture/tape.cpp
+++ b/capture/recorder.cpp
@@ -1,4 +1,4 @@
-#include "tape.hpp"
+#include "recorder.hpp"
 
 #include "capture.pb.h"
 #include "format.hpp"
@@ -30,14 +30,14 @@
 
 } // namespace
 
-Tape::Tape(Actions& orders) : actions_(orders), entry_(std::make_unique<wire::Entry>()) {}
-Tape::~Tape() {
+Recorder::Recorder(Actions& orders) : actions_(orders), entry_(std::make_unique<wire::Entry>()) {}
+Recorder::~Recorder() {
   if (recording()) end(last_);
 }
 
 // ---- a recording
 
-void Tape::begin(Nanos now, const Settings& wanted, std::unique_ptr<Files> files) {
+void Recorder::begin(Nanos now, const Settings& wanted, std::unique_ptr<SegmentStorage> files) {
   if (recording()) end(now);
   bodies_ = number(wanted, "bodies", 0) != 0;
   hasher_ = std::make_unique<Hasher>();
@@ -52,28 +52,28 @@
   const std::string prefix = text(core_->settings(), "name", "server") + "-";
   name_ = prefix;
   put_hex(name_, recording_);
-  taping_ = std::make_unique<Taping>(Taping::Bounds{
+  policy_ = std::make_unique<RecordingPolicy>(RecordingPolicy::Limits{
       bytes("segment_bytes"), static_cast<Nanos>(required_number(wanted, "segment_age_ns", 1))});
-  spool_ = std::make_unique<Spool>(std::move(files), prefix,
-                                   Spool::Bounds{bytes("queue_bytes"), bytes("total_bytes")});
+  segment_writer_ = std::make_unique<SegmentWriter>(
+      std::move(files), prefix, SegmentWriter::Limits{bytes("queue_bytes"), bytes("total_bytes")});
   actions_.note("recording", "begun: " + name_);
 }
 
-void Tape::end(Nanos now) {
+void Recorder::end(Nanos now) {
   if (!recording()) return;
   close_segment(now);
   actions_.note("recording", "ended: " + figures());
-  spool_.reset();
-  taping_.reset();
+  segment_writer_.reset();
+  policy_.reset();
   block_.clear();
   block_entries_ = segment_entries_ = 0;
 }
 
-void Tape::wait_written() const {
-  if (recording()) spool_->drain();
+void Recorder::wait_written() const {
+  if (recording()) segment_writer_->drain();
 }
 
-std::string Tape::figures() const {
+std::string Recorder::figures() const {
   if (!recording()) return "none";
   char text[320];
   std::snprintf(
@@ -81,51 +81,54 @@
       "%llu entries in %u segments, %llu bytes written and %llu to be, longest write %.1f ms, %llu segments "
       "removed; %llu "
       "gaps, %llu entries lost in them or more; %s",
-      static_cast<unsigned long long>(entries_), segment_, static_cast<unsigned long long>(spool_->written()),
-      static_cast<unsigned long long>(spool_->queued()), static_cast<double>(spool_->longest_write()) / ms,
-      static_cast<unsigned long long>(spool_->removed()), static_cast<unsigned long long>(taping_->gaps()),
-      static_cast<unsigned long long>(taping_->lost_in_all()), spool_->failure().c_str());
+      static_cast<unsigned long long>(entries_), segment_,
+      static_cast<unsigned long long>(segment_writer_->written()),
+      static_cast<unsigned long long>(segment_writer_->queued()),
+      static_cast<double>(segment_writer_->longest_write()) / ms,
+      static_cast<unsigned long long>(segment_writer_->removed()),
+      static_cast<unsigned long long>(policy_->gaps()),
+      static_cast<unsigned long long>(policy_->total_lost()), segment_writer_->failure().c_str());
   return text;
 }
 
-std::string Tape::concealed(std::string_view word) const {
+std::string Recorder::concealed(std::string_view word) const {
   return conceal_ && !word.empty() ? (*conceal_)(word) : std::string(word);
 }
 
-void Tape::lose(Nanos now, std::uint64_t entries) {
-  const std::string why = spool_->failure();
-  if (!taping_->in_gap()) actions_.note("recording", "a gap begins: " + why);
-  taping_->lost(now, entries, why);
+void Recorder::lose(Nanos now, std::uint64_t entries) {
+  const std::string reason = segment_writer_->failure();
+  if (!policy_->in_gap()) actions_.note("recording", "a gap begins: " + reason);
+  policy_->lost(now, entries, reason);
   block_.clear();
   block_entries_ = 0;
 }
 
 // Hands over what was gathered; false if it was lost.
-bool Tape::flush(Nanos now) {
+bool Recorder::flush(Nanos now) {
   if (block_.empty()) return true;
-  std::string block = block_of(block_);
+  std::string block = encode_block(block_);
   const std::uint64_t size = block.size();
-  if (!spool_->put(std::move(block))) {
+  if (!segment_writer_->put(std::move(block))) {
     lose(now, block_entries_);
     return false;
   }
-  taping_->took(size);
+  policy_->took(size);
   block_.clear();
   block_entries_ = 0;
   return true;
 }
 
 // Its last entry, handed over; false if it was lost.
-bool Tape::close_segment(Nanos now) {
-  if (segment_entries_ == 0 || taping_->in_gap()) return true;
+bool Recorder::close_segment(Nanos now) {
+  if (segment_entries_ == 0 || policy_->in_gap()) return true;
   wire::Entry last;
   last.set_after(std::max<Nanos>(0, now - last_));
   last.mutable_end()->set_entries(segment_entries_);
-  put_entry(block_, last);
+  append_entry(block_, last);
   return flush(now);
 }
 
-bool Tape::open_segment(Nanos now) {
+bool Recorder::open_segment(Nanos now) {
   if (!close_segment(now)) return false;
   wire::Head head;
   head.set_format(capture_format);
@@ -133,40 +136,40 @@
   head.set_build(build_name);
   head.set_recording(recording_);
   head.set_segment(segment_ + 1);
-  put_settings(head, core_->settings());
+  encode_settings(head, core_->settings());
   head.set_concealed(conceal_ != nullptr);
   head.set_bodies(bodies_);
   head.set_at(now);
   head.set_server(text(core_->settings(), "name", ""));
-  std::string payload, bytes(segment_mark);
+  std::string payload, bytes(segment_magic);
   head.SerializeToString(&payload);
-  bytes += block_of(payload);
+  bytes += encode_block(payload);
   payload.clear();
   wire::Entry first;
   Writer writer(
       *first.mutable_snapshot(), [this](std::string_view word) { return concealed(word); },
-      [this](std::string_view held) { return token_of(digest_of(held)); });
+      [this](std::string_view held) { return digest_token(digest_of(held)); });
   core_->serialize(writer);
-  put_entry(payload, first);
-  if (taping_->in_gap()) {
+  append_entry(payload, first);
+  if (policy_->in_gap()) {
     wire::Entry gap;
-    gap.mutable_gap()->set_entries(taping_->lost_entries());
-    gap.mutable_gap()->set_why(taping_->why());
-    put_entry(payload, gap);
+    gap.mutable_gap()->set_entries(policy_->lost_entries());
+    gap.mutable_gap()->set_why(policy_->reason());
+    append_entry(payload, gap);
   }
-  bytes += block_of(payload);
+  bytes += encode_block(payload);
   std::string number = std::to_string(segment_ + 1);
   number.insert(0, digits_of_segment - std::min(digits_of_segment, number.size()), '0');
   const std::uint64_t size = bytes.size();
-  if (!spool_->begin(name_ + "-" + number + ".capture", std::move(bytes))) {
+  if (!segment_writer_->begin(name_ + "-" + number + ".capture", std::move(bytes))) {
     lose(now, 1);
     return false;
   }
-  if (taping_->in_gap())
+  if (policy_->in_gap())
     actions_.note("recording",
-                  "a gap ends: " + std::to_string(taping_->lost_entries()) + " entries lost or more");
+                  "a gap ends: " + std::to_string(policy_->lost_entries()) + " entries lost or more");
   ++segment_;
-  taping_->began(now, size);
+  policy_->began(now, size);
   block_.clear();
   block_entries_ = segment_entries_ = 0;
   last_ = now;
@@ -174,21 +177,21 @@
 }
 
 // Whether the event that comes now is recorded, with a segment open for it.
-bool Tape::ready(Nanos now) {
-  switch (taping_->step(now)) {
-  case Taping::Step::leave_out:
+bool Recorder::ready(Nanos now) {
+  switch (policy_->step(now)) {
+  case RecordingPolicy::Step::skip:
     return false;
-  case Taping::Step::begin_segment:
+  case RecordingPolicy::Step::begin_segment:
     return open_segment(now);
-  case Taping::Step::record:
+  case RecordingPolicy::Step::record:
     return true;
   }
   return false;
 }
 
-void Tape::commit(Nanos now) {
+void Recorder::commit(Nanos now) {
   if (block_.empty()) block_begun_ = now;
-  put_entry(block_, *entry_);
+  append_entry(block_, *entry_);
   ++block_entries_;
   ++segment_entries_;
   ++entries_;
@@ -196,28 +199,29 @@
 }
 
 template <class Put, class Run>
-void Tape::event(Nanos now, Put put, Run run) {
-  taping_now_ = recording() && ready(now);
-  if (!taping_now_) return run();
+void Recorder::event(Nanos now, Put put, Run run) {
+  recording_event_ = recording() && ready(now);
+  if (!recording_event_) return run();
   entry_->Clear();
   entry_->set_after(now - last_);
   last_ = now;
   put(*entry_);
   run();
-  taping_now_ = false;
+  recording_event_ = false;
   commit(now);
 }
 
-void Tape::reloaded(Nanos now, std::string_view words) {
+void Recorder::reloaded(Nanos now, std::string_view words) {
   event(
       now, [&](wire::Entry& entry) { entry.set_reload(std::string(words)); }, [] {});
 }
 
 // ---- events
 
-void Tape::op_received(Nanos now, StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
-                       Nanos received_at, Nanos limit, double held_kb, double rank, std::string_view mark,
-                       std::string_view subject, Content body, Digest body_digest) {
+void Recorder::op_received(Nanos now, StreamRef line, OpId id, OpTypeId type, TenantId tenant,
+                           CallerId caller, Nanos received_at, Nanos limit, double held_kb, double rank,
+                           std::string_view mark, std::string_view subject, Content body,
+                           Digest body_digest) {
   event(
       now,
       [&](wire::Entry& entry) {
@@ -242,24 +246,24 @@
                            subject, std::move(body), body_digest);
       });
 }
-void Tape::stream_lost(Nanos now, StreamRef line) {
+void Recorder::stream_lost(Nanos now, StreamRef line) {
   event(
       now, [&](wire::Entry& entry) { put_line(*entry.mutable_line_lost(), line); },
       [&] { core_->stream_lost(now, line); });
 }
-void Tape::machine_up(Nanos now, Nanos since) {
+void Recorder::machine_up(Nanos now, Nanos since) {
   event(
       now, [&](wire::Entry& entry) { entry.set_machine_up(since); }, [&] { core_->machine_up(now, since); });
 }
-void Tape::link_up(Nanos now, StartNo known) {
+void Recorder::link_up(Nanos now, StartNo known) {
   event(
       now, [&](wire::Entry& entry) { entry.set_link_up(known.raw); }, [&] { core_->link_up(now, known); });
 }
-void Tape::link_down(Nanos now) {
+void Recorder::link_down(Nanos now) {
   event(
       now, [](wire::Entry& entry) { entry.set_link_down(true); }, [&] { core_->link_down(now); });
 }
-void Tape::run_finished(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) {
+void Recorder::run_finished(Nanos now, OpId id, Outcome outcome, Nanos lag, Content result) {
   event(
       now,
       [&](wire::Entry& entry) {
@@ -271,7 +275,7 @@
       },
       [&] { core_->run_finished(now, id, outcome, lag, std::move(result)); });
 }
-void Tape::call_wanted(Nanos now, OpId id, Content body) {
+void Recorder::call_wanted(Nanos now, OpId id, Content body) {
   event(
       now,
       [&](wire::Entry& entry) {
@@ -280,12 +284,12 @@
       },
       [&] { core_->call_wanted(now, id, std::move(body)); });
 }
-void Tape::start_refused(Nanos now, OpId id) {
+void Recorder::start_refused(Nanos now, OpId id) {
   event(
       now, [&](wire::Entry& entry) { entry.set_start_refused(id.raw); },
       [&] { core_->start_refused(now, id); });
 }
-void Tape::gauges(Nanos now, std::span<const double> values) {
+void Recorder::gauges(Nanos now, std::span<const double> values) {
   event(
       now,
       [&](wire::Entry& entry) {
@@ -293,7 +297,7 @@
       },
       [&] { core_->gauges(now, values); });
 }
-void Tape::call_finished(Nanos now, OpId id, Outcome outcome, Content reply) {
+void Recorder::call_finished(Nanos now, OpId id, Outcome outcome, Content reply) {
   event(
       now,
       [&](wire::Entry& entry) {
@@ -304,25 +308,25 @@
       },
       [&] { core_->call_finished(now, id, outcome, std::move(reply)); });
 }
-void Tape::due(Nanos now) {
+void Recorder::due(Nanos now) {
   event(
       now, [](wire::Entry& entry) { entry.set_due(true); }, [&] { core_->due(now); });
 }
-void Tape::answer_repeats(Nanos now) {
+void Recorder::answer_repeats(Nanos now) {
   event(
       now, [](wire::Entry& entry) { entry.set_settle(true); }, [&] { core_->answer_repeats(now); });
 }
-void Tape::drain(Nanos now) {
+void Recorder::drain(Nanos now) {
   event(
       now, [](wire::Entry& entry) { entry.set_leave(true); }, [&] { core_->drain(now); });
 }
 
-void Tape::set_pools(Nanos now, const Settings& pools) {
+void Recorder::set_pools(Nanos now, const Settings& pools) {
   event(
       now,
       [&](wire::Entry& entry) {
         for (const auto& [name, value] : pools)
-          if (Pools::is_setting(name)) put_setting(*entry.mutable_pools()->add_setting(), name, value);
+          if (Pools::is_setting(name)) encode_setting(*entry.mutable_pools()->add_setting(), name, value);
         entry.mutable_pools();
       },
       [&] { core_->set_pools(now, pools); });
@@ -330,19 +334,19 @@
 
 // ---- orders
 
-Digest Tape::digest_of(std::string_view bytes) const {
+Digest Recorder::digest_of(std::string_view bytes) const {
   Digest digest;
   if (!bytes.empty()) std::tie(digest.high, digest.low) = (*hasher_)(bytes);
   return digest;
 }
-Digest Tape::digest(const Content& content) { return digest_of(content.bytes); }
+Digest Recorder::digest(const Content& content) { return digest_of(content.bytes); }
 
-void Tape::take(const Decided& one) {
+void Recorder::take(const Decision& one) {
   wire::Order& order = *entry_->add_order();
   order.set_kind(static_cast<std::uint32_t>(one.kind));
   order.set_op(one.op.raw);
   if (one.line != StreamRef{}) put_line(*order.mutable_line(), one.line);
-  order.set_why(static_cast<std::uint32_t>(one.why));
+  order.set_why(static_cast<std::uint32_t>(one.reason));
   order.set_span(one.span);
   order.set_value(one.value);
   order.set_flag(one.flag);
@@ -353,63 +357,63 @@
   order.set_start(one.start);
 }
 
-void Tape::served(StreamRef line, OpId op, Content result) {
-  if (taping_now_)
+void Recorder::served(StreamRef line, OpId op, Content result) {
+  if (recording_event_)
     take({.kind = Kind::served, .op = op, .line = line, .content = digest(result), .size = result.size});
   actions_.served(line, op, std::move(result));
 }
-void Tape::refused(StreamRef line, OpId op, Reason why, Nanos retry_after, bool no_retry) {
-  if (taping_now_) Listener::refused(line, op, why, retry_after, no_retry);
-  actions_.refused(line, op, why, retry_after, no_retry);
+void Recorder::refused(StreamRef line, OpId op, Reason reason, Nanos retry_after, bool no_retry) {
+  if (recording_event_) DecisionSink::refused(line, op, reason, retry_after, no_retry);
+  actions_.refused(line, op, reason, retry_after, no_retry);
 }
-void Tape::failed(StreamRef line, OpId op, Reason why) {
-  if (taping_now_) Listener::failed(line, op, why);
-  actions_.failed(line, op, why);
+void Recorder::failed(StreamRef line, OpId op, Reason reason) {
+  if (recording_event_) DecisionSink::failed(line, op, reason);
+  actions_.failed(line, op, reason);
 }
-void Tape::penalize(StreamRef line) {
-  if (taping_now_) Listener::penalize(line);
+void Recorder::penalize(StreamRef line) {
+  if (recording_event_) DecisionSink::penalize(line);
   actions_.penalize(line);
 }
-void Tape::start(OpId op, OpTypeId type, const Content& body, StartNo number) {
-  if (taping_now_) Listener::start(op, type, body, number);
+void Recorder::start(OpId op, OpTypeId type, const Content& body, StartNo number) {
+  if (recording_event_) DecisionSink::start(op, type, body, number);
   actions_.start(op, type, body, number);
 }
-void Tape::resume(OpId op, const Content& reply) {
-  if (taping_now_) Listener::resume(op, reply);
+void Recorder::resume(OpId op, const Content& reply) {
+  if (recording_event_) DecisionSink::resume(op, reply);
   actions_.resume(op, reply);
 }
-void Tape::call(OpId op, Nanos time_out, const Content& body) {
-  if (taping_now_) Listener::call(op, time_out, body);
+void Recorder::call(OpId op, Nanos time_out, const Content& body) {
+  if (recording_event_) DecisionSink::call(op, time_out, body);
   actions_.call(op, time_out, body);
 }
-void Tape::cancel_call(OpId op) {
-  if (taping_now_) Listener::cancel_call(op);
+void Recorder::cancel_call(OpId op) {
+  if (recording_event_) DecisionSink::cancel_call(op);
   actions_.cancel_call(op);
 }
-void Tape::health(bool good) {
-  if (taping_now_) Listener::health(good);
+void Recorder::health(bool good) {
+  if (recording_event_) DecisionSink::health(good);
   actions_.health(good);
 }
-void Tape::notify_callers(double value) {
-  if (taping_now_) Listener::notify_callers(value);
+void Recorder::notify_callers(double value) {
+  if (recording_event_) DecisionSink::notify_callers(value);
   actions_.notify_callers(value);
 }
-void Tape::set_idle_timeout(Nanos after) {
-  if (taping_now_) Listener::set_idle_timeout(after);
+void Recorder::set_idle_timeout(Nanos after) {
+  if (recording_event_) DecisionSink::set_idle_timeout(after);
   actions_.set_idle_timeout(after);
 }
-void Tape::set_timing(Timing what, Nanos time) {
-  if (taping_now_) Listener::set_timing(what, time);
+void Recorder::set_timing(Timing what, Nanos time) {
+  if (recording_event_) DecisionSink::set_timing(what, time);
   actions_.set_timing(what, time);
 }
-void Tape::set_eviction_order(std::span<const Eviction> order, int max_invalid_ops) {
-  if (taping_now_) Listener::set_eviction_order(order, max_invalid_ops);
+void Recorder::set_eviction_order(std::span<const Eviction> order, int max_invalid_ops) {
+  if (recording_event_) DecisionSink::set_eviction_order(order, max_invalid_ops);
   actions_.set_eviction_order(order, max_invalid_ops);
 }
-void Tape::stop_accepting() {
-  if (taping_now_) Listener::stop_accepting();
+void Recorder::stop_accepting() {
+  if (recording_event_) DecisionSink::stop_accepting();
   actions_.stop_accepting();
 }
-void Tape::note(const char* kind, std::string_view words) { actions_.note(kind, words); }
+void Recorder::note(const char* kind, std::string_view words) { actions_.note(kind, words); }
 
 } // namespace cometshift
--- a/capture/tape.hpp
+++ b/capture/recorder.hpp
@@ -3,10 +3,10 @@
 #pragma once
 
 #include "core.hpp"
-#include "decided.hpp"
+#include "decision.hpp"
 #include "digest.hpp"
-#include "keeping.hpp"
-#include "spool.hpp"
+#include "recording_policy.hpp"
+#include "segment_writer.hpp"
 
 #include <functional>
 #include <memory>
@@ -18,18 +18,18 @@
 
 namespace cometshift {
 
-class Tape final : public Events, public Listener {
+class Recorder final : public Events, public DecisionSink {
  public:
-  explicit Tape(Actions& orders); // where orders go on to
-  ~Tape() override;
+  explicit Recorder(Actions& orders); // where orders go on to
+  ~Recorder() override;
   void bind(Core& core) { core_ = &core; }
 
   // What a recording is to hold, by name (operator file, docs/capture.md): "folder", "segment_bytes",
   // "segment_age_ns", "total_bytes", "queue_bytes", "bodies", "conceal".
   // A recording that is under way ends first.
-  void begin(Nanos now, const Settings& wanted, std::unique_ptr<Files> files);
+  void begin(Nanos now, const Settings& wanted, std::unique_ptr<SegmentStorage> files);
   void end(Nanos now); // with its last block handed over, not waited for
-  bool recording() const { return spool_ != nullptr; }
+  bool recording() const { return segment_writer_ != nullptr; }
   void wait_written() const; // until the disk has taken, or refused, all that was handed over; not for a loop
   void reloaded(Nanos now, std::string_view words); // is written down for readers
   // Of the recording: entries, blocks, bytes written, gaps, entries lost, segments removed.
@@ -53,8 +53,8 @@
   void set_pools(Nanos now, const Settings& pools) override;
 
   void served(StreamRef line, OpId op, Content result) override;
-  void refused(StreamRef line, OpId op, Reason why, Nanos retry_after, bool no_retry) override;
-  void failed(StreamRef line, OpId op, Reason why) override;
+  void refused(StreamRef line, OpId op, Reason reason, Nanos retry_after, bool no_retry) override;
+  void failed(StreamRef line, OpId op, Reason reason) override;
   void penalize(StreamRef line) override;
   void start(OpId op, OpTypeId type, const Content& body, StartNo number) override;
   void resume(OpId op, const Content& reply) override;
@@ -69,7 +69,7 @@
   void note(const char* kind, std::string_view words) override;
 
  private:
-  void take(const Decided& one) override;
+  void take(const Decision& one) override;
   Digest digest(const Content& content) override;
   Digest digest_of(std::string_view bytes) const;
   // Runs one event, with what `put` makes of its entry before it if it is recorded.
@@ -85,8 +85,8 @@
 
   Actions& actions_;
   Core* core_ = nullptr;
-  std::unique_ptr<Spool> spool_; // null: nothing is recorded
-  std::unique_ptr<Taping> taping_;
+  std::unique_ptr<SegmentWriter> segment_writer_; // null: nothing is recorded
+  std::unique_ptr<RecordingPolicy> policy_;
   std::unique_ptr<wire::Entry> entry_;
   std::unique_ptr<Hasher> hasher_;
   std::unique_ptr<Pseudonymizer> conceal_; // null: marks and subjects are written as they are
@@ -100,7 +100,7 @@
   std::uint64_t segment_entries_ = 0;
   std::uint64_t entries_ = 0;
   bool bodies_ = false;
-  bool taping_now_ = false; // this event is
+  bool recording_event_ = false; // this event is
 };
 
 } // namespace cometshift
--- a/capture/keeping.hpp
+++ b/capture/recording_policy.hpp
@@ -13,17 +13,17 @@
 namespace cometshift {
 
 // On the loop's side: what is recorded, what is lost, when the next segment begins.
-class Taping {
+class RecordingPolicy {
  public:
-  struct Bounds {
+  struct Limits {
     std::uint64_t segment_bytes;
     Nanos segment_age;
   };
-  explicit Taping(Bounds bounds) : bounds_(bounds) {}
+  explicit RecordingPolicy(Limits limits) : limits_(limits) {}
 
   // What to do with the event that comes now.
   enum class Step {
-    leave_out,     // nothing is recorded; it counts as lost
+    skip,          // nothing is recorded; it counts as lost
     record,        // in the open segment
     begin_segment, // a new one first
   };
@@ -31,33 +31,33 @@
   void began(Nanos now, std::uint64_t bytes); // a segment, with its head and snapshot taken by the queue
   void took(std::uint64_t bytes);             // a block was taken by the queue
   // The queue was full, or the disk failed, with so many entries that were not taken.
-  void lost(Nanos now, std::uint64_t entries, std::string why);
+  void lost(Nanos now, std::uint64_t entries, std::string reason);
 
-  bool in_gap() const { return gap_; }
+  bool in_gap() const { return in_gap_; }
   std::uint64_t lost_entries() const { return lost_; } // in the gap
-  const std::string& why() const { return why_; }
+  const std::string& reason() const { return reason_; }
   std::uint64_t gaps() const { return gaps_; }
-  std::uint64_t lost_in_all() const { return lost_in_all_; }
+  std::uint64_t total_lost() const { return total_lost_; }
 
  private:
-  Bounds bounds_;
+  Limits limits_;
   bool open_ = false;
-  bool gap_ = false;
+  bool in_gap_ = false;
   std::uint64_t bytes_ = 0;
-  Nanos begun_ = 0;
-  Nanos try_at_ = 0;
-  Nanos rest_ = 0;
+  Nanos segment_opened_at_ = 0;
+  Nanos retry_at_ = 0;
+  Nanos retry_delay_ = 0;
   std::uint64_t lost_ = 0;
-  std::uint64_t lost_in_all_ = 0;
+  std::uint64_t total_lost_ = 0;
   std::uint64_t gaps_ = 0;
-  std::string why_;
+  std::string reason_;
 };
 
 // On the writer's side: the files there are, oldest first, and which have to go so that a total is never
 // passed.
-class Shelf {
+class SegmentRetention {
  public:
-  explicit Shelf(std::uint64_t most_bytes) : most_(most_bytes) {}
+  explicit SegmentRetention(std::uint64_t most_bytes) : most_(most_bytes) {}
   void found(std::string name, std::uint64_t bytes); // from an earlier life, oldest first
   void opened(std::string name);                     // the newest, to which is written from now on
   void grew(std::uint64_t bytes);                    // the newest
--- a/capture/replay.cpp
+++ b/capture/replay.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t shown_before = 8; // entries before a difference: what led to it is mostly among them
+constexpr std::size_t context_entries = 8; // entries before a difference: what led to it is mostly among them
 constexpr double ns_a_ms = 1e6;
 
 std::string ms_of(Nanos span) {
@@ -25,7 +25,7 @@
 }
 Content content_in(const wire::Content& content) {
   if (content.size() == 0) return {};
-  return Content(token_of({content.high(), content.low()}), content.size());
+  return Content(digest_token({content.high(), content.low()}), content.size());
 }
 std::string named(const std::vector<std::string>& names, std::uint32_t at, const char* kind) {
   return at < names.size() ? names[at] : std::string(kind) + " " + std::to_string(at);
@@ -33,13 +33,13 @@
 
 } // namespace
 
-std::vector<std::string> in_order(const std::vector<std::string>& paths) {
+std::vector<std::string> sort_segments(const std::vector<std::string>& paths) {
   std::vector<std::tuple<std::uint64_t, std::uint32_t, std::string>> found;
   for (const std::string& path : paths) {
     try {
       const SegmentReader reader(path);
       found.emplace_back(reader.head().recording(), reader.head().segment(), path);
-    } catch (const Unbegun&) {
+    } catch (const IncompleteSegment&) {
       if (paths.size() == 1) throw;
     }
   }
@@ -49,23 +49,23 @@
   return sorted;
 }
 
-std::vector<std::string> names_in(const Settings& given, const char* list) {
+std::vector<std::string> configured_names(const Settings& settings, const char* list) {
   std::vector<std::string> names;
   for (int i = 0;; ++i) {
     const std::string at = list + std::to_string(i) + ".name";
-    if (!given.contains(at)) return names;
-    names.push_back(text(given, at, ""));
+    if (!settings.contains(at)) return names;
+    names.push_back(text(settings, at, ""));
   }
 }
 
-std::vector<Decided> orders_in(const wire::Entry& entry) {
-  std::vector<Decided> orders;
+std::vector<Decision> recorded_decisions(const wire::Entry& entry) {
+  std::vector<Decision> orders;
   orders.reserve(static_cast<std::size_t>(entry.order_size()));
   for (const wire::Order& one : entry.order())
     orders.push_back({.kind = static_cast<Kind>(one.kind()),
                       .op = OpId{one.op()},
                       .line = line_in(one.line()),
-                      .why = static_cast<Reason>(one.why()),
+                      .reason = static_cast<Reason>(one.why()),
                       .span = one.span(),
                       .value = one.value(),
                       .flag = one.flag(),
@@ -78,7 +78,7 @@
 
 std::string words_of(const wire::Entry& entry, const std::vector<std::string>& op_types,
                      const std::vector<std::string>& tenants) {
-  const auto op = [](std::uint64_t raw) { return hex_of(OpId{raw}); };
+  const auto op = [](std::uint64_t raw) { return op_id_text(OpId{raw}); };
   const auto over = [&](const char* what, const wire::Over& one) {
     return std::string(what) + " " + op(one.op()) + " over: " + words_of(static_cast<Outcome>(one.outcome()));
   };
@@ -145,61 +145,63 @@
   return "an event that this build does not know";
 }
 
-Player::Player(const std::vector<std::string>& paths) : paths_(in_order(paths)) {}
-Player::~Player() = default;
+Replayer::Replayer(const std::vector<std::string>& paths) : paths_(sort_segments(paths)) {}
+Replayer::~Replayer() = default;
 
-const wire::Head& Player::head() const { return reader_->head(); }
+const wire::Head& Replayer::head() const { return reader_->head(); }
 
 // ---- what the core decides
 
-void Player::take(const Decided& one) {
-  if (deaf_) return;
-  if (when_answered && is_final(one.kind)) {
+void Replayer::take(const Decision& one) {
+  if (initializing_) return;
+  if (on_final_decision && is_final(one.kind)) {
     DecisionInputs figures;
     const bool known = core_->explain(now_, one.op, figures);
-    when_answered(now_, one, known ? &figures : nullptr);
+    on_final_decision(now_, one, known ? &figures : nullptr);
   }
-  decided_.push_back(one);
-  if (lent_ && one.kind == Kind::start && !lent_->known.contains(one.op) && one.number < lent_->usual.size())
-    lent_->due.emplace(now_ + lent_->usual[one.number], std::pair(one.op, lent_->usual[one.number]));
+  replayed_.push_back(one);
+  if (simulated_ && one.kind == Kind::start && !simulated_->known.contains(one.op) &&
+      one.number < simulated_->usual.size())
+    simulated_->due.emplace(now_ + simulated_->usual[one.number],
+                            std::pair(one.op, simulated_->usual[one.number]));
 }
-void Player::note(const char* kind, std::string_view) {
-  if (!deaf_ && std::string_view(kind) == "notice") ++passed_over_;
+void Replayer::note(const char* kind, std::string_view) {
+  if (!initializing_ && std::string_view(kind) == "notice") ++passed_over_;
 }
-Digest Player::digest(const Content& content) { return digest_in(content.bytes); }
+Digest Replayer::digest(const Content& content) { return token_digest(content.bytes); }
 
 // ---- what it is told
 
-std::string Player::where() const { return reader_->path() + ": byte " + std::to_string(reader_->at()); }
+std::string Replayer::where() const { return reader_->path() + ": byte " + std::to_string(reader_->at()); }
 
-void Player::restore(const wire::Entry& entry) {
+void Replayer::restore(const wire::Entry& entry) {
   if (reader_->head().layout() != snapshot_layout)
     throw Unreadable(where() + ": a snapshot of layout " + std::to_string(reader_->head().layout()) +
                      ", this build reads " + std::to_string(snapshot_layout));
-  given_ = settings_in(reader_->head());
-  op_types_ = names_in(given_, "op_type.");
-  tenants_ = names_in(given_, "tenant.");
+  settings_ = decode_settings(reader_->head());
+  op_types_ = configured_names(settings_, "op_type.");
+  tenants_ = configured_names(settings_, "tenant.");
   try {
-    deaf_ = true;
-    core_.reset(new Core(now_, given_, *this));
-    deaf_ = false;
+    initializing_ = true;
+    core_.reset(new Core(now_, settings_, *this));
+    initializing_ = false;
     Reader reader(entry.snapshot());
     core_->serialize(reader);
     if (!reader.at_end()) throw std::invalid_argument("snapshot: more than this build remembers");
   } catch (const std::invalid_argument& e) {
-    deaf_ = false;
+    initializing_ = false;
     throw Unreadable(where() + ": " + e.what());
   }
 }
 
-std::string Player::snapshot(const std::function<std::string(std::string_view)>& conceal) {
+std::string Replayer::snapshot(const std::function<std::string(std::string_view)>& conceal) {
   std::string bytes;
   Writer writer(bytes, conceal);
   core_->serialize(writer);
   return bytes;
 }
 
-void Player::give(const wire::Entry& entry) {
+void Replayer::give(const wire::Entry& entry) {
   const auto outcome_of = [&](std::uint32_t raw) {
     if (raw > static_cast<std::uint32_t>(Outcome::moot))
       throw Unreadable(where() + ": an outcome that there is not");
@@ -246,7 +248,7 @@
     return core_->drain(now_);
   case wire::Entry::kPools: {
     Settings pools;
-    for (const wire::Setting& one : entry.pools().setting()) take_setting(pools, one);
+    for (const wire::Setting& one : entry.pools().setting()) decode_setting(pools, one);
     return core_->set_pools(now_, pools);
   }
   case wire::Entry::kReload:
@@ -260,23 +262,23 @@
 }
 
 // Takes the entry over and leaves an old one in its place, whose memory is used again.
-void Player::remember(wire::Entry& entry) {
+void Replayer::remember(wire::Entry& entry) {
   auto kept =
-      before_.size() < shown_before ? std::make_unique<wire::Entry>() : std::move(before_.front().second);
-  if (before_.size() == shown_before) before_.pop_front();
+      before_.size() < context_entries ? std::make_unique<wire::Entry>() : std::move(before_.front().second);
+  if (before_.size() == context_entries) before_.pop_front();
   kept->Swap(&entry);
   before_.emplace_back(now_, std::move(kept));
 }
 
-std::string Player::differs(const wire::Entry& entry) const {
+std::string Replayer::differs(const wire::Entry& entry) const {
   std::string said = "entry " + std::to_string(at_entry_) + " of " + reader_->path() + "\n";
   for (const auto& [at, one] : before_)
     said += "  +" + ms_of(at - first_) + " ms  " + words_of(*one, op_types_, tenants_) + "\n";
   said += "  +" + ms_of(now_ - first_) + " ms  " + words_of(entry, op_types_, tenants_) + "   <- here\n";
-  for (std::size_t i = 0; i < std::max(recorded_.size(), decided_.size()); ++i) {
+  for (std::size_t i = 0; i < std::max(recorded_.size(), replayed_.size()); ++i) {
     const std::string was = i < recorded_.size() ? words_of(recorded_[i], op_types_) : "nothing";
-    const std::string is = i < decided_.size() ? words_of(decided_[i], op_types_) : "nothing";
-    if (i < recorded_.size() && i < decided_.size() && recorded_[i] == decided_[i])
+    const std::string is = i < replayed_.size() ? words_of(replayed_[i], op_types_) : "nothing";
+    if (i < recorded_.size() && i < replayed_.size() && recorded_[i] == replayed_[i])
       said += "    both:     " + was + "\n";
     else
       said += "    recorded: " + was + "\n    replayed: " + is + "\n";
@@ -285,27 +287,27 @@
 }
 
 // Ends of runs that only this build started, in between the recorded entries.
-void Player::lend(const std::function<void(const Step&)>& each, Result& result, Nanos until) {
+void Replayer::simulate_runs(const std::function<void(const Step&)>& each, Result& result, Nanos until) {
   const Nanos now = now_;
-  while (!lent_->due.empty() && lent_->due.begin()->first <= until) {
-    const Nanos at = lent_->due.begin()->first;
-    const auto [op, lag] = lent_->due.begin()->second;
-    lent_->due.erase(lent_->due.begin());
+  while (!simulated_->due.empty() && simulated_->due.begin()->first <= until) {
+    const Nanos at = simulated_->due.begin()->first;
+    const auto [op, lag] = simulated_->due.begin()->second;
+    simulated_->due.erase(simulated_->due.begin());
     now_ = std::max(now, at);
-    decided_.clear();
+    replayed_.clear();
     recorded_.clear();
     wire::Entry entry;
     entry.mutable_run_over()->set_op(op.raw);
     entry.mutable_run_over()->set_lag(lag);
     core_->run_finished(now_, op, Outcome::done, lag, {});
     ++result.lent;
-    if (each) each({now_, &entry, &recorded_, &decided_, false});
+    if (each) each({now_, &entry, &recorded_, &replayed_, false});
   }
   now_ = now;
 }
 
-Player::Result Player::play_on(const std::function<void(const Step&)>& each) {
-  auto lent = std::make_unique<Lent>();
+Replayer::Result Replayer::replay_with_simulated_runs(const std::function<void(const Step&)>& each) {
+  auto lent = std::make_unique<SimulatedRuns>();
   std::vector<std::vector<Nanos>> lags;
   std::map<OpId, std::uint32_t> types;
   for (const std::string& path : paths_) {
@@ -326,19 +328,19 @@
     std::sort(all.begin(), all.end());
     lent->usual.push_back(all.empty() ? 0 : all[all.size() / 2]);
   }
-  lent_ = std::move(lent);
+  simulated_ = std::move(lent);
   Result result = play(false, each);
-  lent_.reset();
+  simulated_.reset();
   return result;
 }
 
-Player::Result Player::play(bool strict, const std::function<void(const Step&)>& each) {
+Replayer::Result Replayer::play(bool strict, const std::function<void(const Step&)>& each) {
   Result result;
   std::unique_ptr<XXH3_state_t, XXH_errorcode (*)(XXH3_state_t*)> all(XXH3_createState(), &XXH3_freeState);
   XXH3_64bits_reset(all.get());
-  const auto note = [&](const Decided& one) {
+  const auto note = [&](const Decision& one) {
     const std::uint64_t figures[] = {static_cast<std::uint64_t>(one.kind) |
-                                         static_cast<std::uint64_t>(one.why) << 8 |
+                                         static_cast<std::uint64_t>(one.reason) << 8 |
                                          static_cast<std::uint64_t>(one.flag) << 16,
                                      one.op.raw,
                                      one.line.connection.raw,
@@ -372,11 +374,11 @@
       if (first && entry.what_case() != wire::Entry::kSnapshot)
         throw Unreadable(where() + ": no snapshot at its beginning");
       ++at_entry_;
-      if (lent_) lend(each, result, now_ + entry.after());
+      if (simulated_) simulate_runs(each, result, now_ + entry.after());
       now_ += entry.after();
-      decided_.clear();
-      recorded_ = orders_in(entry);
-      if (before_each) before_each(now_, entry);
+      replayed_.clear();
+      recorded_ = recorded_decisions(entry);
+      if (before_entry) before_entry(now_, entry);
       if (first) {
         first = false;
         // What a closed segment ended with is what the next one begins with, or something decided was not
@@ -399,11 +401,11 @@
         result.lost += entry.gap().entries();
       }
       ++result.entries;
-      result.orders += decided_.size();
+      result.orders += replayed_.size();
       result.ops += entry.what_case() == wire::Entry::kCame;
-      for (const Decided& one : decided_) note(one);
-      const bool same = decided_ == recorded_;
-      if (each) each({now_, &entry, &recorded_, &decided_, same});
+      for (const Decision& one : replayed_) note(one);
+      const bool same = replayed_ == recorded_;
+      if (each) each({now_, &entry, &recorded_, &replayed_, same});
       if (!same && result.difference.empty()) {
         result.difference = differs(entry);
         if (strict) return result;
@@ -411,7 +413,8 @@
       remember(entry);
     }
     result.torn = reader_->torn();
-    if (result.torn && result.holds_to.empty()) result.holds_to = where() + ": a block that is not whole";
+    if (result.torn && result.valid_up_to.empty())
+      result.valid_up_to = where() + ": a block that is not whole";
   }
   result.clean_end = ended;
   result.passed_over = passed_over_;
--- a/capture/replay.hpp
+++ b/capture/replay.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "core.hpp"
-#include "decided.hpp"
+#include "decision.hpp"
 #include "format.hpp"
 
 #include <deque>
@@ -19,22 +19,23 @@
 
 // Segments in the order of their recording and number, whatever the order of the names. Of several, those
 // that end before their first entry are left out.
-std::vector<std::string> in_order(const std::vector<std::string>& paths);
+std::vector<std::string> sort_segments(const std::vector<std::string>& paths);
 
 // One entry, in one line; times from the beginning of what is replayed.
 std::string words_of(const wire::Entry& entry, const std::vector<std::string>& op_types,
                      const std::vector<std::string>& tenants);
-std::vector<Decided> orders_in(const wire::Entry& entry);
-std::vector<std::string> names_in(const Settings& given, const char* list); // "op_type.", "tenant."
+std::vector<Decision> recorded_decisions(const wire::Entry& entry);
+std::vector<std::string> configured_names(const Settings& settings,
+                                          const char* list); // "op_type.", "tenant."
 
 // Plays segments, one entry at a time.
-class Player : Listener {
+class Replayer : DecisionSink {
  public:
   struct Step {
     Nanos now = 0;
     const wire::Entry* entry = nullptr;
-    const std::vector<Decided>* recorded = nullptr;
-    const std::vector<Decided>* decided = nullptr;
+    const std::vector<Decision>* recorded = nullptr;
+    const std::vector<Decision>* replayed = nullptr;
     bool same = true;
   };
   // What became of a replay. `difference` names the first, with the entries before it.
@@ -48,21 +49,21 @@
     bool torn = false;                   // ends in a block that is not whole
     bool clean_end = false;              // the last segment was closed
     std::string difference;              // empty: none
-    std::string holds_to;                // where it stops holding, if before the end
+    std::string valid_up_to;             // where it stops holding, if before the end
   };
 
-  explicit Player(const std::vector<std::string>& paths);
-  ~Player() override;
+  explicit Replayer(const std::vector<std::string>& paths);
+  ~Replayer() override;
 
   // Stops at the first difference if `strict`. `each` is handed every entry with what came of it.
   Result play(bool strict, const std::function<void(const Step&)>& each = {});
   // Goes on whatever differs. Runs that only this build starts are lent an end, after the median of their
   // type in the recording; for that it is read twice, and the ops that ran are remembered.
-  Result play_on(const std::function<void(const Step&)>& each);
+  Result replay_with_simulated_runs(const std::function<void(const Step&)>& each);
   // Before an entry is given to the core.
-  std::function<void(Nanos now, const wire::Entry& entry)> before_each;
+  std::function<void(Nanos now, const wire::Entry& entry)> before_entry;
   // Asked while a step's orders come: what is believed of an op that is being answered.
-  std::function<void(Nanos now, const Decided& one, const DecisionInputs* figures)> when_answered;
+  std::function<void(Nanos now, const Decision& one, const DecisionInputs* figures)> on_final_decision;
 
   // For cuts: at this time of the recording, what is remembered, with what was told before; used within
   // `each`.
@@ -72,7 +73,7 @@
   const std::vector<std::string>& tenants() const { return tenants_; }
 
  private:
-  void take(const Decided& one) override;
+  void take(const Decision& one) override;
   void note(const char* kind, std::string_view words) override;
   Digest digest(const Content& content) override;
   void give(const wire::Entry& entry);
@@ -83,22 +84,22 @@
 
   std::vector<std::string> paths_;
   std::unique_ptr<SegmentReader> reader_;
-  Settings given_;
+  Settings settings_;
   std::unique_ptr<Core> core_;
-  std::vector<Decided> decided_, recorded_;
+  std::vector<Decision> replayed_, recorded_;
   std::vector<std::string> op_types_, tenants_;
   std::deque<std::pair<Nanos, std::unique_ptr<wire::Entry>>> before_; // the last entries with their times
   Nanos now_ = 0, first_ = 0;
   std::uint64_t at_entry_ = 0;
-  struct Lent {                                       // ends of runs to come that the recording does not know
+  struct SimulatedRuns {                              // ends of runs to come that the recording does not know
     std::map<OpId, Nanos> known;                      // lags of those it does
     std::vector<Nanos> usual;                         // by op type
     std::multimap<Nanos, std::pair<OpId, Nanos>> due; // with the lag
   };
-  std::unique_ptr<Lent> lent_;
-  void lend(const std::function<void(const Step&)>& each, Result& result, Nanos until);
+  std::unique_ptr<SimulatedRuns> simulated_;
+  void simulate_runs(const std::function<void(const Step&)>& each, Result& result, Nanos until);
   std::uint64_t passed_over_ = 0;
-  bool deaf_ = false; // what a core orders when it is made is no decision
+  bool initializing_ = false; // what a core orders when it is made is no decision
 };
 
 } // namespace cometshift
--- a/capture/report.cpp
+++ b/capture/report.cpp
@@ -18,9 +18,9 @@
 
 constexpr double ns_a_ms = 1e6;
 constexpr Nanos ms = 1'000'000;
-constexpr Nanos room_round_op = 500 * ms; // what led to an op's end is mostly within it
+constexpr Nanos op_margin = 500 * ms; // what led to an op's end is mostly within it
 constexpr std::size_t cut_block = 32 * 1024;
-constexpr std::size_t most_lines = 40; // of a table
+constexpr std::size_t max_table_rows = 40; // of a table
 
 double in_ms(Nanos span) { return static_cast<double>(span) / ns_a_ms; }
 unsigned long long big(std::uint64_t value) { return value; }
@@ -49,14 +49,14 @@
 }
 
 // The one sentence that says which figure decided, for those who know the server and not its text.
-std::string sentence(const Decided& one, const DecisionInputs* f) {
+std::string sentence(const Decision& one, const DecisionInputs* f) {
   char text[400] = "";
   const auto say = [&](const char* format, auto... figures) {
     std::snprintf(text, sizeof text, format, figures...);
     return std::string(text);
   };
   if (!f) {
-    switch (one.why) {
+    switch (one.reason) {
     case Reason::too_many_ops:
       return "the table of ops was full";
     case Reason::too_many_keys:
@@ -66,10 +66,10 @@
     case Reason::other_mark:
       return "its mark is that of another op, with another body, whose run was heard of";
     default:
-      return one.kind == Kind::served ? "" : "the core ended it: " + std::string(to_text(one.why));
+      return one.kind == Kind::served ? "" : "the core ended it: " + std::string(to_text(one.reason));
     }
   }
-  switch (one.why) {
+  switch (one.reason) {
   case Reason::leaving:
     return say("the server was leaving and its delay was over");
   case Reason::memory:
@@ -118,7 +118,7 @@
   }
 }
 
-void say_result(const Player::Result& result, double seconds, std::FILE* out) {
+void say_result(const Replayer::Result& result, double seconds, std::FILE* out) {
   std::fprintf(out, "%llu entries, %llu orders, %llu ops, %llu segments, %.3f s of service",
                big(result.entries), big(result.orders), big(result.ops), big(result.segments),
                static_cast<double>(result.span) / 1e9);
@@ -133,8 +133,8 @@
     std::fprintf(out, "%llu gaps with %llu entries or more; each segment holds by itself\n", big(result.gaps),
                  big(result.lost));
   if (!result.clean_end)
-    std::fprintf(out, "holds to its last whole block%s%s\n", result.holds_to.empty() ? "" : "; ",
-                 result.holds_to.c_str());
+    std::fprintf(out, "holds to its last whole block%s%s\n", result.valid_up_to.empty() ? "" : "; ",
+                 result.valid_up_to.c_str());
 }
 
 } // namespace
@@ -143,8 +143,8 @@
   std::uint64_t digest = 0;
   for (int i = 0; i < times; ++i) {
     const auto from = std::chrono::steady_clock::now();
-    Player player(paths);
-    const Player::Result result = player.play(true);
+    Replayer player(paths);
+    const Replayer::Result result = player.play(true);
     const std::chrono::duration<double> took = std::chrono::steady_clock::now() - from;
     if (!result.difference.empty()) {
       std::fprintf(out, "the replay differs%s: %s", i > 0 ? " at a repetition" : "",
@@ -165,16 +165,16 @@
 
 int explain_report(const std::vector<std::string>& paths, const std::string& text, std::FILE* out) {
   const OpId op = op_in(text);
-  Player player(paths);
+  Replayer player(paths);
   Nanos first = -1;
   std::uint64_t seen = 0;
-  std::vector<std::string> why;
-  player.when_answered = [&](Nanos, const Decided& one, const DecisionInputs* figures) {
-    if (one.op == op) why.push_back(sentence(one, figures));
+  std::vector<std::string> reason;
+  player.on_final_decision = [&](Nanos, const Decision& one, const DecisionInputs* figures) {
+    if (one.op == op) reason.push_back(sentence(one, figures));
   };
   StreamRef line{};
   std::string mark;
-  const Player::Result result = player.play(false, [&](const Player::Step& step) {
+  const Replayer::Result result = player.play(false, [&](const Replayer::Step& step) {
     if (first < 0) first = step.now;
     const wire::Entry& entry = *step.entry;
     const bool about = op_of(entry) == op;
@@ -187,23 +187,23 @@
     const bool its_line = entry.what_case() == wire::Entry::kLineLost &&
                           line.connection.raw == entry.line_lost().connection() &&
                           line.stream.raw == entry.line_lost().stream();
-    const bool ordered = std::any_of(step.decided->begin(), step.decided->end(),
-                                     [&](const Decided& one) { return one.op == op; });
+    const bool ordered = std::any_of(step.replayed->begin(), step.replayed->end(),
+                                     [&](const Decision& one) { return one.op == op; });
     if (!about && !ordered && !sibling && !its_line) return;
     ++seen;
     std::fprintf(out, "%12.3f ms  %s%s\n", in_ms(step.now - first),
                  words_of(entry, player.op_types(), player.tenants()).c_str(),
                  sibling ? "   (another try under its mark)" : "");
     std::size_t next = 0;
-    for (const Decided& one : *step.decided) {
+    for (const Decision& one : *step.replayed) {
       if (one.op != op) continue;
       std::fprintf(out, "                 -> %s\n", words_of(one, player.op_types()).c_str());
-      if (is_final(one.kind) && next < why.size()) {
-        if (!why[next].empty()) std::fprintf(out, "                    %s\n", why[next].c_str());
+      if (is_final(one.kind) && next < reason.size()) {
+        if (!reason[next].empty()) std::fprintf(out, "                    %s\n", reason[next].c_str());
         ++next;
       }
     }
-    why.clear();
+    reason.clear();
   });
   if (seen == 0) {
     std::fprintf(out, "op %s is not in this recording\n", text.c_str());
@@ -217,7 +217,7 @@
 
 int info_report(const std::vector<std::string>& paths, std::FILE* out) {
   Nanos began = -1;
-  for (const std::string& path : in_order(paths)) {
+  for (const std::string& path : sort_segments(paths)) {
     SegmentReader reader(path);
     const wire::Head& head = reader.head();
     wire::Entry entry;
@@ -226,7 +226,7 @@
     std::map<std::string, std::uint64_t> events, finals;
     std::uint64_t entries = 0, snapshot = 0;
     bool ended = false;
-    const std::vector<std::string> op_types = names_in(settings_in(head), "op_type.");
+    const std::vector<std::string> op_types = configured_names(decode_settings(head), "op_type.");
     while (reader.next(entry)) {
       ++entries;
       now += entry.after();
@@ -237,10 +237,10 @@
                      entry.gap().why().c_str());
       if (entry.what_case() == wire::Entry::kCame)
         ++events["ops of " + (entry.came().type() < op_types.size() ? op_types[entry.came().type()] : "?")];
-      for (const Decided& one : orders_in(entry))
+      for (const Decision& one : recorded_decisions(entry))
         if (is_final(one.kind))
           ++finals[std::string(to_text(one.kind)) +
-                   (one.why == Reason::none ? "" : ", " + std::string(to_text(one.why)))];
+                   (one.reason == Reason::none ? "" : ", " + std::string(to_text(one.reason)))];
     }
     std::fprintf(out,
                  "%s: server %s, recording %016llx, segment %u, format %u, layout %u, build %s, settings "
@@ -262,15 +262,15 @@
 
 int list_report(const std::vector<std::string>& paths, std::uint64_t from_ms, std::uint64_t to_ms,
                 std::FILE* out) {
-  Player player(paths);
+  Replayer player(paths);
   Nanos first = -1;
-  player.play(false, [&](const Player::Step& step) {
+  player.play(false, [&](const Replayer::Step& step) {
     if (first < 0) first = step.now;
     const double at = in_ms(step.now - first);
     if (at < static_cast<double>(from_ms) || at > static_cast<double>(to_ms)) return;
     std::fprintf(out, "%12.3f ms  %s\n", at,
                  words_of(*step.entry, player.op_types(), player.tenants()).c_str());
-    for (const Decided& one : *step.recorded)
+    for (const Decision& one : *step.recorded)
       std::fprintf(out, "                 -> %s\n", words_of(one, player.op_types()).c_str());
   });
   return 0;
@@ -282,13 +282,13 @@
 
 // What became of each op on one side.
 struct Side {
-  explicit Side(const Settings& given) : rules(rule_figures(given)) {}
+  explicit Side(const Settings& settings) : rules(rule_figures(settings)) {}
   Rules rules;
   std::map<OpId, std::string> ends;
   std::map<std::string, std::uint64_t> counts;
 
-  void take(Nanos now, const std::vector<Decided>& orders) {
-    for (const Decided& one : orders) {
+  void take(Nanos now, const std::vector<Decision>& orders) {
+    for (const Decision& one : orders) {
       if (one.kind == Kind::start) rules.started(now, one.op);
       if (!is_final(one.kind)) continue;
       rules.answered(now, one.op,
@@ -296,7 +296,7 @@
                      : one.kind == Kind::refused ? Rules::Final::nacked
                                                  : Rules::Final::failed);
       std::string end(to_text(one.kind));
-      if (one.why != Reason::none) end += ", " + std::string(to_text(one.why));
+      if (one.reason != Reason::none) end += ", " + std::string(to_text(one.reason));
       ends[one.op] = end;
     }
   }
@@ -305,32 +305,32 @@
 } // namespace
 
 int compare_report(const std::vector<std::string>& paths, std::FILE* out) {
-  Player player(paths);
+  Replayer player(paths);
   std::map<OpId, std::uint32_t> types;
   std::unique_ptr<Side> was, is;
-  const Player::Result result = player.play_on([&](const Player::Step& step) {
+  const Replayer::Result result = player.replay_with_simulated_runs([&](const Replayer::Step& step) {
     const wire::Entry& entry = *step.entry;
     if (!was) {
-      const Settings given = settings_in(player.head());
-      was = std::make_unique<Side>(given);
-      is = std::make_unique<Side>(given);
+      const Settings settings = decode_settings(player.head());
+      was = std::make_unique<Side>(settings);
+      is = std::make_unique<Side>(settings);
     }
     for (Side* side : {was.get(), is.get()}) {
       Rules& rules = side->rules;
-      rules.passed_to(step.now);
+      rules.check_deadlines(step.now);
       switch (entry.what_case()) {
       case wire::Entry::kCame: {
         const wire::Came& came = entry.came();
         const Nanos received_at = step.now - came.waited();
         const Nanos time = came.limit() > 0
                                ? came.limit()
-                               : rule_figures(settings_in(player.head())).op_timeouts.at(came.type());
+                               : rule_figures(decode_settings(player.head())).op_timeouts.at(came.type());
         const std::string mark = came.mark().empty()
                                      ? std::string()
-                                     : came.mark() + token_of({came.digest_high(), came.digest_low()});
+                                     : came.mark() + digest_token({came.digest_high(), came.digest_low()});
         rules.came(step.now, OpId{came.op()}, OpTypeId{came.type()}, received_at, received_at + time, mark);
-        rules.at_line(OpId{came.op()},
-                      {ConnectionId{came.line().connection()}, StreamId{came.line().stream()}});
+        rules.assign_stream(OpId{came.op()},
+                            {ConnectionId{came.line().connection()}, StreamId{came.line().stream()}});
         types[OpId{came.op()}] = came.type();
         break;
       }
@@ -339,12 +339,12 @@
             {ConnectionId{entry.line_lost().connection()}, StreamId{entry.line_lost().stream()}});
         break;
       case wire::Entry::kLeave:
-        rules.told_to_leave(step.now);
+        rules.drain_started(step.now);
         break;
       default:
         break;
       }
-      side->take(step.now, side == was.get() ? *step.recorded : *step.decided);
+      side->take(step.now, side == was.get() ? *step.recorded : *step.replayed);
       if (entry.what_case() == wire::Entry::kRunOver)
         rules.run_over(OpId{entry.run_over().op()}, static_cast<Outcome>(entry.run_over().outcome()));
       if (entry.what_case() == wire::Entry::kStartRefused)
@@ -374,7 +374,7 @@
   std::vector<std::pair<std::uint64_t, std::string>> rows;
   for (const auto& [what, count] : changed) rows.emplace_back(count, what);
   std::sort(rows.rbegin(), rows.rend());
-  for (std::size_t i = 0; i < std::min(rows.size(), most_lines); ++i)
+  for (std::size_t i = 0; i < std::min(rows.size(), max_table_rows); ++i)
     std::fprintf(out, "  %8llu  %s\n", big(rows[i].first), rows[i].second.c_str());
   if (result.passed_over + result.lent > 0)
     std::fprintf(
@@ -395,23 +395,23 @@
   Nanos from = static_cast<Nanos>(part.from_ms * ns_a_ms), to = static_cast<Nanos>(part.to_ms * ns_a_ms);
   if (!part.op.empty()) {
     const OpId op = op_in(part.op);
-    Player look(paths);
+    Replayer look(paths);
     Nanos first = -1;
     from = to = -1;
-    look.play(false, [&](const Player::Step& step) {
+    look.play(false, [&](const Replayer::Step& step) {
       if (first < 0) first = step.now;
       const bool ordered = std::any_of(step.recorded->begin(), step.recorded->end(),
-                                       [&](const Decided& one) { return one.op == op; });
+                                       [&](const Decision& one) { return one.op == op; });
       if (op_of(*step.entry) != op && !ordered) return;
-      if (from < 0) from = std::max<Nanos>(0, step.now - first - room_round_op);
-      to = step.now - first + room_round_op;
+      if (from < 0) from = std::max<Nanos>(0, step.now - first - op_margin);
+      to = step.now - first + op_margin;
     });
     if (from < 0) {
       std::fprintf(out, "op %s is not in this recording\n", part.op.c_str());
       return 1;
     }
   }
-  Player player(paths);
+  Replayer player(paths);
   std::unique_ptr<Pseudonymizer> concealer;
   if (part.scrub) concealer = std::make_unique<Pseudonymizer>();
   const auto conceal = [&](std::string_view word) {
@@ -425,7 +425,7 @@
   };
   std::string payload;
   const auto flush = [&] {
-    if (!payload.empty()) write(block_of(payload));
+    if (!payload.empty()) write(encode_block(payload));
     payload.clear();
   };
   Nanos first = -1, last = 0;
@@ -438,17 +438,17 @@
     head.set_segment(1);
     head.set_concealed(head.concealed() || part.scrub);
     head.set_bodies(head.bodies() && !part.scrub);
-    std::string bytes(segment_mark), raw;
+    std::string bytes(segment_magic), raw;
     head.SerializeToString(&raw);
-    write(bytes + block_of(raw));
+    write(bytes + encode_block(raw));
     wire::Entry snapshot;
     snapshot.set_snapshot(state);
-    put_entry(payload, snapshot);
+    append_entry(payload, snapshot);
     flush();
     open = true;
     last = now;
   };
-  player.before_each = [&](Nanos now, const wire::Entry& entry) {
+  player.before_entry = [&](Nanos now, const wire::Entry& entry) {
     if (first < 0) first = now;
     if (entry.what_case() == wire::Entry::kSnapshot || entry.what_case() == wire::Entry::kEnd) return;
     if (!open && !over && now - first >= from) {
@@ -456,14 +456,14 @@
       begin(now);
     }
   };
-  player.play(false, [&](const Player::Step& step) {
+  player.play(false, [&](const Replayer::Step& step) {
     if (!open) return;
     if (step.entry->what_case() == wire::Entry::kGap) over = true; // what follows it is another state
     if (to >= 0 && step.now - first > to) over = true;
     if (over) {
       wire::Entry end;
       end.mutable_end()->set_entries(entries);
-      put_entry(payload, end);
+      append_entry(payload, end);
       flush();
       open = false;
       return;
@@ -486,14 +486,14 @@
       if (copy.what_case() == wire::Entry::kCallWanted)
         copy.mutable_call_wanted()->mutable_body()->clear_bytes();
     }
-    put_entry(payload, copy);
+    append_entry(payload, copy);
     ++entries;
     if (payload.size() >= cut_block) flush();
   });
   if (open) {
     wire::Entry end;
     end.mutable_end()->set_entries(entries);
-    put_entry(payload, end);
+    append_entry(payload, end);
     flush();
   }
   if (std::fflush(file.get()) != 0 || !written_well) throw Unreadable(into + ": could not be written whole");
--- a/capture/rules.cpp
+++ b/capture/rules.cpp
@@ -9,12 +9,12 @@
 namespace {
 constexpr Nanos ms = 1'000'000;
 constexpr Nanos slack = 150 * ms; // of each time limit on sockets: 100 ms, and 50 more
-constexpr std::size_t most_examples = 5;
+constexpr std::size_t max_examples = 5;
 } // namespace
 
 void Rules::break_rule(std::uint64_t& count, const char* what, OpId op) {
   ++count;
-  if (examples_.size() >= most_examples) return;
+  if (examples_.size() >= max_examples) return;
   std::string said(what);
   said += " ";
   put_hex(said, op.raw);
@@ -26,13 +26,13 @@
   const auto at = ops_.find(id);
   if (at == ops_.end()) return;
   const Op& op = at->second;
-  if (!(op.answered || op.unheard) || (op.started && !op.over)) return;
+  if (!(op.answered || op.client_gone) || (op.started && !op.over)) return;
   lines_.erase(op.line);
   ops_.erase(at);
 }
 
 void Rules::came(Nanos now, OpId id, OpTypeId type, Nanos received_at, Nanos due, const std::string& mark) {
-  passed_to(now);
+  check_deadlines(now);
   ++came_;
   if (ops_.contains(id)) return; // a number that is open: the second is refused, the first goes on
   const std::string effect = mark.empty() ? mark : std::to_string(type.raw).append(1, ' ').append(mark);
@@ -40,7 +40,7 @@
   dues_.emplace(due + slack, id);
 }
 
-void Rules::at_line(OpId id, StreamRef line) {
+void Rules::assign_stream(OpId id, StreamRef line) {
   const auto at = ops_.find(id);
   if (at == ops_.end()) return;
   at->second.line = line;
@@ -52,7 +52,7 @@
   if (at == lines_.end()) return;
   const OpId id = at->second;
   lines_.erase(at);
-  if (const auto op = ops_.find(id); op != ops_.end()) op->second.unheard = true;
+  if (const auto op = ops_.find(id); op != ops_.end()) op->second.client_gone = true;
   forget(id);
 }
 
@@ -63,13 +63,13 @@
   const bool again = op.started;
   op.started = true;
   op.over = false;
-  if (!again && left_at_ >= 0 && op.received_at > left_at_ + figures_.grace + slack)
+  if (!again && drain_started_at_ >= 0 && op.received_at > drain_started_at_ + figures_.grace + slack)
     break_rule(broken_.started_late, "started after the grace:", id);
   if (again || op.mark.empty()) return;
   const Nanos window = op.type.raw < figures_.key_windows.size() ? figures_.key_windows[op.type.raw] : 0;
   Effect& effect = effects_[op.mark];
   if (effect.may_have_run && effect.ran != id && op.received_at <= effect.received_at + window)
-    break_rule(broken_.twice_run, "a second run under one mark:", id);
+    break_rule(broken_.duplicate_runs, "a second run under one mark:", id);
   effect = {id, op.received_at, true};
   effect_ends_.emplace(now + window + slack, op.mark);
 }
@@ -91,7 +91,7 @@
   const auto at = ops_.find(id);
   if (at == ops_.end()) return;
   Op& op = at->second;
-  if (op.answered) return break_rule(broken_.twice_answered, "answered twice:", id);
+  if (op.answered) return break_rule(broken_.duplicate_answers, "answered twice:", id);
   op.answered = true;
   if (!op.lost && now > op.due + slack) break_rule(broken_.late, "answered late:", id);
   if (final == Final::nacked && op.started && !op.mark.empty())
@@ -99,17 +99,17 @@
   forget(id);
 }
 
-void Rules::told_to_leave(Nanos now) {
-  if (left_at_ < 0) left_at_ = now;
+void Rules::drain_started(Nanos now) {
+  if (drain_started_at_ < 0) drain_started_at_ = now;
 }
 
-void Rules::passed_to(Nanos now) {
+void Rules::check_deadlines(Nanos now) {
   for (; !dues_.empty() && dues_.begin()->first < now; dues_.erase(dues_.begin())) {
     const OpId id = dues_.begin()->second;
     const auto at = ops_.find(id);
     if (at == ops_.end()) continue;
     Op& op = at->second;
-    if (op.answered || op.unheard || op.lost || op.due + slack != dues_.begin()->first) continue;
+    if (op.answered || op.client_gone || op.lost || op.due + slack != dues_.begin()->first) continue;
     op.lost = true;
     break_rule(broken_.lost, "no answer by its due time:", id);
   }
@@ -129,22 +129,22 @@
       "lost %llu, late %llu, answered twice %llu, run twice %llu, nacked after a run %llu, started after the "
       "grace %llu",
       static_cast<unsigned long long>(b.lost), static_cast<unsigned long long>(b.late),
-      static_cast<unsigned long long>(b.twice_answered), static_cast<unsigned long long>(b.twice_run),
+      static_cast<unsigned long long>(b.duplicate_answers), static_cast<unsigned long long>(b.duplicate_runs),
       static_cast<unsigned long long>(b.nacked_after_run), static_cast<unsigned long long>(b.started_late));
   return text;
 }
 
-Rules::Figures rule_figures(const Settings& given) {
+Rules::Figures rule_figures(const Settings& settings) {
   Rules::Figures figures;
-  figures.grace = span(given, "drain_grace_ns", 0);
-  for (int t = 0; given.contains("op_type." + std::to_string(t) + ".name"); ++t) {
+  figures.grace = span(settings, "drain_grace_ns", 0);
+  for (int t = 0; settings.contains("op_type." + std::to_string(t) + ".name"); ++t) {
     const std::string at = "op_type." + std::to_string(t) + ".";
-    const std::string repeats = text(given, at + "repeats", "retryable");
+    const std::string repeats = text(settings, at + "repeats", "retryable");
     figures.repeats.push_back(repeats == "keyed"           ? RetryClass::keyed
                               : repeats == "non_retryable" ? RetryClass::non_retryable
                                                            : RetryClass::retryable);
-    figures.op_timeouts.push_back(span(given, at + "op_timeout_ns", 0));
-    figures.key_windows.push_back(span(given, at + "key_window_ns", 0));
+    figures.op_timeouts.push_back(span(settings, at + "op_timeout_ns", 0));
+    figures.key_windows.push_back(span(settings, at + "key_window_ns", 0));
   }
   return figures;
 }
--- a/capture/rules.hpp
+++ b/capture/rules.hpp
@@ -27,23 +27,23 @@
   // `due`: latest time of its answer. An op without a mark has an empty one.
   void came(Nanos now, OpId op, OpTypeId type, Nanos received_at, Nanos due, const std::string& mark);
   void stream_lost(StreamRef line); // nobody waits for the answers on it
-  void at_line(OpId op, StreamRef line);
+  void assign_stream(OpId op, StreamRef line);
   void started(Nanos now, OpId op);
   void run_over(OpId op, Outcome outcome);
   enum class Final { served, nacked, failed };
   void answered(Nanos now, OpId op, Final final);
-  void told_to_leave(Nanos now);
-  void passed_to(Nanos now); // what is overdue by now is lost, whatever comes later
+  void drain_started(Nanos now);
+  void check_deadlines(Nanos now); // what is overdue by now is lost, whatever comes later
 
   struct Broken {
-    std::uint64_t lost = 0;             // no final answer by the due time
-    std::uint64_t late = 0;             // one, but after it
-    std::uint64_t twice_answered = 0;   // more than one
-    std::uint64_t twice_run = 0;        // a keyed effect
-    std::uint64_t nacked_after_run = 0; // a keyed op told that it never ran, though it did
+    std::uint64_t lost = 0;              // no final answer by the due time
+    std::uint64_t late = 0;              // one, but after it
+    std::uint64_t duplicate_answers = 0; // more than one
+    std::uint64_t duplicate_runs = 0;    // a keyed effect
+    std::uint64_t nacked_after_run = 0;  // a keyed op told that it never ran, though it did
     std::uint64_t started_late = 0; // came later than the grace after the notice to leave, and was started
     std::uint64_t total() const {
-      return lost + late + twice_answered + twice_run + nacked_after_run + started_late;
+      return lost + late + duplicate_answers + duplicate_runs + nacked_after_run + started_late;
     }
   };
   const Broken& broken() const { return broken_; }
@@ -58,7 +58,7 @@
     StreamRef line{};
     std::string mark;
     bool answered = false;
-    bool unheard = false; // nobody waits any more
+    bool client_gone = false; // nobody waits any more
     bool lost = false;
     bool started = false;
     bool over = false;
@@ -80,10 +80,10 @@
   Broken broken_;
   std::vector<std::string> examples_;
   std::uint64_t came_ = 0;
-  Nanos left_at_ = -1;
+  Nanos drain_started_at_ = -1;
 };
 
 std::string words_of(const Rules::Broken& broken);
-Rules::Figures rule_figures(const Settings& given);
+Rules::Figures rule_figures(const Settings& settings);
 
 } // namespace cometshift
--- a/capture/spool.cpp
+++ b/capture/segment_writer.cpp
@@ -1,4 +1,4 @@
-#include "spool.hpp"
+#include "segment_writer.hpp"
 
 #include <algorithm>
 #include <atomic>
@@ -18,24 +18,24 @@
 namespace {
 
 constexpr std::string_view ending_of_names = ".capture";
-constexpr auto leave_within =
+constexpr auto shutdown_timeout =
     std::chrono::milliseconds(500); // for a hanging disk: less than any time to a kill
 constexpr int folder_mode = 0700;   // recordings are for who runs the server
 constexpr int file_mode = 0600;
 
-class RealFiles final : public Files {
+class FolderStorage final : public SegmentStorage {
   std::filesystem::path folder_;
   int fd_ = -1;
-  std::string why_;
+  std::string reason_;
 
   bool failed(const char* what) {
-    why_ = std::string(what) + ": " + std::strerror(errno);
+    reason_ = std::string(what) + ": " + std::strerror(errno);
     return false;
   }
 
  public:
-  explicit RealFiles(const std::string& folder) : folder_(folder) {}
-  ~RealFiles() override { close(); }
+  explicit FolderStorage(const std::string& folder) : folder_(folder) {}
+  ~FolderStorage() override { close(); }
   bool open(const std::string& name) override {
     close();
     ::mkdir(folder_.c_str(), folder_mode);
@@ -66,109 +66,111 @@
     std::sort(found.begin(), found.end());
     return found;
   }
-  std::string why() const override { return why_; }
+  std::string reason() const override { return reason_; }
 };
 
 } // namespace
 
-std::unique_ptr<Files> files_in(const std::string& folder) { return std::make_unique<RealFiles>(folder); }
+std::unique_ptr<SegmentStorage> folder_storage(const std::string& folder) {
+  return std::make_unique<FolderStorage>(folder);
+}
 
-struct Spool::Work {
-  struct Piece {
+struct SegmentWriter::Work {
+  struct Chunk {
     std::string name; // of a new segment; empty: more of the last
     std::string bytes;
   };
 
-  std::unique_ptr<Files> files;
+  std::unique_ptr<SegmentStorage> files;
   std::string prefix;
-  Bounds bounds;
-  Shelf shelf;         // the writer's
-  bool broken = false; // the writer's: the open segment has failed, what belongs to it is passed over
+  Limits limits;
+  SegmentRetention retention; // the writer's
+  bool broken = false;        // the writer's: the open segment has failed, what belongs to it is passed over
 
   std::mutex lock;
   std::condition_variable wake, idle;
-  std::deque<Piece> queue;
+  std::deque<Chunk> queue;
   std::size_t queued = 0; // bytes, that in hand too
   bool ending = false, ended = false;
   bool failed = false; // the last segment taken has
   std::string failure;
   std::atomic<std::uint64_t> written{0}, failures{0}, removed{0}, longest_write{0};
 
-  Work(std::unique_ptr<Files> f, std::string p, Bounds b)
-      : files(std::move(f)), prefix(std::move(p)), bounds(b), shelf(b.total_bytes) {}
-  bool take(Piece piece, bool whatever_failed);
+  Work(std::unique_ptr<SegmentStorage> f, std::string p, Limits b)
+      : files(std::move(f)), prefix(std::move(p)), limits(b), retention(b.total_bytes) {}
+  bool take(Chunk chunk, bool new_segment);
   void run();
-  void write(Piece piece);
+  void write(Chunk chunk);
   bool make_room(std::uint64_t bytes);
-  void fail(const std::string& why);
+  void fail(const std::string& reason);
 };
 
-Spool::Spool(std::unique_ptr<Files> files, std::string prefix, Bounds bounds)
-    : work_(std::make_shared<Work>(std::move(files), std::move(prefix), bounds)),
+SegmentWriter::SegmentWriter(std::unique_ptr<SegmentStorage> files, std::string prefix, Limits limits)
+    : work_(std::make_shared<Work>(std::move(files), std::move(prefix), limits)),
       thread_([work = work_] { work->run(); }) {}
 
-Spool::~Spool() {
+SegmentWriter::~SegmentWriter() {
   std::unique_lock hold(work_->lock);
   work_->ending = true;
   work_->wake.notify_all();
-  const bool ended = work_->idle.wait_for(hold, leave_within, [this] { return work_->ended; });
+  const bool ended = work_->idle.wait_for(hold, shutdown_timeout, [this] { return work_->ended; });
   hold.unlock();
   ended ? thread_.join() : thread_.detach();
 }
 
 // ---- the loop's side
 
-bool Spool::Work::take(Piece piece, bool whatever_failed) {
+bool SegmentWriter::Work::take(Chunk chunk, bool new_segment) {
   {
     const std::lock_guard hold(lock);
-    if (!whatever_failed && failed) return false;
-    if (queued + piece.bytes.size() > bounds.queue_bytes) {
+    if (!new_segment && failed) return false;
+    if (queued + chunk.bytes.size() > limits.queue_bytes) {
       failure = "its queue is full";
       return false;
     }
-    queued += piece.bytes.size();
-    if (whatever_failed) failed = false;
-    queue.push_back(std::move(piece));
+    queued += chunk.bytes.size();
+    if (new_segment) failed = false;
+    queue.push_back(std::move(chunk));
   }
   wake.notify_one();
   return true;
 }
-bool Spool::begin(const std::string& name, std::string bytes) {
+bool SegmentWriter::begin(const std::string& name, std::string bytes) {
   return work_->take({name, std::move(bytes)}, true);
 }
-bool Spool::put(std::string bytes) { return work_->take({{}, std::move(bytes)}, false); }
+bool SegmentWriter::put(std::string bytes) { return work_->take({{}, std::move(bytes)}, false); }
 
-std::string Spool::failure() const {
+std::string SegmentWriter::failure() const {
   const std::lock_guard hold(work_->lock);
   return work_->failure;
 }
-std::uint64_t Spool::written() const { return work_->written; }
-std::uint64_t Spool::queued() const {
+std::uint64_t SegmentWriter::written() const { return work_->written; }
+std::uint64_t SegmentWriter::queued() const {
   const std::lock_guard hold(work_->lock);
   return work_->queued;
 }
-std::uint64_t Spool::failures() const { return work_->failures; }
-std::uint64_t Spool::removed() const { return work_->removed; }
-std::uint64_t Spool::longest_write() const { return work_->longest_write; }
-void Spool::drain() {
+std::uint64_t SegmentWriter::failures() const { return work_->failures; }
+std::uint64_t SegmentWriter::removed() const { return work_->removed; }
+std::uint64_t SegmentWriter::longest_write() const { return work_->longest_write; }
+void SegmentWriter::drain() {
   std::unique_lock hold(work_->lock);
   work_->idle.wait(hold, [this] { return work_->queued == 0; });
 }
 
 // ---- the writer's side
 
-void Spool::Work::run() {
+void SegmentWriter::Work::run() {
   for (const auto& [name, bytes] : files->list())
-    if (name.starts_with(prefix) && name.ends_with(ending_of_names)) shelf.found(name, bytes);
+    if (name.starts_with(prefix) && name.ends_with(ending_of_names)) retention.found(name, bytes);
   std::unique_lock hold(lock);
   for (;;) {
     wake.wait(hold, [this] { return ending || !queue.empty(); });
     if (queue.empty()) break;
-    Piece piece = std::move(queue.front());
+    Chunk chunk = std::move(queue.front());
     queue.pop_front();
-    const std::size_t size = piece.bytes.size();
+    const std::size_t size = chunk.bytes.size();
     hold.unlock();
-    write(std::move(piece));
+    write(std::move(chunk));
     hold.lock();
     queued -= size;
     if (queued == 0) idle.notify_all();
@@ -178,44 +180,44 @@
   idle.notify_all();
 }
 
-void Spool::Work::fail(const std::string& why) {
+void SegmentWriter::Work::fail(const std::string& reason) {
   broken = true;
   files->close();
   ++failures;
   const std::lock_guard hold(lock);
-  failure = why;
+  failure = reason;
   // A segment taken meanwhile stands on its own.
-  failed = std::none_of(queue.begin(), queue.end(), [](const Piece& piece) { return !piece.name.empty(); });
+  failed = std::none_of(queue.begin(), queue.end(), [](const Chunk& chunk) { return !chunk.name.empty(); });
 }
 
-bool Spool::Work::make_room(std::uint64_t bytes) {
-  while (const auto oldest = shelf.to_remove(bytes)) {
-    if (!files->remove(*oldest)) return fail(files->why()), false;
-    shelf.removed();
+bool SegmentWriter::Work::make_room(std::uint64_t bytes) {
+  while (const auto oldest = retention.to_remove(bytes)) {
+    if (!files->remove(*oldest)) return fail(files->reason()), false;
+    retention.removed();
     ++removed;
   }
-  return shelf.fits(bytes) || (fail("one segment takes all the room there is"), false);
+  return retention.fits(bytes) || (fail("one segment takes all the room there is"), false);
 }
 
-void Spool::Work::write(Piece piece) {
+void SegmentWriter::Work::write(Chunk chunk) {
   const auto from = std::chrono::steady_clock::now();
-  if (!piece.name.empty()) {
+  if (!chunk.name.empty()) {
     broken = false;
-    if (!files->open(piece.name)) return fail(files->why());
-    shelf.opened(piece.name);
+    if (!files->open(chunk.name)) return fail(files->reason());
+    retention.opened(chunk.name);
   }
-  const bool first = !piece.name.empty();
+  const bool first = !chunk.name.empty();
   if (broken) return;
-  const bool room = make_room(piece.bytes.size());
+  const bool room = make_room(chunk.bytes.size());
   // What a failed write left stands behind the last block that is whole: a reader ends there. A segment that
   // did not even begin is taken away again.
-  if (room) shelf.grew(piece.bytes.size());
-  if (!room || !files->write(piece.bytes)) {
-    if (room) fail(files->why());
-    if (first && files->remove(piece.name)) shelf.withdrawn();
+  if (room) retention.grew(chunk.bytes.size());
+  if (!room || !files->write(chunk.bytes)) {
+    if (room) fail(files->reason());
+    if (first && files->remove(chunk.name)) retention.withdrawn();
     return;
   }
-  written += piece.bytes.size();
+  written += chunk.bytes.size();
   const auto took =
       std::chrono::duration_cast<std::chrono::nanoseconds>(std::chrono::steady_clock::now() - from);
   longest_write = std::max<std::uint64_t>(longest_write, static_cast<std::uint64_t>(took.count()));
--- a/capture/spool.hpp
+++ b/capture/segment_writer.hpp
@@ -4,7 +4,7 @@
 // then is left to itself.
 #pragma once
 
-#include "keeping.hpp"
+#include "recording_policy.hpp"
 
 #include <memory>
 #include <string>
@@ -14,29 +14,29 @@
 namespace cometshift {
 
 // The files of one folder. Errors are told, not thrown: false, with `errno`'s words in `why()`.
-class Files {
+class SegmentStorage {
  public:
-  virtual ~Files() = default;
+  virtual ~SegmentStorage() = default;
   virtual bool open(const std::string& name) = 0; // new, to be written; closes the one before
   virtual bool write(const std::string& bytes) = 0;
   virtual void close() = 0;
   virtual bool remove(const std::string& name) = 0;
   virtual std::vector<std::pair<std::string, std::uint64_t>> list() = 0; // names and sizes, by name
-  virtual std::string why() const = 0;
+  virtual std::string reason() const = 0;
 };
-std::unique_ptr<Files> files_in(const std::string& folder);
+std::unique_ptr<SegmentStorage> folder_storage(const std::string& folder);
 
-class Spool {
+class SegmentWriter {
  public:
-  struct Bounds {
+  struct Limits {
     std::size_t queue_bytes;
     std::uint64_t total_bytes;
   };
   // Only files whose names begin with `prefix` and end in `.capture` are counted and removed.
-  Spool(std::unique_ptr<Files> files, std::string prefix, Bounds bounds);
-  ~Spool();
-  Spool(const Spool&) = delete;
-  Spool& operator=(const Spool&) = delete;
+  SegmentWriter(std::unique_ptr<SegmentStorage> files, std::string prefix, Limits limits);
+  ~SegmentWriter();
+  SegmentWriter(const SegmentWriter&) = delete;
+  SegmentWriter& operator=(const SegmentWriter&) = delete;
 
   // A new segment that begins with these bytes, or more of the last one. False, with nothing taken, where the
   // queue has no room, or the last segment has failed: then only a new segment can be taken.
--- a/emulator/fleet.cpp
+++ b/emulator/fleet.cpp
@@ -286,8 +286,8 @@
   Rules::Broken& all = fleet.row.broken;
   all.lost += b.lost;
   all.late += b.late;
-  all.twice_answered += b.twice_answered;
-  all.twice_run += b.twice_run;
+  all.duplicate_answers += b.duplicate_answers;
+  all.duplicate_runs += b.duplicate_runs;
   all.nacked_after_run += b.nacked_after_run;
   all.started_late += b.started_late;
   for (const std::string& one : rules.examples())
@@ -532,7 +532,7 @@
     const StreamRef line{ConnectionId{1}, StreamId{static_cast<std::uint32_t>(op.raw)}};
     const OpTypeId type{static_cast<std::uint32_t>(asked_for->kind)};
     node.rules.came(unix_begin + now, op, type, unix_begin + sent, unix_begin + sent + left, mark);
-    node.rules.at_line(op, line);
+    node.rules.assign_stream(op, line);
     const Digest digest{asked_for->id.raw * 0x9e3779b97f4a7c15ULL,
                         static_cast<std::uint64_t>(asked_for->kind) + 1};
     node.tell(now, [&](Nanos t) {
@@ -599,7 +599,7 @@
     } else if (one.what == "slow") {
       node.slowed = begins ? one.figure : 1;
     } else if (one.what == "drain" && begins && node.up) {
-      node.tell(now, [&](Nanos t) { node.rules.told_to_leave(t), node.told->drain(t); });
+      node.tell(now, [&](Nanos t) { node.rules.drain_started(t), node.told->drain(t); });
     }
     if (node.up) node.arm(now);
   }
@@ -627,7 +627,7 @@
     what();
   }
   for (auto& node : nodes) {
-    node->rules.passed_to(unix_begin + now);
+    node->rules.check_deadlines(unix_begin + now);
     node->settle_rules();
   }
   row.service = worth_asked > 0 ? worth_served / worth_asked : 0;
--- a/fleet/rig.cpp
+++ b/fleet/rig.cpp
@@ -205,11 +205,12 @@
                                 std::to_string(cost.exit_code));
   }
   if (by_us) life.whole = false;
-  if (life.whole) life.rules->passed_to(load::unix_now());
+  if (life.whole) life.rules->check_deadlines(load::unix_now());
   const Rules::Broken& broken = life.rules->broken();
   // A server that was killed or stood still loses ops and is late; it never does twice.
   const std::uint64_t wrong =
-      life.whole ? broken.total() : broken.twice_answered + broken.twice_run + broken.nacked_after_run;
+      life.whole ? broken.total()
+                 : broken.duplicate_answers + broken.duplicate_runs + broken.nacked_after_run;
   outcome_.rules_broken += wrong;
   if (wrong > 0)
     for (const std::string& one : life.rules->examples())
@@ -385,7 +386,7 @@
     if (!one.up || one.stopped || one.leaving) return;
     one.leaving = true;
     one.down_for = std::max<Nanos>(length, ms);
-    one.life->rules->told_to_leave(load::unix_now());
+    one.life->rules->drain_started(load::unix_now());
     one.child->tell(SIGTERM);
   } else if (what == "restart-voters") {
     for (unsigned v = 1; v <= voters; ++v) kill(seats_[v - 1], length);
@@ -484,7 +485,7 @@
     if (seat.stopped) go_on(seat);
     seat.leaving = true;
     seat.down_for = 0;
-    seat.life->rules->told_to_leave(load::unix_now());
+    seat.life->rules->drain_started(load::unix_now());
     seat.child->tell(SIGTERM);
   }
   const Nanos told = now();
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -159,7 +159,7 @@
       }
       if (!policy.fixed.empty() && policy.queue == 0) kdl::wrong(file, child.at, "fixed: goes with queue");
       if (!of_operators.empty())
-        for (const auto& entry : operator_of(of_operators, file))
+        for (const auto& entry : parse_operator_nodes(of_operators, file))
           if (Pools::is_setting(entry.first)) policy.settings.insert(entry);
       made.policies.push_back(std::move(policy));
     } else {
--- a/load/callers.cpp
+++ b/load/callers.cpp
@@ -125,7 +125,7 @@
   ++tries_;
   rules_.came(there, op, OpTypeId{static_cast<std::uint32_t>(request.kind)}, there / ms * ms,
               there / ms * ms + left, request.mark);
-  rules_.at_line(op, {ConnectionId{c->id}, StreamId{stream}});
+  rules_.assign_stream(op, {ConnectionId{c->id}, StreamId{stream}});
   // A client waits no longer than its limit.
   auto timer = std::make_shared<asio::steady_timer>(io_, std::chrono::nanoseconds(left + answer_room));
   timer->async_wait([this, timer, c, stream](asio::error_code error) {
--- a/load/main.cpp
+++ b/load/main.cpp
@@ -166,7 +166,7 @@
       } else if (fault.what == "reload")
         server.tell(SIGHUP);
       else if (fault.what == "leave")
-        server.tell(SIGTERM), rules.told_to_leave(unix_now()), left_at = now;
+        server.tell(SIGTERM), rules.drain_started(unix_now()), left_at = now;
       else if (fault.what == "strangers")
         callers.strangers(static_cast<int>(f), wanted.seed + next_fault);
       else if (fault.what == "callers-reset")
@@ -178,7 +178,7 @@
       else if (fault.what == "resend")
         demand.resend(f);
     }
-    rules.passed_to(unix_now());
+    rules.check_deadlines(unix_now());
     if (!wanted.quiet && now - shown >= 2 * second) {
       shown = now;
       std::uint64_t asked = 0, good = 0;
@@ -191,7 +191,7 @@
     }
     if (left_at < 0 && now >= length && (callers.idle() || now >= length + settle_time)) {
       server.tell(SIGTERM);
-      rules.told_to_leave(unix_now());
+      rules.drain_started(unix_now());
       left_at = now;
     }
     const bool ended = server.ended(cost);
@@ -202,7 +202,7 @@
     over = ended && (callers.idle() || now - left_at > settle_time || now > length + settle_time);
     if (ended && left_at < 0) break; // it crashed
   }
-  rules.passed_to(unix_now());
+  rules.check_deadlines(unix_now());
 
   std::printf("\n%-12s %8s %8s %7s %8s %7s %6s  %9s %9s %9s\n", "op type", "requests", "in time", "late",
               "refused", "failed", "none", "p50 ms", "p99 ms", "p99.9 ms");
--- a/node/host.cpp
+++ b/node/host.cpp
@@ -83,9 +83,9 @@
       interpreter_(io_, text(settings, "vm", ""), part_of(settings, "memory_mb", mb, link_memory_divisor),
                    *this),
       records_(io_, text(settings, "records", ""), part_of(settings, "sockets", 1, calls_socket_divisor)),
-      announce_(io_, text(settings, "announce", ""), text(settings, "name", "")), tape_(*this) {
-  core_.reset(new Core(now(), settings, tape_));
-  tape_.bind(*core_);
+      announce_(io_, text(settings, "announce", ""), text(settings, "name", "")), recorder_(*this) {
+  core_.reset(new Core(now(), settings, recorder_));
+  recorder_.bind(*core_);
   apply_operator_settings(operator_settings);
   if (number(operator_settings, "fleet.on", 0) != 0) {
     member_ = std::make_unique<Member>(io_, part_of(operator_settings, "fleet."));
@@ -115,7 +115,7 @@
     run_ready_handlers();
     finish_turn();
   }
-  tape_.end(now());
+  recorder_.end(now());
 }
 
 // The number of handlers is bounded, so that peers that send without end can't delay due times.
@@ -128,7 +128,7 @@
     if (error) return;
     try {
       const Settings operator_settings =
-          operator_path_.empty() ? operator_settings_ : read_operator(operator_path_);
+          operator_path_.empty() ? operator_settings_ : read_operator_file(operator_path_);
       reload(read_configuration(config_path_), operator_settings);
     } catch (const std::exception& e) { // an invalid file changes nothing
       log_info("reload", "rejected, nothing changed: %s", e.what());
@@ -151,12 +151,12 @@
   configure_log(text(operator_settings, "log.format", "text") == "json",
                 text(operator_settings, "log.level", "info"));
   if (pool_settings(operator_settings) != pool_settings(operator_settings_))
-    tape_.set_pools(now(), pool_settings(operator_settings));
+    recorder_.set_pools(now(), pool_settings(operator_settings));
   const Settings recording = part_of(operator_settings, "recording.");
   if (recording != part_of(operator_settings_, "recording.")) {
-    tape_.end(now());
+    recorder_.end(now());
     if (number(recording, "on", 0) != 0)
-      tape_.begin(now(), recording, files_in(text(recording, "folder", "")));
+      recorder_.begin(now(), recording, folder_storage(text(recording, "folder", "")));
   }
   if (member_) {
     if (number(operator_settings, "fleet.on", 0) != 0) member_->reload(part_of(operator_settings, "fleet."));
@@ -173,7 +173,7 @@
   interpreter_.set_address(text(settings, "vm", ""));
   records_.set_address(text(settings, "records", ""));
   announce_.set_address(text(settings, "announce", ""));
-  if (tape_.recording()) tape_.reloaded(now(), "addresses, and what operators set");
+  if (recorder_.recording()) recorder_.reloaded(now(), "addresses, and what operators set");
 }
 
 bool Host::poll() {
@@ -190,12 +190,12 @@
 }
 
 void Host::finish_turn() {
-  if (core_->anything_due(now())) tape_.due(now());
+  if (core_->anything_due(now())) recorder_.due(now());
   request_gauges();
   if (stopped_accepting_)
     front_.stop_accepting(); // not from within the core's action, as it can pass further ops to the core
   do {                       // a stream lost while writing can make the core answer or start others
-    if (core_->has_repeats_to_answer()) tape_.answer_repeats(now());
+    if (core_->has_repeats_to_answer()) recorder_.answer_repeats(now());
     front_.flush(now());
   } while (core_->has_repeats_to_answer());
   interpreter_.flush();
@@ -227,7 +227,7 @@
 
 void Host::stop() {
   if (member_) member_->leave(); // other members can take over its leases at once
-  tape_.drain(now());
+  recorder_.drain(now());
 }
 
 // ---- events from the sockets
@@ -237,12 +237,12 @@
                        std::string_view subject, std::string_view body) {
   Digest digest;
   if (names_.keyed[type.raw] || core_->pools()) std::tie(digest.high, digest.low) = digest_(body);
-  tape_.op_received(now(), ref, id, type, tenant, caller, clock_.from_system(received_at), limit, held_kb,
-                    rank, mark, subject, Content(std::string(body)), digest);
+  recorder_.op_received(now(), ref, id, type, tenant, caller, clock_.from_system(received_at), limit, held_kb,
+                        rank, mark, subject, Content(std::string(body)), digest);
 }
-void Host::stream_lost(StreamRef ref) { tape_.stream_lost(now(), ref); }
-void Host::machine_up(Nanos since) { tape_.machine_up(now(), since); }
-void Host::link_down() { tape_.link_down(now()); }
+void Host::stream_lost(StreamRef ref) { recorder_.stream_lost(now(), ref); }
+void Host::machine_up(Nanos since) { recorder_.machine_up(now(), since); }
+void Host::link_down() { recorder_.link_down(now()); }
 
 // The answer to a query proves that the interpreter has read everything sent before the query.
 void Host::confirm_read(std::uint64_t query) {
@@ -252,23 +252,25 @@
 }
 void Host::caught_up(std::uint64_t answered_query) {
   confirm_read(answered_query);
-  tape_.link_up(now(), last_confirmed_start_);
+  recorder_.link_up(now(), last_confirmed_start_);
 }
 void Host::run_over(OpId id, Outcome outcome, Nanos lag, std::string result) {
-  tape_.run_finished(now(), id, outcome, lag, Content(std::move(result)));
+  recorder_.run_finished(now(), id, outcome, lag, Content(std::move(result)));
+}
+void Host::call_wanted(OpId id, std::string body) {
+  recorder_.call_wanted(now(), id, Content(std::move(body)));
 }
-void Host::call_wanted(OpId id, std::string body) { tape_.call_wanted(now(), id, Content(std::move(body))); }
 void Host::gauges(std::span<const double> values) {
   if (gauges_requested_at_ > 0)
     gauges_lead_ = std::min(2 * (now() - gauges_requested_at_) + ms, max_gauges_lead);
   if (interpreter_.up())
     confirm_read(interpreter_.answered_query_number()); // before it has caught up, caught_up() does this
-  tape_.gauges(now(), values);
+  recorder_.gauges(now(), values);
 }
 void Host::command_rejected(OpId id, std::string_view command) {
   log_info("interpreter", "command rejected: %.*s",
            static_cast<int>(std::min<std::size_t>(command.size(), 40)), command.data());
-  if (command == "APPLY") tape_.start_refused(now(), id);
+  if (command == "APPLY") recorder_.start_refused(now(), id);
 }
 
 // ---- actions of the core
@@ -292,7 +294,7 @@
 
 void Host::call(OpId id, Nanos timeout, const Content& body) {
   records_.call(id, timeout, body.bytes, [this, id](Outcome outcome, std::string reply) {
-    tape_.call_finished(now(), id, outcome, Content(std::move(reply)));
+    recorder_.call_finished(now(), id, outcome, Content(std::move(reply)));
   });
 }
 void Host::cancel_call(OpId id) { records_.cancel(id); }
--- a/node/host.hpp
+++ b/node/host.hpp
@@ -1,6 +1,6 @@
 // The server process: one core behind sockets. Owns the event loop and the timers, passes events to the core,
 // with the same time for all events of a turn, and carries out the core's actions; it makes no decisions. A
-// tape between the two records both if a recording is on.
+// recorder between the two records both if a recording is on.
 #pragma once
 
 #include "announce.hpp"
@@ -10,8 +10,8 @@
 #include "front.hpp"
 #include "interpreter.hpp"
 #include "member.hpp"
+#include "recorder.hpp"
 #include "records.hpp"
-#include "tape.hpp"
 
 #include <asio/io_context.hpp>
 #include <asio/signal_set.hpp>
@@ -109,7 +109,7 @@
   InterpreterLink interpreter_;
   RecordsClient records_;
   AnnounceClient announce_;
-  Tape tape_; // passes events on to the core, and the core's actions to this
+  Recorder recorder_; // passes events on to the core, and the core's actions to this
   std::unique_ptr<Core> core_;
   // Null if the operator file configures no fleet; no fleet socket is open then.
   std::unique_ptr<Member> member_;
--- a/operator/checker.cpp
+++ b/operator/checker.cpp
@@ -28,7 +28,7 @@
 }
 
 // With the largest unit in which it is whole.
-std::string in_words(double value, bool time) {
+std::string format_quantity(double value, bool time) {
   const Unit* best = nullptr;
   const auto look = [&](const auto& units) {
     for (const Unit& unit : units)
@@ -70,34 +70,34 @@
 
 } // namespace
 
-std::string nearest(std::string_view word, const std::vector<std::string>& among) {
+std::string suggest_nearest(std::string_view word, const std::vector<std::string>& candidates) {
   std::string best;
-  std::size_t least = word.size() / 2 + 1;
-  for (const std::string& one : among)
-    if (const std::size_t d = distance(word, one); d < least) {
-      least = d;
+  std::size_t min_value = word.size() / 2 + 1;
+  for (const std::string& one : candidates)
+    if (const std::size_t d = distance(word, one); d < min_value) {
+      min_value = d;
       best = one;
     }
   return best.empty() ? "" : "; did you mean " + best + "?";
 }
 
-bool Checker::measure(const Key& key, const Value& value, double& into) {
-  const bool time = key.sort == Sort::time;
+bool Checker::parse_quantity(const Key& key, const Value& value, double& result) {
+  const bool time = key.sort == ValueKind::time;
   const char* examples = time ? "\"500ms\", \"10s\" or \"5min\"" : "\"64KiB\" or \"16MiB\"";
   std::string word = value.type;
-  double figure = 0;
+  double amount = 0;
   if (const auto* number = std::get_if<double>(&value.held)) {
-    figure = *number;
+    amount = *number;
     if (word.empty()) {
       char text[32];
-      std::snprintf(text, sizeof text, "%g", figure);
+      std::snprintf(text, sizeof text, "%g", amount);
       wrong(value.at, std::string(key.name) + ": a figure without its unit; \"" + text +
                           (time ? "ms" : "MiB") + "\"? It takes " + examples);
       return false;
     }
   } else if (const auto* text = std::get_if<std::string>(&value.held)) {
     char* end = nullptr;
-    figure = std::strtod(text->c_str(), &end);
+    amount = std::strtod(text->c_str(), &end);
     if (end == text->c_str()) {
       wrong(value.at,
             std::string(key.name) + ": not a " + (time ? "time" : "size") + "; it takes " + examples);
@@ -118,75 +118,78 @@
                         "; it takes " + examples);
     return false;
   }
-  into = figure * unit->value;
-  if (!(into >= key.least && into <= key.most)) {
-    wrong(value.at, std::string(key.name) + ": out of range; from " + in_words(key.least, time) + " to " +
-                        in_words(key.most, time));
+  result = amount * unit->value;
+  if (!(result >= key.min_value && result <= key.max_value)) {
+    wrong(value.at, std::string(key.name) + ": out of range; from " + format_quantity(key.min_value, time) +
+                        " to " + format_quantity(key.max_value, time));
     return false;
   }
   return true;
 }
 
-bool Checker::percent(const std::string& name, const Value& value, double least, double most, double& into) {
+bool Checker::parse_fraction(const std::string& name, const Value& value, double min_value, double max_value,
+                             double& result) {
   const auto* text = std::get_if<std::string>(&value.held);
   char* end = nullptr;
-  if (text) into = std::strtod(text->c_str(), &end) / 100;
+  if (text) result = std::strtod(text->c_str(), &end) / 100;
   if (!text || end == text->c_str() || std::string_view(end) != "%") {
     wrong(value.at, name + ": not a part; it takes \"20%\"");
     return false;
   }
-  if (into >= least && into <= most) return true;
+  if (result >= min_value && result <= max_value) return true;
   char range[64];
-  std::snprintf(range, sizeof range, ": out of range; from %g%% to %g%%", 100 * least, 100 * most);
+  std::snprintf(range, sizeof range, ": out of range; from %g%% to %g%%", 100 * min_value, 100 * max_value);
   wrong(value.at, name + range);
   return false;
 }
 
-void Checker::take(Settings& given, const Key& key, const Value& value, const std::string& ours) {
-  double figure = 0;
+void Checker::parse_value(Settings& settings, const Key& key, const Value& value,
+                          const std::string& setting_name) {
+  double amount = 0;
   switch (key.sort) {
-  case Sort::flag:
+  case ValueKind::flag:
     if (const bool* flag = std::get_if<bool>(&value.held))
-      given[ours] = *flag ? 1.0 : 0.0;
+      settings[setting_name] = *flag ? 1.0 : 0.0;
     else
       wrong(value.at, std::string(key.name) + ": not #true or #false");
     return;
-  case Sort::time:
-  case Sort::size:
-    if (measure(key, value, figure)) given[ours] = std::floor(figure);
+  case ValueKind::time:
+  case ValueKind::size:
+    if (parse_quantity(key, value, amount)) settings[setting_name] = std::floor(amount);
     return;
-  case Sort::part:
-    if (percent(key.name, value, key.least, key.most, figure)) given[ours] = figure;
+  case ValueKind::fraction:
+    if (parse_fraction(key.name, value, key.min_value, key.max_value, amount))
+      settings[setting_name] = amount;
     return;
-  case Sort::count: {
+  case ValueKind::count: {
     const double* whole = std::get_if<double>(&value.held);
-    if (!whole || *whole != std::floor(*whole) || !(*whole >= key.least && *whole <= key.most)) {
+    if (!whole || *whole != std::floor(*whole) || !(*whole >= key.min_value && *whole <= key.max_value)) {
       char range[96];
-      std::snprintf(range, sizeof range, ": not a whole number from %g to %g", key.least, key.most);
+      std::snprintf(range, sizeof range, ": not a whole number from %g to %g", key.min_value, key.max_value);
       return wrong(value.at, key.name + std::string(range));
     }
-    given[ours] = *whole;
+    settings[setting_name] = *whole;
     return;
   }
-  case Sort::address: {
+  case ValueKind::address: {
     const auto* text = std::get_if<std::string>(&value.held);
     if (!text || !address_like(*text))
       return wrong(value.at,
                    std::string(key.name) + ": not an address with a port, such as \"127.0.0.1:6001\"");
-    given[ours] = *text;
+    settings[setting_name] = *text;
     return;
   }
-  case Sort::folder:
-  case Sort::word: {
+  case ValueKind::folder:
+  case ValueKind::word: {
     const auto* text = std::get_if<std::string>(&value.held);
     if (!text || text->empty()) return wrong(value.at, std::string(key.name) + ": not a text");
-    if (key.sort == Sort::word &&
-        std::none_of(key.words.begin(), key.words.end(), [&](const char* word) { return *text == word; })) {
+    if (key.sort == ValueKind::word && std::none_of(key.choices.begin(), key.choices.end(),
+                                                    [&](const char* word) { return *text == word; })) {
       std::string all;
-      for (const char* word : key.words) all += std::string(all.empty() ? "" : ", ") + word;
+      for (const char* word : key.choices) all += std::string(all.empty() ? "" : ", ") + word;
       return wrong(value.at, std::string(key.name) + ": " + *text + " is none of its words: " + all);
     }
-    given[ours] = *text;
+    settings[setting_name] = *text;
     return;
   }
   }
--- a/operator/checker.hpp
+++ b/operator/checker.hpp
@@ -13,64 +13,69 @@
 namespace cometshift::operator_file {
 
 using kdl::Node;
-using kdl::Place;
+using kdl::SourcePosition;
 using kdl::Value;
 
-enum class Sort { flag, time, size, part, folder, word, count, address };
+enum class ValueKind { flag, time, size, fraction, folder, word, count, address };
 
 // One key: its place in the file, its name in the map, what it may be.
 struct Key {
   const char* node;
   const char* name;
-  const char* ours;
-  Sort sort;
-  double least, most; // of times in ns, of sizes in bytes
-  const char* otherwise;
-  std::vector<const char*> words = {};
+  const char* setting_name;
+  ValueKind sort;
+  double min_value, max_value; // of times in ns, of sizes in bytes
+  const char* default_value;
+  std::vector<const char*> choices = {};
 };
 
 constexpr double ms = 1e6, second = 1e9, day = 86400e9;
 constexpr double kib = 1024, mib = 1024 * kib, gib = 1024 * mib;
 
 // The one that is likely meant, in words; empty: none is near.
-std::string nearest(std::string_view word, const std::vector<std::string>& among);
+std::string suggest_nearest(std::string_view word, const std::vector<std::string>& candidates);
 
 struct Checker {
-  std::vector<std::pair<Place, std::string>> found;
+  std::vector<std::pair<SourcePosition, std::string>> errors;
 
-  void wrong(Place at, const std::string& what) { found.emplace_back(at, what); }
+  void wrong(SourcePosition at, const std::string& what) { errors.emplace_back(at, what); }
   // A figure with its unit, as "500ms" or (ms)500.
-  bool measure(const Key& key, const Value& value, double& into);
+  bool parse_quantity(const Key& key, const Value& value, double& result);
   // A part of something, as "20%".
-  bool percent(const std::string& name, const Value& value, double least, double most, double& into);
+  bool parse_fraction(const std::string& name, const Value& value, double min_value, double max_value,
+                      double& result);
   // A value by its sort, under the key's name in the map.
-  void take(Settings& given, const Key& key, const Value& value) { take(given, key, value, key.ours); }
-  void take(Settings& given, const Key& key, const Value& value, const std::string& ours);
+  void parse_value(Settings& settings, const Key& key, const Value& value) {
+    parse_value(settings, key, value, key.setting_name);
+  }
+  void parse_value(Settings& settings, const Key& key, const Value& value, const std::string& setting_name);
   // The children of a node that takes keys only: each at most once, with one value; others are left to
   // `more`, which says whether it knows them. `keys` are those of the node.
   template <class More>
-  void take_all(Settings& given, const Node& node, const std::vector<Key>& keys, const std::string& before,
-                const std::vector<std::string>& more_names, More more);
+  void parse_children(Settings& settings, const Node& node, const std::vector<Key>& keys,
+                      const std::string& prefix, const std::vector<std::string>& other_names,
+                      More handle_other);
 };
 
 template <class More>
-void Checker::take_all(Settings& given, const Node& node, const std::vector<Key>& keys,
-                       const std::string& before, const std::vector<std::string>& more_names, More more) {
-  std::vector<std::pair<std::string, Place>> seen;
+void Checker::parse_children(Settings& settings, const Node& node, const std::vector<Key>& keys,
+                             const std::string& prefix, const std::vector<std::string>& other_names,
+                             More handle_other) {
+  std::vector<std::pair<std::string, SourcePosition>> seen;
   for (const Node& child : node.children) {
-    if (more(child)) continue;
+    if (handle_other(child)) continue;
     const Key* known = nullptr;
     std::vector<std::string> names;
     for (const Key& key : keys) {
       names.emplace_back(key.name);
       if (child.name == key.name) known = &key;
     }
-    names.insert(names.end(), more_names.begin(), more_names.end());
+    names.insert(names.end(), other_names.begin(), other_names.end());
     if (!known) {
-      wrong(child.at, child.name + ": unknown in " + node.name + nearest(child.name, names));
+      wrong(child.at, child.name + ": unknown in " + node.name + suggest_nearest(child.name, names));
       continue;
     }
-    const Place* first = nullptr;
+    const SourcePosition* first = nullptr;
     for (const auto& [name, at] : seen)
       if (name == child.name) first = &at;
     if (first) {
@@ -82,7 +87,7 @@
       wrong(child.at, child.name + ": takes one value");
       continue;
     }
-    take(given, *known, child.arguments.front(), before + known->ours);
+    parse_value(settings, *known, child.arguments.front(), prefix + known->setting_name);
   }
 }
 
--- a/operator/fleet_part.hpp
+++ b/operator/fleet_part.hpp
@@ -6,11 +6,11 @@
 
 namespace cometshift::operator_file {
 
-constexpr double most_member = 65'535; // a token's lowest bits hold a member's number (leases/)
+constexpr double max_member_number = 65'535; // a token's lowest bits hold a member's number (leases/)
 
 // Into "fleet.", with "fleet.member.N.number", ".address", ".voter", ".previous_voter" and
 // "fleet.task.N.name", ".call",
 // ".every_ns", ".limit_ns", ".fences", ".priority", ".most_an_hour", ".catch_up".
-void take_fleet(Checker& checker, Settings& given, const Node& node, const std::vector<Key>& own);
+void parse_fleet(Checker& checker, Settings& settings, const Node& node, const std::vector<Key>& own);
 
 } // namespace cometshift::operator_file
--- a/operator/kdl.cpp
+++ b/operator/kdl.cpp
@@ -10,7 +10,7 @@
 
 namespace p = tao::pegtl;
 
-constexpr std::size_t most_depth = 32; // of children in children: against a text that fills the stack
+constexpr std::size_t max_depth = 32; // of children in children: against a text that fills the stack
 
 // ---- the grammar
 
@@ -100,13 +100,13 @@
   std::string text;     // of what was last read as one
   std::string type;     // the annotation of the value to come
   std::string property; // the name of the value to come
-  Place value_at;
+  SourcePosition value_at;
   Value value;
-  Place type_at;
+  SourcePosition type_at;
 };
 
 template <class Input>
-Place place_of(const Input& in) {
+SourcePosition position_of(const Input& in) {
   const auto at = in.position();
   return {at.line, at.column};
 }
@@ -129,7 +129,7 @@
   }
 }
 
-std::string unescaped(std::string_view raw, const std::string& file, Place at) {
+std::string unescaped(std::string_view raw, const std::string& file, SourcePosition at) {
   std::string out;
   for (std::size_t i = 0; i < raw.size(); ++i) {
     if (raw[i] != '\\') {
@@ -178,7 +178,7 @@
 struct action<quoted_body> {
   template <class Input>
   static void apply(const Input& in, State& s) {
-    s.text = unescaped(in.string_view(), s.file, place_of(in));
+    s.text = unescaped(in.string_view(), s.file, position_of(in));
     s.value.held = s.text;
   }
 };
@@ -218,7 +218,7 @@
       const int base = rest[1] == 'x' ? 16 : rest[1] == 'o' ? 8 : 2;
       unsigned long long whole = 0;
       if (std::from_chars(rest.data() + 2, rest.data() + rest.size(), whole, base).ec != std::errc())
-        wrong(s.file, place_of(in), "a number too large");
+        wrong(s.file, position_of(in), "a number too large");
       number = static_cast<double>(whole);
     } else {
       number = std::strtod(std::string(rest).c_str(), nullptr);
@@ -246,7 +246,7 @@
 struct action<value_begin> {
   template <class Input>
   static void apply(const Input& in, State& s) {
-    s.value_at = place_of(in);
+    s.value_at = position_of(in);
     s.type.clear();
   }
 };
@@ -287,18 +287,18 @@
 struct action<node_begin> {
   template <class Input>
   static void apply(const Input& in, State& s) {
-    s.type_at = place_of(in);
+    s.type_at = position_of(in);
   }
 };
 template <>
 struct action<node_name> {
   template <class Input>
   static void apply(const Input& in, State& s) {
-    if (s.open.size() >= most_depth) wrong(s.file, place_of(in), "children too deep");
-    Node made;
-    made.name = s.text;
-    made.at = place_of(in);
-    s.open.push_back(std::move(made));
+    if (s.open.size() >= max_depth) wrong(s.file, position_of(in), "children too deep");
+    Node node_value;
+    node_value.name = s.text;
+    node_value.at = position_of(in);
+    s.open.push_back(std::move(node_value));
   }
 };
 template <>
@@ -312,31 +312,31 @@
 };
 
 template <class Rule>
-constexpr const char* meant = nullptr;
+constexpr const char* error_message = nullptr;
 template <>
-constexpr const char* meant<quoted_end> =
+constexpr const char* error_message<quoted_end> =
     "a text without its closing quote, or with an escape that there is not";
 template <>
-constexpr const char* meant<number_end> =
+constexpr const char* error_message<number_end> =
     "a number with letters behind it: units stand in quotes (\"500ms\")";
 template <>
-constexpr const char* meant<p::one<')'>> = "an annotation without its closing bracket";
+constexpr const char* error_message<p::one<')'>> = "an annotation without its closing bracket";
 template <>
-constexpr const char* meant<value> = "a property without its value";
+constexpr const char* error_message<value> = "a property without its value";
 template <>
-constexpr const char* meant<children_end> =
+constexpr const char* error_message<children_end> =
     "children without their closing brace, or something that is no node";
 template <>
-constexpr const char* meant<node_end> = "something that is neither a value nor the end of its node";
+constexpr const char* error_message<node_end> = "something that is neither a value nor the end of its node";
 template <>
-constexpr const char* meant<end_of_file> = "something that is no node";
+constexpr const char* error_message<end_of_file> = "something that is no node";
 
 template <class Rule>
 struct control : p::normal<Rule> {
   template <class Input, class... States>
   [[noreturn]] static void raise(const Input& in, States&&... states) {
-    if constexpr (meant<Rule> != nullptr)
-      throw p::parse_error(meant<Rule>, in);
+    if constexpr (error_message<Rule> != nullptr)
+      throw p::parse_error(error_message<Rule>, in);
     else
       p::normal<Rule>::raise(in, states...);
   }
@@ -344,7 +344,7 @@
 
 } // namespace
 
-void wrong(const std::string& file, Place at, const std::string& what) {
+void wrong(const std::string& file, SourcePosition at, const std::string& what) {
   throw Wrong(file + ":" + std::to_string(at.line) + ":" + std::to_string(at.column) + ": " + what);
 }
 
--- a/operator/kdl.hpp
+++ b/operator/kdl.hpp
@@ -14,19 +14,19 @@
 
 namespace cometshift::kdl {
 
-struct Place {
+struct SourcePosition {
   std::size_t line = 1, column = 1; // from 1, columns in bytes
 };
 
 struct Value {
   std::variant<std::monostate, bool, double, std::string> held;
   std::string type; // its annotation; empty: none
-  Place at;
+  SourcePosition at;
 };
 
 struct Node {
   std::string name;
-  Place at;
+  SourcePosition at;
   std::vector<Value> arguments;
   std::vector<std::pair<std::string, Value>> properties;
   std::vector<Node> children;
@@ -36,7 +36,7 @@
 struct Wrong : std::invalid_argument {
   using std::invalid_argument::invalid_argument;
 };
-[[noreturn]] void wrong(const std::string& file, Place at, const std::string& what);
+[[noreturn]] void wrong(const std::string& file, SourcePosition at, const std::string& what);
 
 std::vector<Node> parse(std::string_view text, const std::string& file);
 
--- a/operator/operator.hpp
+++ b/operator/operator.hpp
@@ -13,11 +13,11 @@
 
 // Names to values: "recording.folder", "log.format" and so on; times in "_ns", sizes in "_bytes", flags 0
 // or 1. Without a path or a text, all defaults. Throws std::invalid_argument.
-Settings read_operator(const std::string& path);
-Settings operator_in(std::string_view text, const std::string& file);
-Settings operator_of(const std::vector<kdl::Node>& nodes, const std::string& file);
+Settings read_operator_file(const std::string& path);
+Settings parse_operator_text(std::string_view text, const std::string& file);
+Settings parse_operator_nodes(const std::vector<kdl::Node>& nodes, const std::string& file);
 
 // The part under a name and a dot, without it: "recording." gives "folder" and so on.
-Settings part_of(const Settings& given, std::string_view before);
+Settings part_of(const Settings& settings, std::string_view prefix);
 
 } // namespace cometshift
--- a/scale/core.cpp
+++ b/scale/core.cpp
@@ -6,10 +6,10 @@
 #include "core_world.hpp"
 #include "frames.hpp"
 #include "front.hpp"
+#include "recorder.hpp"
 #include "replay.hpp"
 #include "rows.hpp"
 #include "serializer.hpp"
-#include "tape.hpp"
 
 #include <algorithm>
 #include <asio/buffer.hpp>
@@ -491,26 +491,26 @@
     }
     std::uint64_t gaps = 0;
   } silent;
-  Tape tape(silent);
+  Recorder recorder(silent);
   Nanos now = 1'764'576'000 * second;
-  Core core(now, parse_configuration(configuration_text(sizes)), tape);
-  tape.bind(core);
+  Core core(now, parse_configuration(configuration_text(sizes)), recorder);
+  recorder.bind(core);
   const auto folder = std::filesystem::temp_directory_path() / ("scale-core-" + std::to_string(getpid()));
   std::filesystem::create_directory(folder);
-  tape.begin(now,
-             {{"segment_bytes", 16777216.0},
-              {"segment_age_ns", 600e9},
-              {"total_bytes", 268435456.0},
-              {"queue_bytes", 8388608.0},
-              {"bodies", 0.0},
-              {"conceal", 0.0}},
-             files_in(folder.string()));
+  recorder.begin(now,
+                 {{"segment_bytes", 16777216.0},
+                  {"segment_age_ns", 600e9},
+                  {"total_bytes", 268435456.0},
+                  {"queue_bytes", 8388608.0},
+                  {"bodies", 0.0},
+                  {"conceal", 0.0}},
+                 folder_storage(folder.string()));
   const double wall = wall_ms();
-  tape.machine_up(now, second);
+  recorder.machine_up(now, second);
   got.emplace_back("first_event_stall_ms", wall_ms() - wall);
-  for (int k = 0; k < 50; ++k) tape.due(now += 20 * ms);
-  tape.wait_written();
-  tape.end(now);
+  for (int k = 0; k < 50; ++k) recorder.due(now += 20 * ms);
+  recorder.wait_written();
+  recorder.end(now);
   std::vector<std::string> paths;
   double bytes = 0;
   for (const auto& entry : std::filesystem::directory_iterator(folder)) {
@@ -521,7 +521,7 @@
   got.emplace_back("gaps", static_cast<double>(silent.gaps));
   double readable = 0;
   try {
-    readable = !paths.empty() && Player(paths).play(true).difference.empty();
+    readable = !paths.empty() && Replayer(paths).play(true).difference.empty();
   } catch (const std::exception& e) {
     std::fprintf(stderr, "core: %zu tenants: %s\n", tenants, e.what());
   }
--- a/server/main.cpp
+++ b/server/main.cpp
@@ -39,8 +39,8 @@
   }
   std::string operator_file() const { return option_or_environment(operators, "COMETSHIFT_OPERATOR"); }
   cometshift::Settings operator_values() const {
-    return operator_file().empty() ? cometshift::operator_in("", "")
-                                   : cometshift::read_operator(operator_file());
+    return operator_file().empty() ? cometshift::parse_operator_text("", "")
+                                   : cometshift::read_operator_file(operator_file());
   }
 };
 
--- a/tests/operator.cpp
+++ b/tests/operator.cpp
@@ -9,7 +9,7 @@
   const auto show = [](const char* what, const char* text) {
     std::printf("# %s\n", what);
     try {
-      for (const auto& [name, value] : operator_in(text, "op.kdl")) {
+      for (const auto& [name, value] : parse_operator_text(text, "op.kdl")) {
         if (const double* figure = std::get_if<double>(&value))
           std::printf("  %s %.12g\n", name.c_str(), *figure);
         else
--- a/tests/recorded.cpp
+++ b/tests/recorded.cpp
@@ -33,7 +33,7 @@
       const auto repeat = [&] { s.came(2, 1, "m1"); };
       const auto result = [&] {
         s.on_core.clear();
-        s.tape.run_finished(s.now, OpId{1}, Outcome::done, 20 * ms, Content("the result"));
+        s.recorder.run_finished(s.now, OpId{1}, Outcome::done, 20 * ms, Content("the result"));
       };
       s.pass(5 * ms);
       before ? (repeat(), result()) : (result(), repeat());
@@ -54,7 +54,7 @@
       if (arrival_first) {
         s.came(1);
       } else {
-        s.tape.due(s.now);
+        s.recorder.due(s.now);
         s.came(1);
       }
       s.pass(200 * ms);
@@ -73,7 +73,7 @@
     s.came(3);
     s.pass(30 * ms);
     s.up = true;
-    s.tape.link_up(s.now, StartNo{known});
+    s.recorder.link_up(s.now, StartNo{known});
     s.turn();
     s.pass(500 * ms);
     say_replay(replayed(s.files("link")));
@@ -84,7 +84,7 @@
     s.record();
     s.link();
     for (std::uint64_t id = 1; id < 10; ++id) s.came(id), s.pass(15 * ms);
-    s.tape.reloaded(s.now, "other addresses");
+    s.recorder.reloaded(s.now, "other addresses");
     for (std::uint64_t id = 10; id < 20; ++id) s.came(id), s.pass(15 * ms);
     s.pass(second);
     say_replay(replayed(s.files("reload")));
@@ -96,7 +96,7 @@
     s.link();
     for (std::uint64_t id = 1; id < 30; ++id) s.came(id, id % 2, "m" + std::to_string(id));
     s.pass(50 * ms);
-    s.tape.drain(s.now);
+    s.recorder.drain(s.now);
     s.pass(1500 * ms);
     s.prints = true;
     s.came(99);
@@ -130,7 +130,7 @@
     for (std::uint64_t id = 1; id < 20; ++id)
       s.came(id, 1, "secret" + std::to_string(id / 2), "private"), s.pass(20 * ms);
     s.pass(second);
-    s.tape.end(s.now);
+    s.recorder.end(s.now);
     bool found = false;
     for (const auto& [name, bytes] : s.disk->files)
       found =
@@ -152,10 +152,10 @@
       for (const auto& [name, bytes] : s.disk->files) all += bytes.size();
       most = std::max(most, all);
     }
-    s.tape.end(s.now);
+    s.recorder.end(s.now);
     std::printf("  over the total: %d; first segment gone: %d\n", most > 200'000,
                 s.disk->files.begin()->first.find("000001") == std::string::npos);
-    const Player::Result r = replayed(s.put_out("segments"));
+    const Replayer::Result r = replayed(s.put_out("segments"));
     std::printf("  replay: %s, seams checked %d, closed %d\n",
                 r.difference.empty() ? "identical" : r.difference.c_str(), r.snapshots_checked > 0,
                 r.clean_end);
--- a/tests/recorded_core.hpp
+++ b/tests/recorded_core.hpp
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "core.hpp"
+#include "recorder.hpp"
 #include "replay.hpp"
-#include "tape.hpp"
 
 #include <condition_variable>
 #include <cstdio>
@@ -36,9 +36,9 @@
   }
 };
 
-class DiskFiles final : public Files {
+class DiskFiles final : public SegmentStorage {
   std::shared_ptr<Disk> disk_;
-  std::string open_, why_;
+  std::string open_, reason_;
 
  public:
   explicit DiskFiles(std::shared_ptr<Disk> disk) : disk_(std::move(disk)) {}
@@ -57,7 +57,7 @@
     disk_->files[open_].append(bytes, 0, room);
     disk_->writes.push_back(bytes.size());
     if (room >= bytes.size()) return true;
-    why_ = "the disk is full";
+    reason_ = "the disk is full";
     return false;
   }
   void close() override {}
@@ -71,7 +71,7 @@
     for (const auto& [name, held] : disk_->files) found.emplace_back(name, held.size());
     return found;
   }
-  std::string why() const override { return why_; }
+  std::string reason() const override { return reason_; }
 };
 
 inline Settings recorded_settings() {
@@ -106,7 +106,7 @@
 class RecordedCore : public Actions {
  public:
   Nanos now = 1'764'576'000 * second;
-  Tape tape{*this};
+  Recorder recorder{*this};
   Settings given = recorded_settings();
   std::unique_ptr<Core> core;
   std::shared_ptr<Disk> disk = std::make_shared<Disk>();
@@ -118,8 +118,8 @@
   std::vector<std::string> notes; // of the recording
 
   explicit RecordedCore(std::uint64_t seed = 1) : chance(seed) {
-    core = std::make_unique<Core>(now, given, tape);
-    tape.bind(*core);
+    core = std::make_unique<Core>(now, given, recorder);
+    recorder.bind(*core);
   }
 
   void record(const Settings& more = {}) {
@@ -127,28 +127,29 @@
                     {"total_bytes", 1e9},   {"queue_bytes", 8e6},
                     {"bodies", 0.0},        {"conceal", 0.0}};
     for (const auto& [name, value] : more) wanted[name] = value;
-    tape.begin(now, wanted, std::make_unique<DiskFiles>(disk));
+    recorder.begin(now, wanted, std::make_unique<DiskFiles>(disk));
   }
   void link() {
     up = true;
-    tape.machine_up(now, 5 * second);
-    tape.link_up(now, StartNo{starts});
+    recorder.machine_up(now, 5 * second);
+    recorder.link_up(now, StartNo{starts});
   }
   void break_link() {
     up = false;
-    tape.link_down(now);
+    recorder.link_down(now);
   }
   void came(std::uint64_t id, unsigned type = 0, const std::string& mark = {},
             const std::string& body = "body", Nanos limit = 2 * second, Nanos waited = ms) {
-    tape.op_received(now, {ConnectionId{id % 3 + 1}, StreamId{static_cast<std::uint32_t>(id)}}, OpId{id},
-                     OpTypeId{type}, TenantId{static_cast<std::uint32_t>(id % 2)}, CallerId{id % 3},
-                     now - waited, limit, 10, 0.5, mark, type == 0 ? "subject" + std::to_string(id % 5) : "",
-                     Content(body), {std::hash<std::string>{}(body), 7});
+    recorder.op_received(now, {ConnectionId{id % 3 + 1}, StreamId{static_cast<std::uint32_t>(id)}}, OpId{id},
+                         OpTypeId{type}, TenantId{static_cast<std::uint32_t>(id % 2)}, CallerId{id % 3},
+                         now - waited, limit, 10, 0.5, mark,
+                         type == 0 ? "subject" + std::to_string(id % 5) : "", Content(body),
+                         {std::hash<std::string>{}(body), 7});
     turn();
   }
   void turn() {
-    if (core->anything_due(now)) tape.due(now);
-    while (core->has_repeats_to_answer()) tape.answer_repeats(now);
+    if (core->anything_due(now)) recorder.due(now);
+    while (core->has_repeats_to_answer()) recorder.answer_repeats(now);
   }
   void later(Nanos after, std::function<void()> what) { due_.emplace(now + after, std::move(what)); }
   // Lets time pass, with wake-ups and what was put off, in order.
@@ -168,7 +169,7 @@
       if (up) {
         const double gauges[] = {std::min(1.0, static_cast<double>(on_core.size()) / 2),
                                  static_cast<double>(on_core.size())};
-        if (wake >= 0 && wake <= now) tape.gauges(now, gauges);
+        if (wake >= 0 && wake <= now) recorder.gauges(now, gauges);
       }
       turn();
     }
@@ -177,7 +178,7 @@
   }
   // Ends the recording and writes its files out; their paths.
   std::vector<std::string> files(const std::string& name) {
-    tape.end(now);
+    recorder.end(now);
     return put_out(name);
   }
   std::vector<std::string> put_out(const std::string& name) const {
@@ -212,13 +213,13 @@
     if (calls_left_[op]-- > 0) {
       on_core.erase(op);
       waiting_.insert(op);
-      tape.call_wanted(now, op, Content("call of " + std::to_string(op.raw)));
+      recorder.call_wanted(now, op, Content("call of " + std::to_string(op.raw)));
       return;
     }
     on_core.erase(op);
     const bool fails = chance.unit() < failing;
-    tape.run_finished(now, op, fails ? Outcome::failed : Outcome::done, run_time,
-                      fails ? Content() : Content("result " + std::to_string(op.raw)));
+    recorder.run_finished(now, op, fails ? Outcome::failed : Outcome::done, run_time,
+                          fails ? Content() : Content("result " + std::to_string(op.raw)));
   }
   std::set<OpId> waiting_; // for a reply
 
@@ -253,7 +254,7 @@
     const auto over = [this, op, turn](Outcome outcome) {
       if (turns_[op] != turn) return;
       ++turns_[op];
-      tape.call_finished(now, op, outcome, outcome == Outcome::done ? Content("reply") : Content());
+      recorder.call_finished(now, op, outcome, outcome == Outcome::done ? Content("reply") : Content());
     };
     later(std::min(time_out, 2 * second), [over] { over(Outcome::timed_out); });
     if (chance.unit() >= lost_calls) later(call_time, [over] { over(Outcome::done); });
@@ -272,17 +273,17 @@
 };
 
 // Replays and says how it went; the files are removed.
-inline Player::Result replayed(const std::vector<std::string>& paths) {
-  Player::Result result;
+inline Replayer::Result replayed(const std::vector<std::string>& paths) {
+  Replayer::Result result;
   try {
-    result = Player(paths).play(true);
+    result = Replayer(paths).play(true);
   } catch (const Unreadable& e) {
     result.difference = e.what();
   }
   for (const std::string& path : paths) std::filesystem::remove(path);
   return result;
 }
-inline void say_replay(const Player::Result& r) {
+inline void say_replay(const Replayer::Result& r) {
   std::printf("  replay: %s, %llu orders, %llu gaps, %llu seams checked%s\n",
               r.difference.empty() ? "identical" : r.difference.c_str(),
               static_cast<unsigned long long>(r.orders), static_cast<unsigned long long>(r.gaps),
--- a/tests/recorded_faults.cpp
+++ b/tests/recorded_faults.cpp
@@ -14,7 +14,7 @@
 std::uint64_t play(RecordedCore& s, std::uint64_t ops = 300) {
   for (std::uint64_t id = 1; id <= ops; ++id)
     s.came(id, id % 3, "m" + std::to_string(id / 2)), s.pass(12 * ms),
-        s.disk->stuck ? void() : s.tape.wait_written();
+        s.disk->stuck ? void() : s.recorder.wait_written();
   s.pass(3 * second);
   return s.answers;
 }
@@ -31,7 +31,7 @@
   put("damaged.capture", bytes);
   std::string said;
   try {
-    const Player::Result r = Player({"damaged.capture"}).play(true);
+    const Replayer::Result r = Replayer({"damaged.capture"}).play(true);
     said = !r.difference.empty() ? "DIFFERS" : r.clean_end ? "whole" : r.torn ? "torn" : "not closed";
   } catch (const Unreadable& e) {
     said = e.what();
@@ -59,11 +59,11 @@
     s.link();
     const bool same = play(s) == usual;
     std::printf("  answers as ever: %d; said: %s\n", same, s.notes.at(1).c_str());
-    s.tape.end(s.now);
+    s.recorder.end(s.now);
     for (const auto& [name, bytes] : s.disk->files)
       std::printf("  a segment of %s\n", bytes.size() > 5000 ? "some KB" : "little");
     const auto paths = s.put_out("full");
-    Player::Result r = replayed(paths);
+    Replayer::Result r = replayed(paths);
     std::printf("  replay: %s, %d orders or more\n",
                 r.difference.empty() ? "identical" : r.difference.c_str(), r.orders > 50);
   }
@@ -75,7 +75,7 @@
     s.link();
     for (std::uint64_t id = 1; id <= 300; ++id) {
       s.came(id, id % 3, "m" + std::to_string(id / 2)), s.pass(12 * ms);
-      s.tape.wait_written();
+      s.recorder.wait_written();
       if (id == 200) {
         const std::lock_guard hold(s.disk->lock);
         s.disk->full_after = ~std::size_t{0};
@@ -83,7 +83,7 @@
     }
     s.pass(3 * second);
     std::printf("  answers as ever: %d\n", s.answers == usual);
-    const Player::Result r = replayed(s.files("gap"));
+    const Replayer::Result r = replayed(s.files("gap"));
     std::printf("  replay: %s, gaps %d, closed %d, entries lost or more %d\n",
                 r.difference.empty() ? "identical" : r.difference.c_str(), r.gaps > 0, r.clean_end,
                 r.lost > 0);
@@ -96,11 +96,11 @@
     s.record({{"queue_bytes", 30'000.0}});
     s.link();
     const bool same = play(s) == usual;
-    const std::string figures = s.tape.figures();
+    const std::string figures = s.recorder.figures();
     std::printf("  answers as ever: %d; queue full: %d\n", same,
                 figures.find("queue is full") != std::string::npos);
     const auto from = std::chrono::steady_clock::now();
-    s.tape.end(s.now);
+    s.recorder.end(s.now);
     std::printf("  ended within a second: %d\n",
                 std::chrono::steady_clock::now() - from < std::chrono::seconds(1));
     s.disk->stick(false);
@@ -116,12 +116,12 @@
     for (const std::string& path : paths) std::filesystem::remove(path);
   }
   std::printf("# the whole: %s\n", outcome_of(whole).c_str());
-  std::vector<std::size_t> blocks{segment_mark.size()};
+  std::vector<std::size_t> blocks{segment_magic.size()};
   while (blocks.back() < whole.size()) {
     std::uint32_t length = 0;
     for (int i = 4; i-- > 0;)
       length = length << 8 | static_cast<unsigned char>(whole[blocks.back() + static_cast<std::size_t>(i)]);
-    blocks.push_back(blocks.back() + block_head + length);
+    blocks.push_back(blocks.back() + block_header_bytes + length);
   }
   {
     say("killed at each block's boundary");
@@ -162,7 +162,7 @@
                 with_length(0).c_str());
     std::printf("  %s\n", outcome_of("").c_str());
     std::string other = whole;
-    other[segment_mark.size() - 1] = 2;
+    other[segment_magic.size() - 1] = 2;
     std::printf("  %s\n", outcome_of(other).c_str());
   }
 }
--- a/tests/recorded_seeds.cpp
+++ b/tests/recorded_seeds.cpp
@@ -18,7 +18,7 @@
   pools["pool.1.name"] = "long-stay";
   pools["pool.1.tenants"] = "long-stay\n";
   pools["pool.1.ceiling"] = 0.3;
-  if (seed % 3 == 0) s.tape.set_pools(s.now, pools);
+  if (seed % 3 == 0) s.recorder.set_pools(s.now, pools);
   if (!from_middle) s.record(wanted);
   s.run_time = static_cast<Nanos>((10 + 120 * chance.unit()) * ms);
   s.call_time = static_cast<Nanos>((2 + 60 * chance.unit()) * ms);
@@ -38,17 +38,17 @@
            static_cast<Nanos>((200 + 1800 * chance.unit()) * ms),
            static_cast<Nanos>(20 * chance.unit() * ms));
     if (chance.unit() < 0.05)
-      s.tape.stream_lost(s.now, {ConnectionId{id % 3 + 1}, StreamId{static_cast<std::uint32_t>(id)}}),
+      s.recorder.stream_lost(s.now, {ConnectionId{id % 3 + 1}, StreamId{static_cast<std::uint32_t>(id)}}),
           s.turn();
-    if (chance.unit() < 0.02) s.tape.start_refused(s.now, OpId{id}), s.on_core.erase(OpId{id}), s.turn();
+    if (chance.unit() < 0.02) s.recorder.start_refused(s.now, OpId{id}), s.on_core.erase(OpId{id}), s.turn();
     if (chance.unit() < 0.02) {
       s.break_link();
       const std::uint64_t known = s.starts > 2 ? s.starts - chance.next() % 3 : 0;
-      s.later(30 * ms, [&s, known] { s.up = true, s.tape.link_up(s.now, StartNo{known}), s.turn(); });
+      s.later(30 * ms, [&s, known] { s.up = true, s.recorder.link_up(s.now, StartNo{known}), s.turn(); });
     }
-    if (i == ops / 3 && seed % 4 == 1) s.tape.set_pools(s.now, pools), s.turn(); // by reload, under load
-    if (i == ops * 4 / 5 && seed % 6 == 0) s.tape.set_pools(s.now, {}), s.turn();
-    if (i == ops * 3 / 4 && chance.unit() < 0.3) s.tape.drain(s.now), s.turn();
+    if (i == ops / 3 && seed % 4 == 1) s.recorder.set_pools(s.now, pools), s.turn(); // by reload, under load
+    if (i == ops * 4 / 5 && seed % 6 == 0) s.recorder.set_pools(s.now, {}), s.turn();
+    if (i == ops * 3 / 4 && chance.unit() < 0.3) s.recorder.drain(s.now), s.turn();
     s.pass(static_cast<Nanos>(-std::log(1 - chance.unit()) / rate * 1e9));
   }
   s.pass(3 * second);
@@ -62,7 +62,7 @@
   std::uint64_t orders = 0;
   for (std::uint64_t seed = 1; seed <= days; ++seed)
     for (const bool from_middle : {false, true}) {
-      const Player::Result r = replayed(day(seed, from_middle, seed % 2 == 0));
+      const Replayer::Result r = replayed(day(seed, from_middle, seed % 2 == 0));
       ++all;
       same += r.difference.empty();
       closed += r.clean_end;
--- a/tests/rules.cpp
+++ b/tests/rules.cpp
@@ -12,13 +12,13 @@
   const auto look = [&](const char* what, auto happens) {
     Rules rules(site);
     happens(rules);
-    rules.passed_to(100 * second);
+    rules.check_deadlines(100 * second);
     std::printf("# %s\n  %s\n", what, words_of(rules.broken()).c_str());
     for (const std::string& one : rules.examples()) std::printf("  %s\n", one.c_str());
   };
   const auto came = [&](Rules& r, Nanos now, OpId op, unsigned type = 0, const char* mark = "") {
     r.came(now, op, OpTypeId{type}, now, now + second, mark);
-    r.at_line(op, {ConnectionId{1}, StreamId{static_cast<std::uint32_t>(op.raw)}});
+    r.assign_stream(op, {ConnectionId{1}, StreamId{static_cast<std::uint32_t>(op.raw)}});
   };
   look("served, nacked, and a repeat that is served with the result of the first", [&](Rules& r) {
     came(r, 0, a, 1, "m"), r.started(0, a), came(r, ms, b, 1, "m");
@@ -52,7 +52,7 @@
   look("nacked after its run",
        [&](Rules& r) { came(r, 0, a, 1, "m"), r.started(0, a), r.answered(ms, a, Rules::Final::nacked); });
   look("started, though it came after the grace", [&](Rules& r) {
-    r.told_to_leave(0), came(r, 900 * ms, a), r.started(900 * ms, a),
+    r.drain_started(0), came(r, 900 * ms, a), r.started(900 * ms, a),
         r.answered(900 * ms, a, Rules::Final::served);
     came(r, 2 * second, b), r.started(2 * second, b), r.answered(2 * second, b, Rules::Final::served);
   });
