--- a/capture/decision.cpp
+++ b/capture/decision.cpp
@@ -97,13 +97,13 @@
 
 Digest token_digest(std::string_view token) {
   Digest digest;
-  if (token.size() != sizeof digest.high + sizeof digest.low) return digest; // none: an empty content
+  if (token.size() != sizeof digest.high + sizeof digest.low) return digest; // an empty content has no digest
   std::memcpy(&digest.high, token.data(), sizeof digest.high);
   std::memcpy(&digest.low, token.data() + sizeof digest.high, sizeof digest.low);
   return digest;
 }
 
-// ---- orders
+// ---- actions
 
 void DecisionSink::served(StreamRef line, OpId op, Content result) {
   take({.kind = Kind::served, .op = op, .line = line, .content = digest(result), .size = result.size});
--- a/capture/decision.hpp
+++ b/capture/decision.hpp
@@ -1,5 +1,5 @@
-// One order of the core, as a recording keeps it and as a replay compares it; and what stands in a replay for
-// bytes that were not recorded.
+// Decision: one action of the core in the form that is recorded and compared by a replay. Also the tokens
+// that replace request and response bodies that were not recorded.
 #pragma once
 
 #include "interface.hpp"
@@ -10,7 +10,7 @@
 
 namespace cometshift {
 
-// Numbers are kept in recordings: none is ever given another meaning.
+// The values are stored in recordings and must never be reassigned.
 enum class Kind : std::uint8_t {
   served = 1,
   refused = 2,
@@ -38,7 +38,7 @@
   OpId op = no_op_id;
   StreamRef line{};
   Reason reason = Reason::none;
-  Nanos span = 0; // to stay away, a time-out, a pace
+  Nanos span = 0; // retry delay, timeout or timing value
   double value = 0;
   bool flag = false; // no retry, health
   Digest content{};
@@ -48,16 +48,17 @@
   bool operator==(const Decision&) const = default;
 };
 
-// In one line, in the words of docs/on-call.md.
+// One-line descriptions that use the terms of docs/on-call.md.
 std::string words_of(const Decision& one, const std::vector<std::string>& op_types);
 std::string words_of(Outcome outcome);
 std::string op_id_text(OpId op);
 
-// Stands in a replay for a content of that digest and size: its bytes are those of the digest.
+// Placeholder for the content with this digest in a replay: the bytes of the digest itself.
 std::string digest_token(Digest digest);
-Digest token_digest(std::string_view token); // of a token
+Digest token_digest(std::string_view token); // inverse of digest_token(); empty for other lengths
 
-// Hands on what the core orders, as `Decided`, to `take`; notes go nowhere. `digest` tells a content's.
+// Converts each action of the core to a Decision and passes it to take(). Notes are discarded. Subclasses
+// compute the digest of a content in digest().
 class DecisionSink : public Actions {
  public:
   void served(StreamRef line, OpId op, Content result) override;
--- a/capture/format.cpp
+++ b/capture/format.cpp
@@ -29,7 +29,7 @@
 std::uint64_t checksum(std::string_view length, std::string_view payload) {
   return XXH3_64bits_withSeed(payload.data(), payload.size(), XXH3_64bits(length.data(), length.size()));
 }
-// Where a server is and what it talks to is no part of what decides.
+// Addresses are not recorded, as they do not influence decisions.
 bool is_address(std::string_view name) {
   static const std::set<std::string_view> names{"listen", "vm", "announce", "records"};
   return names.contains(name);
@@ -144,7 +144,7 @@
   }
   const std::uint64_t length = number_at(head, 4);
   if (length == 0 || length > max_block_bytes) bad(at_, "a block of " + std::to_string(length) + " bytes");
-  if (length > size_ - at_ - block_header_bytes) { // before any memory is taken for it
+  if (length > size_ - at_ - block_header_bytes) { // checked before allocating memory
     torn_ = true;
     return false;
   }
--- a/capture/format.hpp
+++ b/capture/format.hpp
@@ -1,10 +1,12 @@
-// How a recording lies in files. A segment begins with eight bytes that say what it is; then come blocks:
+// File format of recordings. A segment starts with an 8-byte magic number, followed by blocks:
 //
-//   block = length:4 checksum:8 payload        little-endian; length counts the payload, 1 to `most_block`
+//   block = length:4 checksum:8 payload        little-endian; length is the payload size, 1 to
+//   max_block_bytes
 //
-// The checksum is XXH3 (64 bits) of the length's four bytes and the payload. The first block's payload is a
-// wire::Head, that of each other a row of wire::Entry, each with its length as a varint before it. The first
-// entry of a segment is a snapshot, so each segment can be replayed by itself. No I/O but the reader's file.
+// The checksum is XXH3 (64 bits) over the four length bytes and the payload. The payload of the first block
+// is a wire::Head; each following payload is a sequence of wire::Entry messages, each prefixed with its
+// length as a varint. The first entry of a segment is a snapshot, so that each segment can be replayed on its
+// own. The only I/O here is the file of the reader.
 #pragma once
 
 #include "ids.hpp"
@@ -29,23 +31,23 @@
 constexpr std::uint32_t capture_format = 1;
 constexpr std::uint32_t snapshot_layout = 2;
 constexpr std::size_t block_header_bytes = 12;
-constexpr std::size_t max_block_bytes = 64 * 1024 * 1024; // a snapshot with every table full takes some MB
+constexpr std::size_t max_block_bytes = 64 * 1024 * 1024; // a snapshot with all tables full takes several MB
 extern const char* const build_name;
 
-// What can't be read, and where: "FILE: byte N: what".
+// A recording that cannot be read; the message has the form "FILE: byte N: reason".
 struct Unreadable : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// A segment that ends before its first entry, as of a writer that was killed when it began it: nothing in it
-// is lost.
+// A segment that ends before its first entry, because the writer was killed while it created the file. It
+// contains no events, so nothing is lost by leaving it out.
 struct IncompleteSegment : Unreadable {
   using Unreadable::Unreadable;
 };
 
-// A payload with what stands before it.
+// The payload with its length and checksum in front.
 std::string encode_block(std::string_view payload);
-// Of the settings' names and values, addresses left out.
+// Digest of the names and values of all settings except addresses.
 std::uint64_t settings_digest(const Settings& settings);
 void encode_settings(wire::Head& head, const Settings& settings);
 Settings decode_settings(const wire::Head& head);
@@ -53,18 +55,18 @@
 void decode_setting(Settings& into, const wire::Setting& one);
 void append_entry(std::string& payload, const wire::Entry& entry);
 
-// Reads one segment, a block at a time: its memory does not grow with the file. Throws Unreadable.
+// Reads one segment block by block; its memory use does not depend on the file size. Throws Unreadable.
 class SegmentReader {
  public:
   explicit SegmentReader(const std::string& path);
   ~SegmentReader();
   const wire::Head& head() const { return *head_; }
   const std::string& path() const { return path_; }
-  // The next entry; false at the end. A block that is not whole is an end too, as of a writer that was
-  // killed: `torn` says so. A block whose checksum is not that of its bytes is thrown.
+  // Reads the next entry; false at the end. An incomplete last block, as a killed writer leaves it, also
+  // counts as the end, and torn() is then true. Throws if the checksum of a block does not match.
   bool next(wire::Entry& into);
   bool torn() const { return torn_; }
-  std::uint64_t at() const { return block_at_; } // byte where the block of the last entry begins
+  std::uint64_t at() const { return block_at_; } // offset of the block that holds the last entry
 
  private:
   bool block();
--- a/capture/recorder.cpp
+++ b/capture/recorder.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr Nanos ms = 1'000'000;
-constexpr std::size_t block_bytes = 32 * 1024; // then it is handed over: some tenths of a second of service
-constexpr Nanos block_age = 100 * ms;          // what a kill may take with it
+constexpr std::size_t block_bytes = 32 * 1024; // a few tenths of a second of traffic
+constexpr Nanos block_age = 100 * ms;          // limits what is lost if the process is killed
 constexpr std::size_t digits_of_segment = 6;
 
 void put_line(wire::Place& into, StreamRef line) {
@@ -103,7 +103,7 @@
   block_entries_ = 0;
 }
 
-// Hands over what was gathered; false if it was lost.
+// Passes the current block to the writer; false if it was lost.
 bool Recorder::flush(Nanos now) {
   if (block_.empty()) return true;
   std::string block = encode_block(block_);
@@ -118,7 +118,7 @@
   return true;
 }
 
-// Its last entry, handed over; false if it was lost.
+// Appends the end entry and flushes; false if the block was lost.
 bool Recorder::close_segment(Nanos now) {
   if (segment_entries_ == 0 || policy_->in_gap()) return true;
   wire::Entry last;
@@ -176,7 +176,7 @@
   return true;
 }
 
-// Whether the event that comes now is recorded, with a segment open for it.
+// Returns whether the current event is recorded; opens a new segment for it if necessary.
 bool Recorder::ready(Nanos now) {
   switch (policy_->step(now)) {
   case RecordingPolicy::Step::skip:
@@ -332,7 +332,7 @@
       [&] { core_->set_pools(now, pools); });
 }
 
-// ---- orders
+// ---- actions
 
 Digest Recorder::digest_of(std::string_view bytes) const {
   Digest digest;
--- a/capture/recorder.hpp
+++ b/capture/recorder.hpp
@@ -1,5 +1,6 @@
-// Stands between a core and who drives it, on both sides: hands every event and every order on as it is, and
-// records them while it is told to. Changes nothing of what is decided, and waits for nothing.
+// Event recorder between a core and the host that drives it. Forwards every event to the core and every
+// action to the host unchanged, and writes both to a recording while one is active. It does not influence
+// decisions and never blocks.
 #pragma once
 
 #include "core.hpp"
@@ -20,19 +21,19 @@
 
 class Recorder final : public Events, public DecisionSink {
  public:
-  explicit Recorder(Actions& orders); // where orders go on to
+  explicit Recorder(Actions& orders); // receives the actions of the core
   ~Recorder() override;
   void bind(Core& core) { core_ = &core; }
 
-  // What a recording is to hold, by name (operator file, docs/capture.md): "folder", "segment_bytes",
-  // "segment_age_ns", "total_bytes", "queue_bytes", "bodies", "conceal".
-  // A recording that is under way ends first.
+  // Starts a recording and ends an active one first. Settings (operator file, docs/capture.md): "folder",
+  // "segment_bytes", "segment_age_ns", "total_bytes", "queue_bytes", "bodies", "conceal".
   void begin(Nanos now, const Settings& wanted, std::unique_ptr<SegmentStorage> files);
-  void end(Nanos now); // with its last block handed over, not waited for
+  void end(Nanos now); // queues the last block, but does not wait for it to be written
   bool recording() const { return segment_writer_ != nullptr; }
-  void wait_written() const; // until the disk has taken, or refused, all that was handed over; not for a loop
-  void reloaded(Nanos now, std::string_view words); // is written down for readers
-  // Of the recording: entries, blocks, bytes written, gaps, entries lost, segments removed.
+  void
+  wait_written() const; // blocks until all queued data is written or has failed; not for use on an event loop
+  void reloaded(Nanos now, std::string_view words); // records a reload, for information only
+  // Statistics of the recording: entries, segments, bytes written, gaps, entries lost, segments removed.
   std::string figures() const;
 
   void op_received(Nanos now, StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller,
@@ -72,7 +73,7 @@
   void take(const Decision& one) override;
   Digest digest(const Content& content) override;
   Digest digest_of(std::string_view bytes) const;
-  // Runs one event, with what `put` makes of its entry before it if it is recorded.
+  // Runs one event. If it is recorded, `put` fills in its entry first.
   template <class Put, class Run>
   void event(Nanos now, Put put, Run run);
   bool ready(Nanos now);
@@ -85,22 +86,22 @@
 
   Actions& actions_;
   Core* core_ = nullptr;
-  std::unique_ptr<SegmentWriter> segment_writer_; // null: nothing is recorded
+  std::unique_ptr<SegmentWriter> segment_writer_; // null: no recording is active
   std::unique_ptr<RecordingPolicy> policy_;
   std::unique_ptr<wire::Entry> entry_;
   std::unique_ptr<Hasher> hasher_;
-  std::unique_ptr<Pseudonymizer> conceal_; // null: marks and subjects are written as they are
+  std::unique_ptr<Pseudonymizer> conceal_; // null: marks and subjects are recorded in plain text
   std::string name_;
-  std::string block_; // entries not handed over yet
+  std::string block_; // entries not yet passed to the writer
   std::uint64_t block_entries_ = 0;
   Nanos block_begun_ = 0;
-  Nanos last_ = 0; // the time of the entry before
+  Nanos last_ = 0; // time of the previous entry
   std::uint64_t recording_ = 0;
   std::uint32_t segment_ = 0;
   std::uint64_t segment_entries_ = 0;
   std::uint64_t entries_ = 0;
   bool bodies_ = false;
-  bool recording_event_ = false; // this event is
+  bool recording_event_ = false; // the current event is being recorded
 };
 
 } // namespace cometshift
--- a/capture/recording_policy.cpp
+++ b/capture/recording_policy.cpp
@@ -7,14 +7,13 @@
 
 namespace {
 constexpr Nanos second = 1'000'000'000;
-constexpr Nanos initial_retry_delay =
-    second / 2; // after a gap began: a busy disk has often come round by then
-constexpr Nanos max_retry_delay =
-    30 * second; // between trials: a snapshot each is no load, and a fault is seen soon enough
+constexpr Nanos initial_retry_delay = second / 2; // a busy disk has often recovered by then
+constexpr Nanos max_retry_delay = 30 * second;    // one snapshot per attempt is a negligible load
 } // namespace
 
-// Against a recording that costs more the worse the disk is: in a gap nothing is encoded, and a segment is
-// tried at times that lie ever further apart. It may lose some seconds more than the disk did.
+// Keeps the cost of recording from rising when the disk is slow or failing: during a gap no events are
+// encoded, and new segments are attempted with exponential backoff. A gap can therefore last some seconds
+// longer than the fault that caused it.
 RecordingPolicy::Step RecordingPolicy::step(Nanos now) {
   if (in_gap_ && now < retry_at_) {
     ++lost_;
@@ -34,7 +33,7 @@
   segment_opened_at_ = now;
 }
 
-// A block that was taken whole ends what a gap's rests have grown to.
+// Resets the backoff, as a complete block was accepted.
 void RecordingPolicy::took(std::uint64_t bytes) {
   bytes_ += bytes;
   retry_delay_ = 0;
--- a/capture/recording_policy.hpp
+++ b/capture/recording_policy.hpp
@@ -1,6 +1,6 @@
-// What decides for a recording: when a segment ends, which files go, what a full queue or a failing disk
-// means, when it is tried again. No I/O, no clock. The tape asks it on the loop's side, the spool on the
-// writer's; each has its own object.
+// Policies of a recording: when to start a new segment, which files to delete, how to react to a full queue
+// or a failing disk, and when to retry. No I/O and no clock. The recorder uses RecordingPolicy on the event
+// loop, the segment writer uses SegmentRetention on its own thread; they share no state.
 #pragma once
 
 #include "ids.hpp"
@@ -12,7 +12,7 @@
 
 namespace cometshift {
 
-// On the loop's side: what is recorded, what is lost, when the next segment begins.
+// Used on the event loop: decides what is recorded, counts lost entries and starts new segments.
 class RecordingPolicy {
  public:
   struct Limits {
@@ -21,20 +21,21 @@
   };
   explicit RecordingPolicy(Limits limits) : limits_(limits) {}
 
-  // What to do with the event that comes now.
+  // How the next event is handled.
   enum class Step {
-    skip,          // nothing is recorded; it counts as lost
-    record,        // in the open segment
-    begin_segment, // a new one first
+    skip,          // not recorded, counted as lost
+    record,        // into the open segment
+    begin_segment, // into a new segment
   };
   Step step(Nanos now);
-  void began(Nanos now, std::uint64_t bytes); // a segment, with its head and snapshot taken by the queue
-  void took(std::uint64_t bytes);             // a block was taken by the queue
-  // The queue was full, or the disk failed, with so many entries that were not taken.
+  void began(Nanos now,
+             std::uint64_t bytes); // a segment was opened; the queue accepted its head and snapshot
+  void took(std::uint64_t bytes);  // the queue accepted a block
+  // The queue was full or the disk failed; this number of entries was dropped.
   void lost(Nanos now, std::uint64_t entries, std::string reason);
 
   bool in_gap() const { return in_gap_; }
-  std::uint64_t lost_entries() const { return lost_; } // in the gap
+  std::uint64_t lost_entries() const { return lost_; } // in the current gap
   const std::string& reason() const { return reason_; }
   std::uint64_t gaps() const { return gaps_; }
   std::uint64_t total_lost() const { return total_lost_; }
@@ -53,17 +54,19 @@
   std::string reason_;
 };
 
-// On the writer's side: the files there are, oldest first, and which have to go so that a total is never
-// passed.
+// Used on the writer thread: tracks the existing files, oldest first, and selects those to delete so that the
+// total size never exceeds a limit.
 class SegmentRetention {
  public:
   explicit SegmentRetention(std::uint64_t most_bytes) : most_(most_bytes) {}
-  void found(std::string name, std::uint64_t bytes); // from an earlier life, oldest first
-  void opened(std::string name);                     // the newest, to which is written from now on
-  void grew(std::uint64_t bytes);                    // the newest
-  void removed();                                    // the oldest
-  void withdrawn();                                  // the newest, which did not begin
-  // The file to remove before so many bytes may be written; nothing if they fit. Never the newest.
+  void found(std::string name,
+             std::uint64_t bytes); // a file of an earlier process; call for the oldest first
+  void opened(std::string name);   // a new file, which receives all further writes
+  void grew(std::uint64_t bytes);  // the newest file grew
+  void removed();                  // the oldest file was deleted
+  void withdrawn();                // the newest file was deleted, as its first write failed
+  // The file to delete before this number of bytes can be written; nothing if they fit. Never the newest
+  // file.
   std::optional<std::string> to_remove(std::uint64_t bytes) const;
   bool fits(std::uint64_t bytes) const { return total_ + bytes <= most_; }
   std::uint64_t total() const { return total_; }
--- a/capture/replay.cpp
+++ b/capture/replay.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t context_entries = 8; // entries before a difference: what led to it is mostly among them
+constexpr std::size_t context_entries = 8; // shown before a difference; usually include its cause
 constexpr double ns_a_ms = 1e6;
 
 std::string ms_of(Nanos span) {
@@ -150,7 +150,7 @@
 
 const wire::Head& Replayer::head() const { return reader_->head(); }
 
-// ---- what the core decides
+// ---- decisions of the core
 
 void Replayer::take(const Decision& one) {
   if (initializing_) return;
@@ -170,7 +170,7 @@
 }
 Digest Replayer::digest(const Content& content) { return token_digest(content.bytes); }
 
-// ---- what it is told
+// ---- events passed to the core
 
 std::string Replayer::where() const { return reader_->path() + ": byte " + std::to_string(reader_->at()); }
 
@@ -261,7 +261,7 @@
   }
 }
 
-// Takes the entry over and leaves an old one in its place, whose memory is used again.
+// Moves the entry into the history and leaves an old one in its place, to reuse its memory.
 void Replayer::remember(wire::Entry& entry) {
   auto kept =
       before_.size() < context_entries ? std::make_unique<wire::Entry>() : std::move(before_.front().second);
@@ -286,7 +286,7 @@
   return said;
 }
 
-// Ends of runs that only this build started, in between the recorded entries.
+// Delivers the simulated ends of runs that are due before the next recorded entry.
 void Replayer::simulate_runs(const std::function<void(const Step&)>& each, Result& result, Nanos until) {
   const Nanos now = now_;
   while (!simulated_->due.empty() && simulated_->due.begin()->first <= until) {
@@ -355,7 +355,7 @@
   wire::Entry entry;
   std::uint64_t recording = 0;
   std::uint32_t segment = 0;
-  bool ended = false; // the segment before was closed
+  bool ended = false; // the previous segment was closed
   first_ = -1;
   for (const std::string& path : paths_) {
     const bool whole_before = ended && result.difference.empty();
@@ -381,8 +381,8 @@
       if (before_entry) before_entry(now_, entry);
       if (first) {
         first = false;
-        // What a closed segment ended with is what the next one begins with, or something decided was not
-        // told.
+        // The state at the end of a closed segment must equal the snapshot of the next one; otherwise
+        // something that influenced a decision was not recorded.
         const bool same = !follows || snapshot() == entry.snapshot();
         result.snapshots_checked += follows;
         if (!same && result.difference.empty()) {
--- a/capture/replay.hpp
+++ b/capture/replay.hpp
@@ -1,5 +1,6 @@
-// Plays a recording to a core again and holds what it decides against what was decided. One core, one time,
-// no I/O but the reading of segments; its memory does not grow with the length of a recording.
+// Replays a recording into a core and compares its decisions with the recorded ones. Uses one core and the
+// recorded times; the only I/O is reading segments. Memory use does not depend on the length of the
+// recording.
 #pragma once
 
 #include "core.hpp"
@@ -17,18 +18,18 @@
 
 namespace cometshift {
 
-// Segments in the order of their recording and number, whatever the order of the names. Of several, those
-// that end before their first entry are left out.
+// Sorts segments by recording and segment number, regardless of file names. If several paths are given,
+// segments that end before their first entry are left out.
 std::vector<std::string> sort_segments(const std::vector<std::string>& paths);
 
-// One entry, in one line; times from the beginning of what is replayed.
+// One-line description of an entry.
 std::string words_of(const wire::Entry& entry, const std::vector<std::string>& op_types,
                      const std::vector<std::string>& tenants);
 std::vector<Decision> recorded_decisions(const wire::Entry& entry);
 std::vector<std::string> configured_names(const Settings& settings,
                                           const char* list); // "op_type.", "tenant."
 
-// Plays segments, one entry at a time.
+// Replays segments entry by entry.
 class Replayer : DecisionSink {
  public:
   struct Step {
@@ -38,35 +39,36 @@
     const std::vector<Decision>* replayed = nullptr;
     bool same = true;
   };
-  // What became of a replay. `difference` names the first, with the entries before it.
+  // Outcome of a replay. `difference` describes the first difference and the entries before it.
   struct Result {
     std::uint64_t entries = 0, orders = 0, segments = 0, gaps = 0, lost = 0, ops = 0;
-    std::uint64_t snapshots_checked = 0; // at the seams of segments: the state, byte for byte
-    std::uint64_t digest = 0;            // of all that was decided
-    Nanos span = 0;                      // of the recording
-    std::uint64_t passed_over = 0;       // events that no longer have an op
-    std::uint64_t lent = 0;              // ends of runs that the recording does not know (play_on)
-    bool torn = false;                   // ends in a block that is not whole
+    std::uint64_t snapshots_checked = 0; // states compared byte for byte between consecutive segments
+    std::uint64_t digest = 0;            // of all decisions of the replay
+    Nanos span = 0;                      // duration of the recording
+    std::uint64_t passed_over = 0;       // events ignored because their op does not exist in the replay
+    std::uint64_t lent = 0;              // simulated ends of runs (replay_with_simulated_runs)
+    bool torn = false;                   // the last block is incomplete
     bool clean_end = false;              // the last segment was closed
     std::string difference;              // empty: none
-    std::string valid_up_to;             // where it stops holding, if before the end
+    std::string valid_up_to;             // position of an incomplete block; empty: none
   };
 
   explicit Replayer(const std::vector<std::string>& paths);
   ~Replayer() override;
 
-  // Stops at the first difference if `strict`. `each` is handed every entry with what came of it.
+  // Stops at the first difference if `strict`. Calls `each` for every entry, with the decisions on it.
   Result play(bool strict, const std::function<void(const Step&)>& each = {});
-  // Goes on whatever differs. Runs that only this build starts are lent an end, after the median of their
-  // type in the recording; for that it is read twice, and the ops that ran are remembered.
+  // Continues after differences. For runs that only this build starts, an end is simulated after the median
+  // run time of the op type in the recording. This reads the recording twice and keeps all ops that ran in
+  // memory.
   Result replay_with_simulated_runs(const std::function<void(const Step&)>& each);
-  // Before an entry is given to the core.
+  // Called before an entry is passed to the core.
   std::function<void(Nanos now, const wire::Entry& entry)> before_entry;
-  // Asked while a step's orders come: what is believed of an op that is being answered.
+  // Called for each final answer during a step, with the inputs of the decision (null if the op is unknown).
   std::function<void(Nanos now, const Decision& one, const DecisionInputs* figures)> on_final_decision;
 
-  // For cuts: at this time of the recording, what is remembered, with what was told before; used within
-  // `each`.
+  // The serialized state of the core at the current entry, from which a cut-out segment can start. To be
+  // called from `each` or `before_entry`.
   std::string snapshot(const std::function<std::string(std::string_view)>& conceal = {});
   const wire::Head& head() const;
   const std::vector<std::string>& op_types() const { return op_types_; }
@@ -78,7 +80,7 @@
   Digest digest(const Content& content) override;
   void give(const wire::Entry& entry);
   void restore(const wire::Entry& entry);
-  std::string where() const; // in the files, of the entry at hand
+  std::string where() const; // file and offset of the current entry
   std::string differs(const wire::Entry& entry) const;
   void remember(wire::Entry& entry);
 
@@ -88,18 +90,19 @@
   std::unique_ptr<Core> core_;
   std::vector<Decision> replayed_, recorded_;
   std::vector<std::string> op_types_, tenants_;
-  std::deque<std::pair<Nanos, std::unique_ptr<wire::Entry>>> before_; // the last entries with their times
+  std::deque<std::pair<Nanos, std::unique_ptr<wire::Entry>>>
+      before_; // the most recent entries with their times
   Nanos now_ = 0, first_ = 0;
   std::uint64_t at_entry_ = 0;
-  struct SimulatedRuns {                              // ends of runs to come that the recording does not know
-    std::map<OpId, Nanos> known;                      // lags of those it does
-    std::vector<Nanos> usual;                         // by op type
-    std::multimap<Nanos, std::pair<OpId, Nanos>> due; // with the lag
+  struct SimulatedRuns {                              // runs that the recording does not contain
+    std::map<OpId, Nanos> known;                      // lags of the recorded runs
+    std::vector<Nanos> usual;                         // median lag by op type
+    std::multimap<Nanos, std::pair<OpId, Nanos>> due; // by end time, with the lag
   };
   std::unique_ptr<SimulatedRuns> simulated_;
   void simulate_runs(const std::function<void(const Step&)>& each, Result& result, Nanos until);
   std::uint64_t passed_over_ = 0;
-  bool initializing_ = false; // what a core orders when it is made is no decision
+  bool initializing_ = false; // actions of the core during construction are not decisions
 };
 
 } // namespace cometshift
--- a/capture/report.cpp
+++ b/capture/report.cpp
@@ -18,9 +18,9 @@
 
 constexpr double ns_a_ms = 1e6;
 constexpr Nanos ms = 1'000'000;
-constexpr Nanos op_margin = 500 * ms; // what led to an op's end is mostly within it
+constexpr Nanos op_margin = 500 * ms; // usually includes what led to the end of the op
 constexpr std::size_t cut_block = 32 * 1024;
-constexpr std::size_t max_table_rows = 40; // of a table
+constexpr std::size_t max_table_rows = 40;
 
 double in_ms(Nanos span) { return static_cast<double>(span) / ns_a_ms; }
 unsigned long long big(std::uint64_t value) { return value; }
@@ -30,7 +30,7 @@
   if (!read_hex(text, raw) || raw == 0) throw std::invalid_argument("op " + text + ": not 16 hex digits");
   return OpId{raw};
 }
-// The op that an entry is about; no_op_id: none.
+// The op that an entry concerns, or no_op_id.
 OpId op_of(const wire::Entry& entry) {
   switch (entry.what_case()) {
   case wire::Entry::kCame:
@@ -48,7 +48,8 @@
   }
 }
 
-// The one sentence that says which figure decided, for those who know the server and not its text.
+// Explains a decision in one sentence with the values that caused it, for operators who do not know the
+// source.
 std::string sentence(const Decision& one, const DecisionInputs* f) {
   char text[400] = "";
   const auto say = [&](const char* format, auto... figures) {
@@ -276,11 +277,11 @@
   return 0;
 }
 
-// ---- another build
+// ---- comparison with this build
 
 namespace {
 
-// What became of each op on one side.
+// Outcomes of all ops on one side of a comparison.
 struct Side {
   explicit Side(const Settings& settings) : rules(rule_figures(settings)) {}
   Rules rules;
@@ -388,7 +389,7 @@
   return result.difference.empty() ? 0 : 1;
 }
 
-// ---- parts
+// ---- sections
 
 int cut_report(const std::vector<std::string>& paths, const Part& part, const std::string& into,
                std::FILE* out) {
@@ -431,7 +432,7 @@
   Nanos first = -1, last = 0;
   std::uint64_t entries = 0;
   bool open = false, over = false;
-  std::string state; // before the entry at hand
+  std::string state; // before the current entry
   const auto begin = [&](Nanos now) {
     wire::Head head = player.head();
     head.set_at(now);
@@ -458,7 +459,7 @@
   };
   player.play(false, [&](const Replayer::Step& step) {
     if (!open) return;
-    if (step.entry->what_case() == wire::Entry::kGap) over = true; // what follows it is another state
+    if (step.entry->what_case() == wire::Entry::kGap) over = true; // the state after a gap is unrelated
     if (to >= 0 && step.now - first > to) over = true;
     if (over) {
       wire::Entry end;
--- a/capture/report.hpp
+++ b/capture/report.hpp
@@ -1,6 +1,6 @@
-// What people are shown of recordings: the life of one op with what decided it, what a recording holds, what
-// another build decides otherwise. Writes to a given stream; each returns the program's exit code
-// (server/main.cpp).
+// Reports on recordings for the command line: verification by replay, the history of one op with the reasons
+// of its decisions, contents, and differences to the decisions of this build. Each function writes to `out`
+// and returns the exit code of the program (server/main.cpp).
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,24 @@
 
 namespace cometshift {
 
-// Replays `times` times; 0 if all were the same, 1 with the first difference.
+// Replays `times` times; returns 0 if all replays match the recording, otherwise prints the first difference
+// and returns 1.
 int replay_report(const std::vector<std::string>& paths, int times, std::FILE* out);
 int explain_report(const std::vector<std::string>& paths, const std::string& op, std::FILE* out);
-// What changed by kind, reason and op type, and the rules on both sides; 0 if nothing did. Ops that only this
-// build starts end after the median of their type in the recording: simulated, and counted.
+// Counts changed outcomes by op type, kind and reason, and checks the rules for both sides; returns 0 if
+// nothing changed. For ops that only this build starts, an end is simulated after the median run time of
+// their type in the recording; the report counts these.
 int compare_report(const std::vector<std::string>& paths, std::FILE* out);
 int info_report(const std::vector<std::string>& paths, std::FILE* out);
 int list_report(const std::vector<std::string>& paths, std::uint64_t from_ms, std::uint64_t to_ms,
                 std::FILE* out);
 
-// A part of a recording, from a time to a time (ms from its beginning), as one segment that replays by
-// itself; and the same with marks and subjects concealed and bodies left out.
+// Section of a recording, given by times in ms from its beginning or by an op, to be written as one segment
+// that can be replayed on its own. With `scrub`, marks and subjects are concealed and bodies are left out.
 struct Part {
   double from_ms = 0;
   double to_ms = -1; // -1: to the end
-  std::string op;    // instead: from its coming to its end, with room on both sides
+  std::string op;    // instead of times: from the arrival of this op to its end, with a margin on both sides
   bool scrub = false;
 };
 int cut_report(const std::vector<std::string>& paths, const Part& part, const std::string& into,
--- a/capture/rules.cpp
+++ b/capture/rules.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr Nanos ms = 1'000'000;
-constexpr Nanos slack = 150 * ms; // of each time limit on sockets: 100 ms, and 50 more
+constexpr Nanos slack = 150 * ms; // 100 ms tolerance of time limits on sockets, and 50 ms margin
 constexpr std::size_t max_examples = 5;
 } // namespace
 
@@ -21,7 +21,7 @@
   examples_.push_back(said);
 }
 
-// Once it is answered, or nobody waits, and no run of it is out.
+// Removes an op that is answered or has no waiting client, unless a run of it is still in progress.
 void Rules::forget(OpId id) {
   const auto at = ops_.find(id);
   if (at == ops_.end()) return;
@@ -34,7 +34,7 @@
 void Rules::came(Nanos now, OpId id, OpTypeId type, Nanos received_at, Nanos due, const std::string& mark) {
   check_deadlines(now);
   ++came_;
-  if (ops_.contains(id)) return; // a number that is open: the second is refused, the first goes on
+  if (ops_.contains(id)) return; // the id is in use: the second op is refused, the first continues
   const std::string effect = mark.empty() ? mark : std::to_string(type.raw).append(1, ' ').append(mark);
   ops_.emplace(id, Op{.type = type, .received_at = received_at, .due = due, .mark = effect});
   dues_.emplace(due + slack, id);
@@ -79,7 +79,7 @@
   if (at == ops_.end()) return;
   Op& op = at->second;
   op.over = true;
-  if (outcome == Outcome::moot) { // nothing was begun
+  if (outcome == Outcome::moot) { // the run did not start
     op.started = false;
     if (const auto effect = effects_.find(op.mark); effect != effects_.end() && effect->second.ran == id)
       effect->second.may_have_run = false;
--- a/capture/rules.hpp
+++ b/capture/rules.hpp
@@ -1,7 +1,7 @@
-// The four rules, checked from outside: told what came, what was started, what ended and what was answered,
-// it says which were broken. It knows no core and no module; a replay holds a recording and its own decisions
-// against it, and the load tool what it saw. No I/O. Source: docs/architecture.md; slack as the operators'
-// pages have it.
+// Black-box checker for the four guarantees of docs/architecture.md. From the arrivals, starts, ends of runs
+// and answers of ops it determines which guarantees were violated. It is independent of the core: a replay
+// checks both the recorded decisions and its own, and the load tool checks what it observed. The tolerance
+// for time limits is that of the operator documentation. No I/O.
 #pragma once
 
 #include "decision_module.hpp"
@@ -16,7 +16,7 @@
 
 class Rules {
  public:
-  struct Figures {                   // of a site
+  struct Figures {                   // configuration of the installation
     std::vector<RetryClass> repeats; // by op type
     std::vector<Nanos> op_timeouts;
     std::vector<Nanos> key_windows;
@@ -24,31 +24,31 @@
   };
   explicit Rules(Figures figures) : figures_(std::move(figures)) {}
 
-  // `due`: latest time of its answer. An op without a mark has an empty one.
+  // An op was received. `due` is the latest time of its answer; `mark` is its key, empty if it has none.
   void came(Nanos now, OpId op, OpTypeId type, Nanos received_at, Nanos due, const std::string& mark);
-  void stream_lost(StreamRef line); // nobody waits for the answers on it
+  void stream_lost(StreamRef line); // no client waits for answers on this stream
   void assign_stream(OpId op, StreamRef line);
   void started(Nanos now, OpId op);
   void run_over(OpId op, Outcome outcome);
   enum class Final { served, nacked, failed };
   void answered(Nanos now, OpId op, Final final);
   void drain_started(Nanos now);
-  void check_deadlines(Nanos now); // what is overdue by now is lost, whatever comes later
+  void check_deadlines(Nanos now); // counts overdue ops as lost, even if an answer follows later
 
   struct Broken {
-    std::uint64_t lost = 0;              // no final answer by the due time
-    std::uint64_t late = 0;              // one, but after it
-    std::uint64_t duplicate_answers = 0; // more than one
-    std::uint64_t duplicate_runs = 0;    // a keyed effect
-    std::uint64_t nacked_after_run = 0;  // a keyed op told that it never ran, though it did
-    std::uint64_t started_late = 0; // came later than the grace after the notice to leave, and was started
+    std::uint64_t lost = 0;              // ops without a final answer by the due time
+    std::uint64_t late = 0;              // ops answered after the due time
+    std::uint64_t duplicate_answers = 0; // ops with more than one answer
+    std::uint64_t duplicate_runs = 0;    // repeated runs under one key
+    std::uint64_t nacked_after_run = 0;  // keyed ops that were nacked although they ran
+    std::uint64_t started_late = 0;      // ops received after the grace of a drain, but started
     std::uint64_t total() const {
       return lost + late + duplicate_answers + duplicate_runs + nacked_after_run + started_late;
     }
   };
   const Broken& broken() const { return broken_; }
   std::uint64_t ops() const { return came_; }
-  std::vector<std::string> examples() const { return examples_; } // the first few, in words
+  std::vector<std::string> examples() const { return examples_; } // descriptions of the first few violations
 
  private:
   struct Op {
@@ -58,14 +58,14 @@
     StreamRef line{};
     std::string mark;
     bool answered = false;
-    bool client_gone = false; // nobody waits any more
+    bool client_gone = false; // no client waits for the answer
     bool lost = false;
     bool started = false;
     bool over = false;
   };
-  struct Effect { // of a mark
+  struct Effect { // the last run under a key
     OpId ran = no_op_id;
-    Nanos received_at = 0; // of the try that ran
+    Nanos received_at = 0; // of the attempt that ran
     bool may_have_run = false;
   };
   void break_rule(std::uint64_t& count, const char* what, OpId op);
--- a/capture/segment_writer.cpp
+++ b/capture/segment_writer.cpp
@@ -19,8 +19,8 @@
 
 constexpr std::string_view ending_of_names = ".capture";
 constexpr auto shutdown_timeout =
-    std::chrono::milliseconds(500); // for a hanging disk: less than any time to a kill
-constexpr int folder_mode = 0700;   // recordings are for who runs the server
+    std::chrono::milliseconds(500); // if the disk blocks; shorter than any kill timeout
+constexpr int folder_mode = 0700;   // recordings are readable by the server's user only
 constexpr int file_mode = 0600;
 
 class FolderStorage final : public SegmentStorage {
@@ -77,22 +77,22 @@
 
 struct SegmentWriter::Work {
   struct Chunk {
-    std::string name; // of a new segment; empty: more of the last
+    std::string name; // of a new segment; empty: continues the last one
     std::string bytes;
   };
 
   std::unique_ptr<SegmentStorage> files;
   std::string prefix;
   Limits limits;
-  SegmentRetention retention; // the writer's
-  bool broken = false;        // the writer's: the open segment has failed, what belongs to it is passed over
+  SegmentRetention retention; // used by the writer thread only
+  bool broken = false;        // used by the writer thread only: the open segment failed, skip its chunks
 
   std::mutex lock;
   std::condition_variable wake, idle;
   std::deque<Chunk> queue;
-  std::size_t queued = 0; // bytes, that in hand too
+  std::size_t queued = 0; // bytes, including the chunk being written
   bool ending = false, ended = false;
-  bool failed = false; // the last segment taken has
+  bool failed = false; // the last queued segment has failed
   std::string failure;
   std::atomic<std::uint64_t> written{0}, failures{0}, removed{0}, longest_write{0};
 
@@ -118,7 +118,7 @@
   ended ? thread_.join() : thread_.detach();
 }
 
-// ---- the loop's side
+// ---- event loop side
 
 bool SegmentWriter::Work::take(Chunk chunk, bool new_segment) {
   {
@@ -157,7 +157,7 @@
   work_->idle.wait(hold, [this] { return work_->queued == 0; });
 }
 
-// ---- the writer's side
+// ---- writer thread
 
 void SegmentWriter::Work::run() {
   for (const auto& [name, bytes] : files->list())
@@ -186,7 +186,7 @@
   ++failures;
   const std::lock_guard hold(lock);
   failure = reason;
-  // A segment taken meanwhile stands on its own.
+  // A segment queued in the meantime is not affected.
   failed = std::none_of(queue.begin(), queue.end(), [](const Chunk& chunk) { return !chunk.name.empty(); });
 }
 
@@ -209,8 +209,8 @@
   const bool first = !chunk.name.empty();
   if (broken) return;
   const bool room = make_room(chunk.bytes.size());
-  // What a failed write left stands behind the last block that is whole: a reader ends there. A segment that
-  // did not even begin is taken away again.
+  // A failed write leaves a partial block at the end of the file, where readers stop. If the first write of a
+  // segment fails, its file is deleted.
   if (room) retention.grew(chunk.bytes.size());
   if (!room || !files->write(chunk.bytes)) {
     if (room) fail(files->reason());
--- a/capture/segment_writer.hpp
+++ b/capture/segment_writer.hpp
@@ -1,7 +1,7 @@
-// Writes a recording's segments off the loop: one thread, one queue with a bound in bytes. Owns the open file
-// and the thread; gives both back in its destructor, once all that was taken is written or has failed. A slow
-// or failing disk is never waited for by `put`, and by the destructor for half a second: a thread that hangs
-// then is left to itself.
+// Writes the segments of a recording on a background thread, with a queue that is limited in bytes. Owns the
+// open file and the thread. The destructor releases both once everything queued is written or has failed.
+// put() never waits for the disk. The destructor waits for half a second at most and then detaches a thread
+// that is blocked on the disk.
 #pragma once
 
 #include "recording_policy.hpp"
@@ -13,15 +13,16 @@
 
 namespace cometshift {
 
-// The files of one folder. Errors are told, not thrown: false, with `errno`'s words in `why()`.
+// The files of one folder. On errors the functions return false, and reason() describes errno; they do not
+// throw.
 class SegmentStorage {
  public:
   virtual ~SegmentStorage() = default;
-  virtual bool open(const std::string& name) = 0; // new, to be written; closes the one before
+  virtual bool open(const std::string& name) = 0; // creates a file for writing; closes the previous one
   virtual bool write(const std::string& bytes) = 0;
   virtual void close() = 0;
   virtual bool remove(const std::string& name) = 0;
-  virtual std::vector<std::pair<std::string, std::uint64_t>> list() = 0; // names and sizes, by name
+  virtual std::vector<std::pair<std::string, std::uint64_t>> list() = 0; // names and sizes, sorted by name
   virtual std::string reason() const = 0;
 };
 std::unique_ptr<SegmentStorage> folder_storage(const std::string& folder);
@@ -32,27 +33,28 @@
     std::size_t queue_bytes;
     std::uint64_t total_bytes;
   };
-  // Only files whose names begin with `prefix` and end in `.capture` are counted and removed.
+  // Only files whose names start with `prefix` and end in `.capture` are counted and deleted.
   SegmentWriter(std::unique_ptr<SegmentStorage> files, std::string prefix, Limits limits);
   ~SegmentWriter();
   SegmentWriter(const SegmentWriter&) = delete;
   SegmentWriter& operator=(const SegmentWriter&) = delete;
 
-  // A new segment that begins with these bytes, or more of the last one. False, with nothing taken, where the
-  // queue has no room, or the last segment has failed: then only a new segment can be taken.
+  // begin() queues a new segment with its first bytes; put() appends to the last one. Both return false and
+  // queue nothing if the queue is full. put() also does so if the last segment has failed; only begin()
+  // succeeds then.
   bool begin(const std::string& name, std::string bytes);
   bool put(std::string bytes);
 
-  std::string failure() const;         // of the last that failed; empty: none yet
-  std::uint64_t written() const;       // bytes
-  std::uint64_t queued() const;        // bytes taken and not written yet
-  std::uint64_t failures() const;      // segments that were broken off
-  std::uint64_t removed() const;       // files
+  std::string failure() const;         // reason of the last failure; empty: none yet
+  std::uint64_t written() const;       // bytes written
+  std::uint64_t queued() const;        // bytes queued and not yet written
+  std::uint64_t failures() const;      // segments aborted by an error
+  std::uint64_t removed() const;       // files deleted
   std::uint64_t longest_write() const; // ns
-  void drain();                        // waits until all that was taken is written or has failed
+  void drain();                        // waits until everything queued is written or has failed
 
  private:
-  struct Work; // shared with the thread, which may outlive this object if the disk hangs
+  struct Work; // shared with the thread, which outlives this object if the disk blocks
   std::shared_ptr<Work> work_;
   std::thread thread_;
 };
--- a/operator/checker.cpp
+++ b/operator/checker.cpp
@@ -27,7 +27,7 @@
   return nullptr;
 }
 
-// With the largest unit in which it is whole.
+// Formats a value with the largest unit that divides it evenly.
 std::string format_quantity(double value, bool time) {
   const Unit* best = nullptr;
   const auto look = [&](const auto& units) {
@@ -40,7 +40,7 @@
   return text;
 }
 
-// How far two words are from each other, in letters changed, added or left out.
+// Levenshtein distance.
 std::size_t distance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   for (std::size_t j = 0; j < row.size(); ++j) row[j] = j;
@@ -56,7 +56,7 @@
   return row[b.size()];
 }
 
-// Figures and a port; who opens a socket finds out what is wrong beyond that.
+// Checks for a numeric host and a port only; other errors are found when the socket is opened.
 bool address_like(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos || colon == 0) return false;
--- a/operator/checker.hpp
+++ b/operator/checker.hpp
@@ -1,5 +1,5 @@
-// How one value of the operator file is read and checked: what sorts there are, and what is said of a wrong
-// one. For the parts of operator.cpp; nobody else's.
+// Parsing and validation of single values of the operator file, by kind of value, with their error messages.
+// Internal to operator/.
 #pragma once
 
 #include "kdl.hpp"
@@ -18,13 +18,13 @@
 
 enum class ValueKind { flag, time, size, fraction, folder, word, count, address };
 
-// One key: its place in the file, its name in the map, what it may be.
+// One key: its node and name in the file, its name in the settings, and its valid values.
 struct Key {
   const char* node;
   const char* name;
   const char* setting_name;
   ValueKind sort;
-  double min_value, max_value; // of times in ns, of sizes in bytes
+  double min_value, max_value; // times in ns, sizes in bytes
   const char* default_value;
   std::vector<const char*> choices = {};
 };
@@ -32,25 +32,25 @@
 constexpr double ms = 1e6, second = 1e9, day = 86400e9;
 constexpr double kib = 1024, mib = 1024 * kib, gib = 1024 * mib;
 
-// The one that is likely meant, in words; empty: none is near.
+// A "did you mean" suggestion with the most similar candidate; empty if none is similar enough.
 std::string suggest_nearest(std::string_view word, const std::vector<std::string>& candidates);
 
 struct Checker {
   std::vector<std::pair<SourcePosition, std::string>> errors;
 
   void wrong(SourcePosition at, const std::string& what) { errors.emplace_back(at, what); }
-  // A figure with its unit, as "500ms" or (ms)500.
+  // A number with a unit, such as "500ms" or (ms)500.
   bool parse_quantity(const Key& key, const Value& value, double& result);
-  // A part of something, as "20%".
+  // A percentage such as "20%", as a fraction.
   bool parse_fraction(const std::string& name, const Value& value, double min_value, double max_value,
                       double& result);
-  // A value by its sort, under the key's name in the map.
+  // Parses a value by its kind and stores it under the setting name of the key.
   void parse_value(Settings& settings, const Key& key, const Value& value) {
     parse_value(settings, key, value, key.setting_name);
   }
   void parse_value(Settings& settings, const Key& key, const Value& value, const std::string& setting_name);
-  // The children of a node that takes keys only: each at most once, with one value; others are left to
-  // `more`, which says whether it knows them. `keys` are those of the node.
+  // Parses the children of a node: each key of `keys` at most once, with one value. `handle_other` is called
+  // first for each child and returns true if it has handled it.
   template <class More>
   void parse_children(Settings& settings, const Node& node, const std::vector<Key>& keys,
                       const std::string& prefix, const std::vector<std::string>& other_names,
--- a/operator/fleet_part.cpp
+++ b/operator/fleet_part.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t max_voters = 7, max_members = 1024, max_tasks = 1024, max_name_length = 64;
-constexpr double max_task_fraction = 0.5; // of a term: what is left of a holding after a renewal, with room
+constexpr double max_task_fraction = 0.5; // of a term: what remains of a lease after a renewal, with a margin
 
 const std::vector<Key>& task_keys() {
   static const std::vector<Key> all{
@@ -35,7 +35,7 @@
 struct FleetSection {
   Checker& checker;
   Settings& settings;
-  std::map<double, std::string> members; // by number, where they stand in the map
+  std::map<double, std::string> members; // by member number, the prefix of their settings
   std::set<std::string> addresses;
   struct List {
     std::vector<std::pair<double, SourcePosition>> members;
@@ -66,7 +66,7 @@
     settings[at + "voter"] = settings[at + "previous_voter"] = 0.0;
     static const Key address{"member", "member", "", ValueKind::address, 0, 0, ""};
     checker.parse_value(settings, address, node.arguments.back(), at + "address");
-    // Against two members that a third can't tell from each other.
+    // Other members could not tell two members with the same address apart.
     if (const std::string declared = text(settings, at + "address", "");
         !declared.empty() && !addresses.insert(declared).second)
       checker.wrong(node.arguments.back().at, "member: its address is another's");
@@ -127,7 +127,7 @@
       checker.wrong(node.at, "task: its limit is over its period");
   }
 
-  // What goes with what, once each is right by itself.
+  // Checks settings against each other, once each is valid on its own.
   void check_consistency(const Node& node) {
     const auto amount = [&](const char* name) { return number(settings, std::string("fleet.") + name, 0); };
     if (text(settings, "fleet.name", "").empty()) checker.wrong(node.at, "fleet: name is missing");
@@ -175,7 +175,7 @@
                              return false;
                            return true;
                          });
-  // A longer term than was told for the longest is one that members that start wait out.
+  // Members wait out the longest term when they start, so it is at least the current term.
   const bool longest_term_declared = std::any_of(node.children.begin(), node.children.end(),
                                                  [](const Node& c) { return c.name == "longest-term"; });
   if (!longest_term_declared) settings["fleet.longest_term_ns"] = number(settings, "fleet.term_ns", 0);
--- a/operator/kdl.cpp
+++ b/operator/kdl.cpp
@@ -10,7 +10,7 @@
 
 namespace p = tao::pegtl;
 
-constexpr std::size_t max_depth = 32; // of children in children: against a text that fills the stack
+constexpr std::size_t max_depth = 32; // nesting depth; protects the stack from malicious input
 
 // ---- the grammar
 
@@ -90,16 +90,16 @@
 struct end_of_file : p::eof {};
 struct document : p::seq<bom, nodes, p::must<end_of_file>> {};
 
-// ---- what is made of it
+// ---- actions that build the nodes
 
 struct State {
   const std::string& file;
   std::vector<Node> roots;
-  std::vector<Node> open; // nodes begun and not done
+  std::vector<Node> open; // nodes whose end has not been reached
   int skipping = 0;
-  std::string text;     // of what was last read as one
-  std::string type;     // the annotation of the value to come
-  std::string property; // the name of the value to come
+  std::string text;     // the last string read
+  std::string type;     // the annotation of the next value
+  std::string property; // the name of the next value
   SourcePosition value_at;
   Value value;
   SourcePosition type_at;
--- a/operator/kdl.hpp
+++ b/operator/kdl.hpp
@@ -1,7 +1,7 @@
-// KDL documents, as far as the operator file needs them: nodes with arguments, properties and children, texts
-// (plain, quoted with escapes, raw), whole numbers and fractions, true, false and null, comments and
-// slashdash. The grammar stands in kdl.cpp, on PEGTL. Source: the KDL 2 specification; of version 1, `true`,
-// `false` and `null` without their mark are taken too. No I/O.
+// Parser for the subset of KDL that the operator file uses: nodes with arguments, properties and children,
+// strings (plain, quoted with escapes, raw), integers and decimals, booleans and null, comments and
+// slashdash. The grammar in kdl.cpp is written with PEGTL and follows the KDL 2 specification; `true`,
+// `false` and `null` without `#`, as in version 1, are accepted too. No I/O.
 #pragma once
 
 #include <memory>
@@ -15,12 +15,12 @@
 namespace cometshift::kdl {
 
 struct SourcePosition {
-  std::size_t line = 1, column = 1; // from 1, columns in bytes
+  std::size_t line = 1, column = 1; // 1-based; columns count bytes
 };
 
 struct Value {
   std::variant<std::monostate, bool, double, std::string> held;
-  std::string type; // its annotation; empty: none
+  std::string type; // type annotation; empty: none
   SourcePosition at;
 };
 
@@ -32,7 +32,7 @@
   std::vector<Node> children;
 };
 
-// What can't be read, and where: "FILE:LINE:COLUMN: what".
+// A syntax error; the message has the form "FILE:LINE:COLUMN: error".
 struct Wrong : std::invalid_argument {
   using std::invalid_argument::invalid_argument;
 };
--- a/operator/operator.cpp
+++ b/operator/operator.cpp
@@ -17,7 +17,7 @@
 
 using namespace operator_file;
 
-// The one list of them all, but those of nodes that may stand more than once.
+// All keys except those of repeatable nodes (pools, members, tasks).
 const std::vector<Key>& keys() {
   static const std::vector<Key> all{
       {"log", "format", "log.format", ValueKind::word, 0, 0, "text", {"text", "json"}},
@@ -58,7 +58,8 @@
   return all;
 }
 
-// One pool: its name, then what it takes and how it stands. `number` counts them.
+// Parses one pool: its name, its op types and tenants, and its weight, floor and ceiling. `number` is its
+// index.
 void parse_pool(Checker& checker, Settings& settings, const Node& node, std::size_t number,
                 std::set<std::string>& names, double& floors) {
   const std::string at = "pool." + std::to_string(number) + ".";
@@ -118,7 +119,7 @@
   floors += floor;
 }
 
-// Of the fleet, or of all else: without its node nothing is said of a fleet.
+// Defaults of the fleet section or of all others. Fleet settings exist only if the file has a fleet node.
 void put_defaults(Settings& settings, bool of_fleet) {
   Checker checker;
   for (const Key& key : keys()) {
@@ -139,7 +140,7 @@
   if (!checker.errors.empty()) throw std::logic_error("operator defaults: " + checker.errors.front().second);
 }
 
-// What goes with what, once each is right by itself.
+// Checks settings against each other, once each is valid on its own.
 void check_recording(Checker& checker, const Settings& settings, const Node& node) {
   if (number(settings, "recording.on", 0) != 0 && text(settings, "recording.folder", "").empty())
     checker.wrong(node.at, "recording: on, and no folder is told");
--- a/operator/operator.hpp
+++ b/operator/operator.hpp
@@ -1,6 +1,6 @@
-// The operator file: what operators set beside the platform's configuration. Read, checked and given defaults
-// here, and nowhere else; docs/operator.md lists the names. All that is wrong in a file is told at once, a
-// line each: "FILE:LINE:COLUMN: what, and what was meant".
+// The operator file: settings by operators in addition to the configuration from the platform. It is parsed,
+// validated and completed with defaults only here; docs/operator.md lists the names. All errors in a file are
+// reported at once, one per line: "FILE:LINE:COLUMN: error, and a suggestion".
 #pragma once
 
 #include "kdl.hpp"
@@ -11,13 +11,14 @@
 
 namespace cometshift {
 
-// Names to values: "recording.folder", "log.format" and so on; times in "_ns", sizes in "_bytes", flags 0
-// or 1. Without a path or a text, all defaults. Throws std::invalid_argument.
+// Settings by name, such as "recording.folder" and "log.format". Times end in "_ns", sizes in "_bytes"; flags
+// are 0 or 1. An empty text gives all defaults. Throws std::invalid_argument.
 Settings read_operator_file(const std::string& path);
 Settings parse_operator_text(std::string_view text, const std::string& file);
 Settings parse_operator_nodes(const std::vector<kdl::Node>& nodes, const std::string& file);
 
-// The part under a name and a dot, without it: "recording." gives "folder" and so on.
+// The settings whose names start with a prefix, with the prefix removed: for "recording.", "folder" and so
+// on.
 Settings part_of(const Settings& settings, std::string_view prefix);
 
 } // namespace cometshift
