--- a/capture/decision.cpp
+++ b/capture/decision.cpp
@@ -34,50 +34,51 @@
   return text;
 }
 
-std::string words_of(Outcome outcome) {
+std::string describe(Outcome outcome) {
   static constexpr std::array<const char*, 8> words{"done",        "failed", "shed",   "timed out",
                                                     "unreachable", "cut",    "halted", "moot"};
   const auto at = static_cast<std::size_t>(outcome);
   return at < words.size() ? words[at] : "unknown";
 }
 
-std::string words_of(const Decision& one, const std::vector<std::string>& op_types) {
-  std::string said(to_text(one.kind));
-  if (one.op != no_op_id) said += " " + op_id_text(one.op);
+std::string describe(const Decision& decision, const std::vector<std::string>& op_types) {
+  std::string said(to_text(decision.kind));
+  if (decision.op != no_op_id) said += " " + op_id_text(decision.op);
   const auto add = [&](const std::string& more) { said += ", " + more; };
-  if (one.reason != Reason::none) add("why " + std::string(to_text(one.reason)));
+  if (decision.reason != Reason::none) add("why " + std::string(to_text(decision.reason)));
   char text[48];
-  switch (one.kind) {
+  switch (decision.kind) {
   case Kind::served:
   case Kind::resume:
-    add(std::to_string(one.size) + " bytes");
+    add(std::to_string(decision.size) + " bytes");
     break;
   case Kind::refused:
-    if (one.span > 0) add("stay away " + ms_of(one.span));
-    if (one.flag) add("not elsewhere");
+    if (decision.span > 0) add("stay away " + ms_of(decision.span));
+    if (decision.flag) add("not elsewhere");
     break;
   case Kind::start:
-    add(one.number < op_types.size() ? op_types[one.number] : "op type " + std::to_string(one.number));
-    add("start " + std::to_string(one.start));
+    add(decision.number < op_types.size() ? op_types[decision.number]
+                                          : "op type " + std::to_string(decision.number));
+    add("start " + std::to_string(decision.start));
     break;
   case Kind::call:
-    add("time-out " + ms_of(one.span));
+    add("time-out " + ms_of(decision.span));
     break;
   case Kind::health:
-    add(one.flag ? "good" : "bad");
+    add(decision.flag ? "good" : "bad");
     break;
   case Kind::notify_callers:
-    std::snprintf(text, sizeof text, "%.4f", one.value);
+    std::snprintf(text, sizeof text, "%.4f", decision.value);
     add(text);
     break;
   case Kind::set_idle_timeout:
-    add("after " + ms_of(one.span));
+    add("after " + ms_of(decision.span));
     break;
   case Kind::penalize:
-    add("connection " + std::to_string(one.line.connection.raw));
+    add("connection " + std::to_string(decision.line.connection.raw));
     break;
   case Kind::timing:
-    add(std::to_string(one.number) + ", " + ms_of(one.span));
+    add(std::to_string(decision.number) + ", " + ms_of(decision.span));
     break;
   case Kind::failed:
   case Kind::cancel_call:
--- a/capture/decision.hpp
+++ b/capture/decision.hpp
@@ -49,8 +49,8 @@
 };
 
 // One-line descriptions that use the terms of docs/on-call.md.
-std::string words_of(const Decision& one, const std::vector<std::string>& op_types);
-std::string words_of(Outcome outcome);
+std::string describe(const Decision& decision, const std::vector<std::string>& op_types);
+std::string describe(Outcome outcome);
 std::string op_id_text(OpId op);
 
 // Placeholder for the content with this digest in a replay: the bytes of the digest itself.
@@ -78,7 +78,7 @@
   void note(const char* kind, std::string_view words) override;
 
  protected:
-  virtual void take(const Decision& one) = 0;
+  virtual void take(const Decision& decision) = 0;
   virtual Digest digest(const Content& content) = 0;
 };
 
--- a/capture/format.cpp
+++ b/capture/format.cpp
@@ -53,11 +53,11 @@
   else
     into.set_text(std::get<std::string>(value));
 }
-void decode_setting(Settings& into, const wire::Setting& one) {
-  if (one.value_case() == wire::Setting::kNumber)
-    into[one.name()] = one.number();
+void decode_setting(Settings& into, const wire::Setting& setting) {
+  if (setting.value_case() == wire::Setting::kNumber)
+    into[setting.name()] = setting.number();
   else
-    into[one.name()] = one.text();
+    into[setting.name()] = setting.text();
 }
 
 void encode_settings(wire::Head& head, const Settings& settings) {
@@ -68,7 +68,7 @@
 
 Settings decode_settings(const wire::Head& head) {
   Settings settings;
-  for (const wire::Setting& one : head.setting()) decode_setting(settings, one);
+  for (const wire::Setting& setting : head.setting()) decode_setting(settings, setting);
   return settings;
 }
 
@@ -119,17 +119,17 @@
   if (std::string_view(mark, sizeof mark - 1) != segment_magic.substr(0, sizeof mark - 1))
     bad(0, "not a segment of a recording");
   if (mark[sizeof mark - 1] != segment_magic.back())
-    bad(sizeof mark - 1, "framed in a way that this build does not know");
+    bad(sizeof mark - 1, "framing version not supported by this build");
   at_ = sizeof mark;
-  if (!block()) bad<IncompleteSegment>(at_, "ends within its head");
+  if (!block()) bad<IncompleteSegment>(at_, "ends within the segment header");
   if (payload_.size() > max_head_bytes || !head_->ParseFromString(payload_))
-    bad(block_at_, "a head that can't be read");
+    bad(block_at_, "invalid segment header");
   left_ = {};
   if (head_->format() != capture_format)
     bad(block_at_,
         "format " + std::to_string(head_->format()) + ", this build reads " + std::to_string(capture_format));
   if (settings_digest(decode_settings(*head_)) != head_->settings_digest())
-    bad(block_at_, "settings that are not those of their digest");
+    bad(block_at_, "settings do not match their digest");
 }
 SegmentReader::~SegmentReader() = default;
 
@@ -151,7 +151,7 @@
   payload_.resize(length);
   if (std::fread(payload_.data(), 1, length, file_.get()) != length) bad(at_, "can't be read");
   if (checksum(std::string_view(head, 4), payload_) != number_at(head + 4, 8))
-    bad(at_, "a block whose checksum is not that of its bytes");
+    bad(at_, "a block whose checksum does not match");
   at_ += block_header_bytes + length;
   left_ = payload_;
   return true;
@@ -162,12 +162,11 @@
   std::uint32_t size = 0;
   google::protobuf::io::CodedInputStream in(reinterpret_cast<const std::uint8_t*>(left_.data()),
                                             static_cast<int>(left_.size()));
-  if (!in.ReadVarint32(&size)) bad(block_at_, "an entry without its length");
+  if (!in.ReadVarint32(&size)) bad(block_at_, "an entry without a length");
   left_.remove_prefix(static_cast<std::size_t>(in.CurrentPosition()));
-  if (size > left_.size()) bad(block_at_, "an entry over the end of its block");
+  if (size > left_.size()) bad(block_at_, "an entry that exceeds its block");
   into.Clear();
-  if (!into.ParseFromArray(left_.data(), static_cast<int>(size)))
-    bad(block_at_, "an entry that can't be read");
+  if (!into.ParseFromArray(left_.data(), static_cast<int>(size))) bad(block_at_, "an invalid entry");
   left_.remove_prefix(size);
   return true;
 }
--- a/capture/format.hpp
+++ b/capture/format.hpp
@@ -52,7 +52,7 @@
 void encode_settings(wire::Head& head, const Settings& settings);
 Settings decode_settings(const wire::Head& head);
 void encode_setting(wire::Setting& into, const std::string& name, const Settings::mapped_type& value);
-void decode_setting(Settings& into, const wire::Setting& one);
+void decode_setting(Settings& into, const wire::Setting& setting);
 void append_entry(std::string& payload, const wire::Entry& entry);
 
 // Reads one segment block by block; its memory use does not depend on the file size. Throws Unreadable.
--- a/capture/recorder.cpp
+++ b/capture/recorder.cpp
@@ -341,20 +341,20 @@
 }
 Digest Recorder::digest(const Content& content) { return digest_of(content.bytes); }
 
-void Recorder::take(const Decision& one) {
+void Recorder::take(const Decision& decision) {
   wire::Order& order = *entry_->add_order();
-  order.set_kind(static_cast<std::uint32_t>(one.kind));
-  order.set_op(one.op.raw);
-  if (one.line != StreamRef{}) put_line(*order.mutable_line(), one.line);
-  order.set_why(static_cast<std::uint32_t>(one.reason));
-  order.set_span(one.span);
-  order.set_value(one.value);
-  order.set_flag(one.flag);
-  order.set_high(one.content.high);
-  order.set_low(one.content.low);
-  order.set_size(one.size);
-  order.set_number(one.number);
-  order.set_start(one.start);
+  order.set_kind(static_cast<std::uint32_t>(decision.kind));
+  order.set_op(decision.op.raw);
+  if (decision.line != StreamRef{}) put_line(*order.mutable_line(), decision.line);
+  order.set_why(static_cast<std::uint32_t>(decision.reason));
+  order.set_span(decision.span);
+  order.set_value(decision.value);
+  order.set_flag(decision.flag);
+  order.set_high(decision.content.high);
+  order.set_low(decision.content.low);
+  order.set_size(decision.size);
+  order.set_number(decision.number);
+  order.set_start(decision.start);
 }
 
 void Recorder::served(StreamRef line, OpId op, Content result) {
--- a/capture/recorder.hpp
+++ b/capture/recorder.hpp
@@ -70,7 +70,7 @@
   void note(const char* kind, std::string_view words) override;
 
  private:
-  void take(const Decision& one) override;
+  void take(const Decision& decision) override;
   Digest digest(const Content& content) override;
   Digest digest_of(std::string_view bytes) const;
   // Runs one event. If it is recorded, `put` fills in its entry first.
--- a/capture/replay.cpp
+++ b/capture/replay.cpp
@@ -76,11 +76,11 @@
   return orders;
 }
 
-std::string words_of(const wire::Entry& entry, const std::vector<std::string>& op_types,
+std::string describe(const wire::Entry& entry, const std::vector<std::string>& op_types,
                      const std::vector<std::string>& tenants) {
   const auto op = [](std::uint64_t raw) { return op_id_text(OpId{raw}); };
   const auto over = [&](const char* what, const wire::Over& one) {
-    return std::string(what) + " " + op(one.op()) + " over: " + words_of(static_cast<Outcome>(one.outcome()));
+    return std::string(what) + " " + op(one.op()) + " over: " + describe(static_cast<Outcome>(one.outcome()));
   };
   switch (entry.what_case()) {
   case wire::Entry::kSnapshot:
@@ -142,7 +142,7 @@
   case wire::Entry::WHAT_NOT_SET:
     break;
   }
-  return "an event that this build does not know";
+  return "unknown event type";
 }
 
 Replayer::Replayer(const std::vector<std::string>& paths) : paths_(sort_segments(paths)) {}
@@ -152,21 +152,21 @@
 
 // ---- decisions of the core
 
-void Replayer::take(const Decision& one) {
+void Replayer::take(const Decision& decision) {
   if (initializing_) return;
-  if (on_final_decision && is_final(one.kind)) {
+  if (on_final_decision && is_final(decision.kind)) {
     DecisionInputs figures;
-    const bool known = core_->explain(now_, one.op, figures);
-    on_final_decision(now_, one, known ? &figures : nullptr);
+    const bool known = core_->explain(now_, decision.op, figures);
+    on_final_decision(now_, decision, known ? &figures : nullptr);
   }
-  replayed_.push_back(one);
-  if (simulated_ && one.kind == Kind::start && !simulated_->known.contains(one.op) &&
-      one.number < simulated_->usual.size())
-    simulated_->due.emplace(now_ + simulated_->usual[one.number],
-                            std::pair(one.op, simulated_->usual[one.number]));
+  replayed_.push_back(decision);
+  if (simulated_ && decision.kind == Kind::start && !simulated_->recorded_lags.contains(decision.op) &&
+      decision.number < simulated_->median_lags.size())
+    simulated_->due.emplace(now_ + simulated_->median_lags[decision.number],
+                            std::pair(decision.op, simulated_->median_lags[decision.number]));
 }
 void Replayer::note(const char* kind, std::string_view) {
-  if (!initializing_ && std::string_view(kind) == "notice") ++passed_over_;
+  if (!initializing_ && std::string_view(kind) == "notice") ++ignored_events_;
 }
 Digest Replayer::digest(const Content& content) { return token_digest(content.bytes); }
 
@@ -187,7 +187,7 @@
     initializing_ = false;
     Reader reader(entry.snapshot());
     core_->serialize(reader);
-    if (!reader.at_end()) throw std::invalid_argument("snapshot: more than this build remembers");
+    if (!reader.at_end()) throw std::invalid_argument("snapshot: trailing data unknown to this build");
   } catch (const std::invalid_argument& e) {
     initializing_ = false;
     throw Unreadable(where() + ": " + e.what());
@@ -203,15 +203,13 @@
 
 void Replayer::give(const wire::Entry& entry) {
   const auto outcome_of = [&](std::uint32_t raw) {
-    if (raw > static_cast<std::uint32_t>(Outcome::moot))
-      throw Unreadable(where() + ": an outcome that there is not");
+    if (raw > static_cast<std::uint32_t>(Outcome::moot)) throw Unreadable(where() + ": unknown outcome");
     return static_cast<Outcome>(raw);
   };
   switch (entry.what_case()) {
   case wire::Entry::kCame: {
     const wire::Came& came = entry.came();
-    if (came.type() >= op_types_.size())
-      throw Unreadable(where() + ": an op type that the settings don't name");
+    if (came.type() >= op_types_.size()) throw Unreadable(where() + ": op type not in the settings");
     core_->op_received(now_, line_in(came.line()), OpId{came.op()}, OpTypeId{came.type()},
                        TenantId{came.tenant()}, CallerId{came.caller()}, now_ - came.waited(), came.limit(),
                        came.held_kb(), came.rank(), came.mark(), came.subject(), content_in(came.body()),
@@ -257,27 +255,27 @@
   case wire::Entry::kEnd:
     return;
   case wire::Entry::WHAT_NOT_SET:
-    throw Unreadable(where() + ": an event that this build does not know");
+    throw Unreadable(where() + ": unknown event type");
   }
 }
 
 // Moves the entry into the history and leaves an old one in its place, to reuse its memory.
 void Replayer::remember(wire::Entry& entry) {
-  auto kept =
-      before_.size() < context_entries ? std::make_unique<wire::Entry>() : std::move(before_.front().second);
-  if (before_.size() == context_entries) before_.pop_front();
+  auto kept = history_.size() < context_entries ? std::make_unique<wire::Entry>()
+                                                : std::move(history_.front().second);
+  if (history_.size() == context_entries) history_.pop_front();
   kept->Swap(&entry);
-  before_.emplace_back(now_, std::move(kept));
+  history_.emplace_back(now_, std::move(kept));
 }
 
 std::string Replayer::differs(const wire::Entry& entry) const {
-  std::string said = "entry " + std::to_string(at_entry_) + " of " + reader_->path() + "\n";
-  for (const auto& [at, one] : before_)
-    said += "  +" + ms_of(at - first_) + " ms  " + words_of(*one, op_types_, tenants_) + "\n";
-  said += "  +" + ms_of(now_ - first_) + " ms  " + words_of(entry, op_types_, tenants_) + "   <- here\n";
+  std::string said = "entry " + std::to_string(entry_index_) + " of " + reader_->path() + "\n";
+  for (const auto& [at, one] : history_)
+    said += "  +" + ms_of(at - start_time_) + " ms  " + describe(*one, op_types_, tenants_) + "\n";
+  said += "  +" + ms_of(now_ - start_time_) + " ms  " + describe(entry, op_types_, tenants_) + "   <- here\n";
   for (std::size_t i = 0; i < std::max(recorded_.size(), replayed_.size()); ++i) {
-    const std::string was = i < recorded_.size() ? words_of(recorded_[i], op_types_) : "nothing";
-    const std::string is = i < replayed_.size() ? words_of(replayed_[i], op_types_) : "nothing";
+    const std::string was = i < recorded_.size() ? describe(recorded_[i], op_types_) : "nothing";
+    const std::string is = i < replayed_.size() ? describe(replayed_[i], op_types_) : "nothing";
     if (i < recorded_.size() && i < replayed_.size() && recorded_[i] == replayed_[i])
       said += "    both:     " + was + "\n";
     else
@@ -300,14 +298,14 @@
     entry.mutable_run_over()->set_op(op.raw);
     entry.mutable_run_over()->set_lag(lag);
     core_->run_finished(now_, op, Outcome::done, lag, {});
-    ++result.lent;
+    ++result.simulated_ends;
     if (each) each({now_, &entry, &recorded_, &replayed_, false});
   }
   now_ = now;
 }
 
 Replayer::Result Replayer::replay_with_simulated_runs(const std::function<void(const Step&)>& each) {
-  auto lent = std::make_unique<SimulatedRuns>();
+  auto simulated = std::make_unique<SimulatedRuns>();
   std::vector<std::vector<Nanos>> lags;
   std::map<OpId, std::uint32_t> types;
   for (const std::string& path : paths_) {
@@ -317,7 +315,7 @@
       if (entry.what_case() == wire::Entry::kCame) types[OpId{entry.came().op()}] = entry.came().type();
       if (entry.what_case() != wire::Entry::kRunOver) continue;
       const wire::Over& over = entry.run_over();
-      lent->known[OpId{over.op()}] = over.lag();
+      simulated->recorded_lags[OpId{over.op()}] = over.lag();
       const auto type = types.find(OpId{over.op()});
       if (type == types.end() || over.outcome() != static_cast<std::uint32_t>(Outcome::done)) continue;
       if (lags.size() <= type->second) lags.resize(type->second + 1);
@@ -326,9 +324,9 @@
   }
   for (std::vector<Nanos>& all : lags) {
     std::sort(all.begin(), all.end());
-    lent->usual.push_back(all.empty() ? 0 : all[all.size() / 2]);
+    simulated->median_lags.push_back(all.empty() ? 0 : all[all.size() / 2]);
   }
-  simulated_ = std::move(lent);
+  simulated_ = std::move(simulated);
   Result result = play(false, each);
   simulated_.reset();
   return result;
@@ -356,7 +354,7 @@
   std::uint64_t recording = 0;
   std::uint32_t segment = 0;
   bool ended = false; // the previous segment was closed
-  first_ = -1;
+  start_time_ = -1;
   for (const std::string& path : paths_) {
     const bool whole_before = ended && result.difference.empty();
     reader_ = std::make_unique<SegmentReader>(path);
@@ -366,14 +364,14 @@
     segment = reader_->head().segment();
     ended = false;
     now_ = reader_->head().at();
-    if (first_ < 0) first_ = now_;
+    if (start_time_ < 0) start_time_ = now_;
     ++result.segments;
-    at_entry_ = 0;
+    entry_index_ = 0;
     bool first = true;
     while (reader_->next(entry)) {
       if (first && entry.what_case() != wire::Entry::kSnapshot)
-        throw Unreadable(where() + ": no snapshot at its beginning");
-      ++at_entry_;
+        throw Unreadable(where() + ": segment does not start with a snapshot");
+      ++entry_index_;
       if (simulated_) simulate_runs(each, result, now_ + entry.after());
       now_ += entry.after();
       replayed_.clear();
@@ -386,9 +384,9 @@
         const bool same = !follows || snapshot() == entry.snapshot();
         result.snapshots_checked += follows;
         if (!same && result.difference.empty()) {
-          result.difference = path +
-                              ": what is remembered at its beginning is not what the replay of the segment "
-                              "before it remembers\n";
+          result.difference =
+              path + ": the snapshot at its beginning differs from the state after the replay of the "
+                     "segment before it\n";
           if (strict) return result;
         }
         restore(entry);
@@ -413,12 +411,11 @@
       remember(entry);
     }
     result.torn = reader_->torn();
-    if (result.torn && result.valid_up_to.empty())
-      result.valid_up_to = where() + ": a block that is not whole";
+    if (result.torn && result.valid_up_to.empty()) result.valid_up_to = where() + ": incomplete block";
   }
   result.clean_end = ended;
-  result.passed_over = passed_over_;
-  result.span = now_ - first_;
+  result.ignored_events = ignored_events_;
+  result.span = now_ - start_time_;
   result.digest = XXH3_64bits_digest(all.get());
   return result;
 }
--- a/capture/replay.hpp
+++ b/capture/replay.hpp
@@ -23,7 +23,7 @@
 std::vector<std::string> sort_segments(const std::vector<std::string>& paths);
 
 // One-line description of an entry.
-std::string words_of(const wire::Entry& entry, const std::vector<std::string>& op_types,
+std::string describe(const wire::Entry& entry, const std::vector<std::string>& op_types,
                      const std::vector<std::string>& tenants);
 std::vector<Decision> recorded_decisions(const wire::Entry& entry);
 std::vector<std::string> configured_names(const Settings& settings,
@@ -45,8 +45,8 @@
     std::uint64_t snapshots_checked = 0; // states compared byte for byte between consecutive segments
     std::uint64_t digest = 0;            // of all decisions of the replay
     Nanos span = 0;                      // duration of the recording
-    std::uint64_t passed_over = 0;       // events ignored because their op does not exist in the replay
-    std::uint64_t lent = 0;              // simulated ends of runs (replay_with_simulated_runs)
+    std::uint64_t ignored_events = 0;    // events ignored because their op does not exist in the replay
+    std::uint64_t simulated_ends = 0;    // simulated ends of runs (replay_with_simulated_runs)
     bool torn = false;                   // the last block is incomplete
     bool clean_end = false;              // the last segment was closed
     std::string difference;              // empty: none
@@ -65,7 +65,7 @@
   // Called before an entry is passed to the core.
   std::function<void(Nanos now, const wire::Entry& entry)> before_entry;
   // Called for each final answer during a step, with the inputs of the decision (null if the op is unknown).
-  std::function<void(Nanos now, const Decision& one, const DecisionInputs* figures)> on_final_decision;
+  std::function<void(Nanos now, const Decision& decision, const DecisionInputs* figures)> on_final_decision;
 
   // The serialized state of the core at the current entry, from which a cut-out segment can start. To be
   // called from `each` or `before_entry`.
@@ -75,7 +75,7 @@
   const std::vector<std::string>& tenants() const { return tenants_; }
 
  private:
-  void take(const Decision& one) override;
+  void take(const Decision& decision) override;
   void note(const char* kind, std::string_view words) override;
   Digest digest(const Content& content) override;
   void give(const wire::Entry& entry);
@@ -91,17 +91,17 @@
   std::vector<Decision> replayed_, recorded_;
   std::vector<std::string> op_types_, tenants_;
   std::deque<std::pair<Nanos, std::unique_ptr<wire::Entry>>>
-      before_; // the most recent entries with their times
-  Nanos now_ = 0, first_ = 0;
-  std::uint64_t at_entry_ = 0;
+      history_; // the most recent entries with their times
+  Nanos now_ = 0, start_time_ = 0;
+  std::uint64_t entry_index_ = 0;
   struct SimulatedRuns {                              // runs that the recording does not contain
-    std::map<OpId, Nanos> known;                      // lags of the recorded runs
-    std::vector<Nanos> usual;                         // median lag by op type
+    std::map<OpId, Nanos> recorded_lags;              // lags of the recorded runs
+    std::vector<Nanos> median_lags;                   // median lag by op type
     std::multimap<Nanos, std::pair<OpId, Nanos>> due; // by end time, with the lag
   };
   std::unique_ptr<SimulatedRuns> simulated_;
   void simulate_runs(const std::function<void(const Step&)>& each, Result& result, Nanos until);
-  std::uint64_t passed_over_ = 0;
+  std::uint64_t ignored_events_ = 0;
   bool initializing_ = false; // actions of the core during construction are not decisions
 };
 
--- a/capture/report.cpp
+++ b/capture/report.cpp
@@ -193,12 +193,12 @@
     if (!about && !ordered && !sibling && !its_line) return;
     ++seen;
     std::fprintf(out, "%12.3f ms  %s%s\n", in_ms(step.now - first),
-                 words_of(entry, player.op_types(), player.tenants()).c_str(),
+                 describe(entry, player.op_types(), player.tenants()).c_str(),
                  sibling ? "   (another try under its mark)" : "");
     std::size_t next = 0;
     for (const Decision& one : *step.replayed) {
       if (one.op != op) continue;
-      std::fprintf(out, "                 -> %s\n", words_of(one, player.op_types()).c_str());
+      std::fprintf(out, "                 -> %s\n", describe(one, player.op_types()).c_str());
       if (is_final(one.kind) && next < reason.size()) {
         if (!reason[next].empty()) std::fprintf(out, "                    %s\n", reason[next].c_str());
         ++next;
@@ -253,7 +253,7 @@
                  static_cast<double>(head.at() - began) / 1e9, static_cast<double>(now - began) / 1e9,
                  big(entries), big(snapshot),
                  ended           ? "closed"
-                 : reader.torn() ? "ends in a block that is not whole"
+                 : reader.torn() ? "ends in an incomplete block"
                                  : "not closed");
     for (const auto& [what, count] : events) std::fprintf(out, "  %10llu  %s\n", big(count), what.c_str());
     for (const auto& [what, count] : finals) std::fprintf(out, "  %10llu  %s\n", big(count), what.c_str());
@@ -270,9 +270,9 @@
     const double at = in_ms(step.now - first);
     if (at < static_cast<double>(from_ms) || at > static_cast<double>(to_ms)) return;
     std::fprintf(out, "%12.3f ms  %s\n", at,
-                 words_of(*step.entry, player.op_types(), player.tenants()).c_str());
+                 describe(*step.entry, player.op_types(), player.tenants()).c_str());
     for (const Decision& one : *step.recorded)
-      std::fprintf(out, "                 -> %s\n", words_of(one, player.op_types()).c_str());
+      std::fprintf(out, "                 -> %s\n", describe(one, player.op_types()).c_str());
   });
   return 0;
 }
@@ -377,14 +377,14 @@
   std::sort(rows.rbegin(), rows.rend());
   for (std::size_t i = 0; i < std::min(rows.size(), max_table_rows); ++i)
     std::fprintf(out, "  %8llu  %s\n", big(rows[i].first), rows[i].second.c_str());
-  if (result.passed_over + result.lent > 0)
+  if (result.ignored_events + result.simulated_ends > 0)
     std::fprintf(
         out,
         "%llu events passed over, of runs that this build did not start; %llu runs that only it started "
         "ended after the median of their type (simulated)\n",
-        big(result.passed_over), big(result.lent));
-  std::fprintf(out, "rules, recorded: %s\nrules, replayed: %s\n", words_of(was->rules.broken()).c_str(),
-               words_of(is->rules.broken()).c_str());
+        big(result.ignored_events), big(result.simulated_ends));
+  std::fprintf(out, "rules, recorded: %s\nrules, replayed: %s\n", describe(was->rules.broken()).c_str(),
+               describe(is->rules.broken()).c_str());
   for (const std::string& one : is->rules.examples()) std::fprintf(out, "  %s\n", one.c_str());
   return result.difference.empty() ? 0 : 1;
 }
@@ -497,7 +497,8 @@
     append_entry(payload, end);
     flush();
   }
-  if (std::fflush(file.get()) != 0 || !written_well) throw Unreadable(into + ": could not be written whole");
+  if (std::fflush(file.get()) != 0 || !written_well)
+    throw Unreadable(into + ": could not be written completely");
   std::fprintf(out, "%llu entries written to %s\n", big(entries), into.c_str());
   return entries > 0 ? 0 : 1;
 }
--- a/capture/rules.cpp
+++ b/capture/rules.cpp
@@ -122,7 +122,7 @@
   }
 }
 
-std::string words_of(const Rules::Broken& b) {
+std::string describe(const Rules::Broken& b) {
   char text[256];
   std::snprintf(
       text, sizeof text,
--- a/capture/rules.hpp
+++ b/capture/rules.hpp
@@ -83,7 +83,7 @@
   Nanos drain_started_at_ = -1;
 };
 
-std::string words_of(const Rules::Broken& broken);
+std::string describe(const Rules::Broken& broken);
 Rules::Figures rule_figures(const Settings& settings);
 
 } // namespace cometshift
--- a/capture/segment_writer.cpp
+++ b/capture/segment_writer.cpp
@@ -196,7 +196,7 @@
     retention.removed();
     ++removed;
   }
-  return retention.fits(bytes) || (fail("one segment takes all the room there is"), false);
+  return retention.fits(bytes) || (fail("one segment exceeds the total size limit"), false);
 }
 
 void SegmentWriter::Work::write(Chunk chunk) {
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -147,7 +147,7 @@
     events += row.events;
     good += row.broken.total() == 0;
     if (row.broken.total() == 0) continue;
-    std::printf("day %llu: %s\n", static_cast<unsigned long long>(from + i), words_of(row.broken).c_str());
+    std::printf("day %llu: %s\n", static_cast<unsigned long long>(from + i), describe(row.broken).c_str());
     for (const std::string& one : row.examples) std::printf("  %s\n", one.c_str());
   }
   std::printf("%llu of %llu random days with no rule broken, %llu events\n",
--- a/load/main.cpp
+++ b/load/main.cpp
@@ -255,7 +255,7 @@
     std::printf("strangers: %llu, of which %llu were answered or closed\n",
                 static_cast<unsigned long long>(callers.strangers_sent()),
                 static_cast<unsigned long long>(callers.strangers_answered()));
-  std::printf("rules: %s; results that no run made %llu\n", words_of(rules.broken()).c_str(),
+  std::printf("rules: %s; results that no run made %llu\n", describe(rules.broken()).c_str(),
               static_cast<unsigned long long>(callers.wrong_results()));
   for (const std::string& one : rules.examples()) std::printf("  %s\n", one.c_str());
   const bool good = rules.broken().total() == 0 && callers.wrong_results() == 0 && cost.exit_code == 0;
--- a/tests/captures.sh
+++ b/tests/captures.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Replays each kept recording a hundred times, with the program as it is built, once with one built without
-# optimisation, and once with a build in which one decision is changed, which has to differ.
-# Last, what a build with a line a fifth as long decides otherwise under overload, and what the rules say of both.
+# Replays each stored recording a hundred times with the normal build, once with a build without optimisation, and
+# once with a build in which one decision is changed; that replay must differ. Finally compares the decisions of a
+# build with a queue limit of one fifth under overload, and checks the rules for both sides.
 # Usage: captures.sh PROGRAM PLAIN CHANGED SHORTER FOLDER
 for file in "$5"/*.capture; do
   name=$(basename "$file" .capture)
--- a/tests/commands.sh
+++ b/tests/commands.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# What the command line says and how it exits. Usage: commands.sh PROGRAM FOLDER-OF-RECORDINGS
+# Checks the output and exit codes of the command line. Usage: commands.sh PROGRAM FOLDER-OF-RECORDINGS
 program=$1
 overload=$2/overload.capture
 run() {
@@ -23,7 +23,7 @@
 run replay --explain 12 "$overload"
 run replay --explain 00000000000000ff "$overload"
 run capture info "$overload"
-# One op of each end, from the list: its life and the reason.
+# Explains one op of each outcome, taken from the list.
 "$program" capture list "$overload" >list.out
 for end in served 'why line' 'why due' 'why hopeless'; do
   op=$(grep -e "-> .*$end" list.out | sed -n 3p | grep -o '[0-9a-f]\{16\}' | head -1)
@@ -38,7 +38,7 @@
 "$program" capture scrub --into scrubbed.capture cut.capture
 "$program" replay scrubbed.capture | tail -1
 "$program" replay --explain "$op" scrubbed.capture | head -3 | sed "s|mark [0-9a-f]*|mark concealed|"
-run capture cut --op "$op" --into cut.capture "$overload" # is there already
+run capture cut --op "$op" --into cut.capture "$overload" # the output file exists already
 rm -f cut.capture
 "$program" capture cut --from 1000 --to 1500 --into cut.capture "$overload" | sed 's/ to .*//'
 "$program" replay cut.capture | sed 's/ in .* times as fast//'
--- a/tests/fleet.cpp
+++ b/tests/fleet.cpp
@@ -24,7 +24,7 @@
     const Row row = play(random_day(static_cast<std::uint64_t>(seed)));
     good += row.broken.total() == 0;
     if (row.broken.total() > 0) {
-      std::printf("day %d: %s\n", seed, words_of(row.broken).c_str());
+      std::printf("day %d: %s\n", seed, describe(row.broken).c_str());
       for (const std::string& one : row.examples) std::printf("  %s\n", one.c_str());
     }
   }
--- a/tests/keeping.cpp
+++ b/tests/keeping.cpp
@@ -1,4 +1,4 @@
-// What decides for a recording, alone: segments, gaps and trials, files that go.
+// Unit test of the recording policies: new segments, gaps with retries, and deletion of old files.
 #include "driver.hpp"
 #include "recording_policy.hpp"
 
--- a/tests/operator.cpp
+++ b/tests/operator.cpp
@@ -1,4 +1,4 @@
-// Operator files: what is taken, and broken ones with the messages that operators get.
+// Tests the parsing of operator files: the resulting settings, and the error messages for invalid files.
 #include "operator.hpp"
 
 #include <cstdio>
--- a/tests/recorded.cpp
+++ b/tests/recorded.cpp
@@ -1,16 +1,17 @@
-// Recordings of hard moments, each replayed: the decisions are printed, the replay has to be the same.
+// Records and replays difficult timings, such as simultaneous events. Prints the decisions; each replay must
+// match its recording.
 #include "recorded_core.hpp"
 
 namespace {
 
-// Two ops in one instant on a table with room for one more: who comes first decides.
+// Two ops with the same key arrive at the same time; the order of arrival decides which one runs.
 void same_instant(bool turned) {
   RecordedCore s;
   s.prints = true;
   s.record();
   s.link();
   s.came(turned ? 2 : 1, 1, "m1");
-  s.came(turned ? 1 : 2, 1, "m1"); // the same mark and body: it waits for the first
+  s.came(turned ? 1 : 2, 1, "m1"); // the same mark and body: waits for the first op
   s.pass(300 * ms);
   say_replay(replayed(s.files("same_instant")));
 }
--- a/tests/recorded_core.hpp
+++ b/tests/recorded_core.hpp
@@ -1,5 +1,5 @@
-// For tests of recordings: a core in simulated time with a world round it (runs, calls, a link that breaks),
-// recorded to files in memory that fail when told to, and replayed from files on disk.
+// Fixture for tests of recordings: a core in simulated time with a simulated environment (runs, calls, a link
+// that can break). Records to in-memory files with fault injection and replays from files on disk.
 #pragma once
 
 #include "core.hpp"
@@ -20,14 +20,14 @@
 constexpr Nanos ms = 1'000'000;
 constexpr Nanos second = 1000 * ms;
 
-// A disk: what was written, and how it fails.
+// Simulated disk with fault injection.
 struct Disk {
   std::mutex lock;
   std::condition_variable wake;
   std::map<std::string, std::string> files;
   std::vector<std::size_t> writes; // sizes of all writes, in order
   std::size_t full_after = ~std::size_t{0};
-  bool stuck = false; // writes do not return
+  bool stuck = false; // writes block
 
   void stick(bool yes) {
     const std::lock_guard hold(lock);
@@ -110,12 +110,12 @@
   Settings given = recorded_settings();
   std::unique_ptr<Core> core;
   std::shared_ptr<Disk> disk = std::make_shared<Disk>();
-  Nanos run_time = 40 * ms, call_time = 10 * ms; // of what runs from now on
+  Nanos run_time = 40 * ms, call_time = 10 * ms; // of runs that start from now on
   int calls = 1;
   double lost_calls = 0, failing = 0;
   bool prints = false;
   std::uint64_t answers = 0;
-  std::vector<std::string> notes; // of the recording
+  std::vector<std::string> notes; // notes of the recorder
 
   explicit RecordedCore(std::uint64_t seed = 1) : chance(seed) {
     core = std::make_unique<Core>(now, given, recorder);
@@ -152,7 +152,7 @@
     while (core->has_repeats_to_answer()) recorder.answer_repeats(now);
   }
   void later(Nanos after, std::function<void()> what) { due_.emplace(now + after, std::move(what)); }
-  // Lets time pass, with wake-ups and what was put off, in order.
+  // Advances the time and executes wake-ups and scheduled functions in order.
   void pass(Nanos time) {
     const Nanos end = now + time;
     for (;;) {
@@ -176,7 +176,7 @@
     now = end;
     turn();
   }
-  // Ends the recording and writes its files out; their paths.
+  // Ends the recording, writes its files to disk and returns their paths.
   std::vector<std::string> files(const std::string& name) {
     recorder.end(now);
     return put_out(name);
@@ -209,7 +209,7 @@
   }
   void part_over(OpId op) {
     if (!on_core.contains(op)) return;
-    if (!up) return later(20 * ms, [this, op] { part_over(op); }); // told once the link is back
+    if (!up) return later(20 * ms, [this, op] { part_over(op); }); // reported once the link is back
     if (calls_left_[op]-- > 0) {
       on_core.erase(op);
       waiting_.insert(op);
--- a/tests/recorded_faults.cpp
+++ b/tests/recorded_faults.cpp
@@ -1,5 +1,5 @@
-// Recordings on disks that fail, and files that are damaged: nothing that is decided changes, a gap is a gap,
-// and what can't be read is named.
+// Tests recordings with disk faults and damaged files: decisions must not change, lost entries must be
+// reported as a gap, and unreadable data must be reported as an error.
 #include "recorded_core.hpp"
 
 #include "format.hpp"
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A day of its own, the same each time; how many answers it gave.
+// Runs a fixed workload; returns the number of answers.
 std::uint64_t play(RecordedCore& s, std::uint64_t ops = 300) {
   for (std::uint64_t id = 1; id <= ops; ++id)
     s.came(id, id % 3, "m" + std::to_string(id / 2)), s.pass(12 * ms),
@@ -26,7 +26,7 @@
 void put(const std::string& path, const std::string& bytes) {
   std::ofstream(path, std::ios::binary | std::ios::trunc) << bytes;
 }
-// What reading such bytes comes to: identical to the end, identical up to somewhere, or named.
+// The result of replaying these bytes: identical to the end, identical up to a position, or an error message.
 std::string outcome_of(const std::string& bytes) {
   put("damaged.capture", bytes);
   std::string said;
--- a/tests/recorded_seeds.cpp
+++ b/tests/recorded_seeds.cpp
@@ -1,6 +1,6 @@
-// Random days, each recorded from its beginning and again from its middle, in small segments, and replayed:
-// the same every time. What happens on a day: overload, lost calls, broken links, lost lines, cores that
-// stand still, repeats, leaving.
+// Records random workloads in small segments, once from the beginning and once from the middle, and replays
+// them; each replay must match its recording. The workloads include overload, lost calls, broken links, lost
+// client streams, stalled cores, repeats and drains.
 #include "recorded_core.hpp"
 
 namespace {
--- a/tests/reloaded.sh
+++ b/tests/reloaded.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# A recording begun, ended and begun again while serving: the rules hold, and both replay. Usage: reloaded.sh LOAD PROGRAM
-# SCRIPT
+# Starts, ends and restarts a recording by reloads under load: no rule may be violated, and both recordings must
+# replay. Usage: reloaded.sh LOAD PROGRAM SCRIPT
 rm -rf reloaded.folder
 "$1" --quiet --server "$2" --folder reloaded.folder --script "$3" --rate 60 --seconds 2.5 --tries 0 >reloaded.said 2>&1
 echo "load: exit $?"
--- a/tests/replayer.cpp
+++ b/tests/replayer.cpp
@@ -1,4 +1,5 @@
-// Replays alone, to be built in other ways than the program is (CMakeLists.txt).
+// Minimal replay program that CMakeLists.txt builds in several variants: without optimisation, and with
+// changed sources.
 #include "format.hpp"
 #include "report.hpp"
 
--- a/tests/rules.cpp
+++ b/tests/rules.cpp
@@ -1,4 +1,4 @@
-// The rule checker: each rule broken once has to be found, and a day on which all hold is found good.
+// Unit test of the rule checker: each violation must be detected, and a run without violations must pass.
 #include "rules.hpp"
 #include "driver.hpp"
 
@@ -13,7 +13,7 @@
     Rules rules(site);
     happens(rules);
     rules.check_deadlines(100 * second);
-    std::printf("# %s\n  %s\n", what, words_of(rules.broken()).c_str());
+    std::printf("# %s\n  %s\n", what, describe(rules.broken()).c_str());
     for (const std::string& one : rules.examples()) std::printf("  %s\n", one.c_str());
   };
   const auto came = [&](Rules& r, Nanos now, OpId op, unsigned type = 0, const char* mark = "") {
