--- a/capture/replay.cpp
+++ b/capture/replay.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t shown_before = 8; // entries before a difference: what led to it is mostly among them
+constexpr std::size_t context_entries = 8; // shown before a difference; usually include its cause
 constexpr double ns_a_ms = 1e6;
 
 std::string ms_of(Nanos span) {
@@ -25,7 +25,7 @@
 }
 Content content_in(const wire::Content& content) {
   if (content.size() == 0) return {};
-  return Content(token_of({content.high(), content.low()}), content.size());
+  return Content(digest_token({content.high(), content.low()}), content.size());
 }
 std::string named(const std::vector<std::string>& names, std::uint32_t at, const char* kind) {
   return at < names.size() ? names[at] : std::string(kind) + " " + std::to_string(at);
@@ -33,13 +33,13 @@
 
 } // namespace
 
-std::vector<std::string> in_order(const std::vector<std::string>& paths) {
+std::vector<std::string> sort_segments(const std::vector<std::string>& paths) {
   std::vector<std::tuple<std::uint64_t, std::uint32_t, std::string>> found;
   for (const std::string& path : paths) {
     try {
       const SegmentReader reader(path);
       found.emplace_back(reader.head().recording(), reader.head().segment(), path);
-    } catch (const Unbegun&) {
+    } catch (const IncompleteSegment&) {
       if (paths.size() == 1) throw;
     }
   }
@@ -49,23 +49,23 @@
   return sorted;
 }
 
-std::vector<std::string> names_in(const Settings& given, const char* list) {
+std::vector<std::string> configured_names(const Settings& settings, const char* list) {
   std::vector<std::string> names;
   for (int i = 0;; ++i) {
     const std::string at = list + std::to_string(i) + ".name";
-    if (!given.contains(at)) return names;
-    names.push_back(text(given, at, ""));
+    if (!settings.contains(at)) return names;
+    names.push_back(text(settings, at, ""));
   }
 }
 
-std::vector<Decided> orders_in(const wire::Entry& entry) {
-  std::vector<Decided> orders;
+std::vector<Decision> recorded_decisions(const wire::Entry& entry) {
+  std::vector<Decision> orders;
   orders.reserve(static_cast<std::size_t>(entry.order_size()));
   for (const wire::Order& one : entry.order())
     orders.push_back({.kind = static_cast<Kind>(one.kind()),
                       .op = OpId{one.op()},
                       .line = line_in(one.line()),
-                      .why = static_cast<Reason>(one.why()),
+                      .reason = static_cast<Reason>(one.why()),
                       .span = one.span(),
                       .value = one.value(),
                       .flag = one.flag(),
@@ -76,11 +76,11 @@
   return orders;
 }
 
-std::string words_of(const wire::Entry& entry, const std::vector<std::string>& op_types,
+std::string describe(const wire::Entry& entry, const std::vector<std::string>& op_types,
                      const std::vector<std::string>& tenants) {
-  const auto op = [](std::uint64_t raw) { return hex_of(OpId{raw}); };
+  const auto op = [](std::uint64_t raw) { return op_id_text(OpId{raw}); };
   const auto over = [&](const char* what, const wire::Over& one) {
-    return std::string(what) + " " + op(one.op()) + " over: " + words_of(static_cast<Outcome>(one.outcome()));
+    return std::string(what) + " " + op(one.op()) + " over: " + describe(static_cast<Outcome>(one.outcome()));
   };
   switch (entry.what_case()) {
   case wire::Entry::kSnapshot:
@@ -142,74 +142,74 @@
   case wire::Entry::WHAT_NOT_SET:
     break;
   }
-  return "an event that this build does not know";
+  return "unknown event type";
 }
 
-Player::Player(const std::vector<std::string>& paths) : paths_(in_order(paths)) {}
-Player::~Player() = default;
+Replayer::Replayer(const std::vector<std::string>& paths) : paths_(sort_segments(paths)) {}
+Replayer::~Replayer() = default;
 
-const wire::Head& Player::head() const { return reader_->head(); }
+const wire::Head& Replayer::head() const { return reader_->head(); }
 
-// ---- what the core decides
+// ---- decisions of the core
 
-void Player::take(const Decided& one) {
-  if (deaf_) return;
-  if (when_answered && is_final(one.kind)) {
+void Replayer::take(const Decision& decision) {
+  if (initializing_) return;
+  if (on_final_decision && is_final(decision.kind)) {
     DecisionInputs figures;
-    const bool known = core_->explain(now_, one.op, figures);
-    when_answered(now_, one, known ? &figures : nullptr);
+    const bool known = core_->explain(now_, decision.op, figures);
+    on_final_decision(now_, decision, known ? &figures : nullptr);
   }
-  decided_.push_back(one);
-  if (lent_ && one.kind == Kind::start && !lent_->known.contains(one.op) && one.number < lent_->usual.size())
-    lent_->due.emplace(now_ + lent_->usual[one.number], std::pair(one.op, lent_->usual[one.number]));
+  replayed_.push_back(decision);
+  if (simulated_ && decision.kind == Kind::start && !simulated_->recorded_lags.contains(decision.op) &&
+      decision.number < simulated_->median_lags.size())
+    simulated_->due.emplace(now_ + simulated_->median_lags[decision.number],
+                            std::pair(decision.op, simulated_->median_lags[decision.number]));
 }
-void Player::note(const char* kind, std::string_view) {
-  if (!deaf_ && std::string_view(kind) == "notice") ++passed_over_;
+void Replayer::note(const char* kind, std::string_view) {
+  if (!initializing_ && std::string_view(kind) == "notice") ++ignored_events_;
 }
-Digest Player::digest(const Content& content) { return digest_in(content.bytes); }
+Digest Replayer::digest(const Content& content) { return token_digest(content.bytes); }
 
-// ---- what it is told
+// ---- events passed to the core
 
-std::string Player::where() const { return reader_->path() + ": byte " + std::to_string(reader_->at()); }
+std::string Replayer::where() const { return reader_->path() + ": byte " + std::to_string(reader_->at()); }
 
-void Player::restore(const wire::Entry& entry) {
+void Replayer::restore(const wire::Entry& entry) {
   if (reader_->head().layout() != snapshot_layout)
     throw Unreadable(where() + ": a snapshot of layout " + std::to_string(reader_->head().layout()) +
                      ", this build reads " + std::to_string(snapshot_layout));
-  given_ = settings_in(reader_->head());
-  op_types_ = names_in(given_, "op_type.");
-  tenants_ = names_in(given_, "tenant.");
+  settings_ = decode_settings(reader_->head());
+  op_types_ = configured_names(settings_, "op_type.");
+  tenants_ = configured_names(settings_, "tenant.");
   try {
-    deaf_ = true;
-    core_.reset(new Core(now_, given_, *this));
-    deaf_ = false;
+    initializing_ = true;
+    core_.reset(new Core(now_, settings_, *this));
+    initializing_ = false;
     Reader reader(entry.snapshot());
     core_->serialize(reader);
-    if (!reader.at_end()) throw std::invalid_argument("snapshot: more than this build remembers");
+    if (!reader.at_end()) throw std::invalid_argument("snapshot: trailing data unknown to this build");
   } catch (const std::invalid_argument& e) {
-    deaf_ = false;
+    initializing_ = false;
     throw Unreadable(where() + ": " + e.what());
   }
 }
 
-std::string Player::snapshot(const std::function<std::string(std::string_view)>& conceal) {
+std::string Replayer::snapshot(const std::function<std::string(std::string_view)>& conceal) {
   std::string bytes;
   Writer writer(bytes, conceal);
   core_->serialize(writer);
   return bytes;
 }
 
-void Player::give(const wire::Entry& entry) {
+void Replayer::give(const wire::Entry& entry) {
   const auto outcome_of = [&](std::uint32_t raw) {
-    if (raw > static_cast<std::uint32_t>(Outcome::moot))
-      throw Unreadable(where() + ": an outcome that there is not");
+    if (raw > static_cast<std::uint32_t>(Outcome::moot)) throw Unreadable(where() + ": unknown outcome");
     return static_cast<Outcome>(raw);
   };
   switch (entry.what_case()) {
   case wire::Entry::kCame: {
     const wire::Came& came = entry.came();
-    if (came.type() >= op_types_.size())
-      throw Unreadable(where() + ": an op type that the settings don't name");
+    if (came.type() >= op_types_.size()) throw Unreadable(where() + ": op type not in the settings");
     core_->op_received(now_, line_in(came.line()), OpId{came.op()}, OpTypeId{came.type()},
                        TenantId{came.tenant()}, CallerId{came.caller()}, now_ - came.waited(), came.limit(),
                        came.held_kb(), came.rank(), came.mark(), came.subject(), content_in(came.body()),
@@ -246,7 +246,7 @@
     return core_->drain(now_);
   case wire::Entry::kPools: {
     Settings pools;
-    for (const wire::Setting& one : entry.pools().setting()) take_setting(pools, one);
+    for (const wire::Setting& one : entry.pools().setting()) decode_setting(pools, one);
     return core_->set_pools(now_, pools);
   }
   case wire::Entry::kReload:
@@ -255,28 +255,28 @@
   case wire::Entry::kEnd:
     return;
   case wire::Entry::WHAT_NOT_SET:
-    throw Unreadable(where() + ": an event that this build does not know");
+    throw Unreadable(where() + ": unknown event type");
   }
 }
 
-// Takes the entry over and leaves an old one in its place, whose memory is used again.
-void Player::remember(wire::Entry& entry) {
-  auto kept =
-      before_.size() < shown_before ? std::make_unique<wire::Entry>() : std::move(before_.front().second);
-  if (before_.size() == shown_before) before_.pop_front();
+// Moves the entry into the history and leaves an old one in its place, to reuse its memory.
+void Replayer::remember(wire::Entry& entry) {
+  auto kept = history_.size() < context_entries ? std::make_unique<wire::Entry>()
+                                                : std::move(history_.front().second);
+  if (history_.size() == context_entries) history_.pop_front();
   kept->Swap(&entry);
-  before_.emplace_back(now_, std::move(kept));
+  history_.emplace_back(now_, std::move(kept));
 }
 
-std::string Player::differs(const wire::Entry& entry) const {
-  std::string said = "entry " + std::to_string(at_entry_) + " of " + reader_->path() + "\n";
-  for (const auto& [at, one] : before_)
-    said += "  +" + ms_of(at - first_) + " ms  " + words_of(*one, op_types_, tenants_) + "\n";
-  said += "  +" + ms_of(now_ - first_) + " ms  " + words_of(entry, op_types_, tenants_) + "   <- here\n";
-  for (std::size_t i = 0; i < std::max(recorded_.size(), decided_.size()); ++i) {
-    const std::string was = i < recorded_.size() ? words_of(recorded_[i], op_types_) : "nothing";
-    const std::string is = i < decided_.size() ? words_of(decided_[i], op_types_) : "nothing";
-    if (i < recorded_.size() && i < decided_.size() && recorded_[i] == decided_[i])
+std::string Replayer::differs(const wire::Entry& entry) const {
+  std::string said = "entry " + std::to_string(entry_index_) + " of " + reader_->path() + "\n";
+  for (const auto& [at, one] : history_)
+    said += "  +" + ms_of(at - start_time_) + " ms  " + describe(*one, op_types_, tenants_) + "\n";
+  said += "  +" + ms_of(now_ - start_time_) + " ms  " + describe(entry, op_types_, tenants_) + "   <- here\n";
+  for (std::size_t i = 0; i < std::max(recorded_.size(), replayed_.size()); ++i) {
+    const std::string was = i < recorded_.size() ? describe(recorded_[i], op_types_) : "nothing";
+    const std::string is = i < replayed_.size() ? describe(replayed_[i], op_types_) : "nothing";
+    if (i < recorded_.size() && i < replayed_.size() && recorded_[i] == replayed_[i])
       said += "    both:     " + was + "\n";
     else
       said += "    recorded: " + was + "\n    replayed: " + is + "\n";
@@ -284,28 +284,28 @@
   return said;
 }
 
-// Ends of runs that only this build started, in between the recorded entries.
-void Player::lend(const std::function<void(const Step&)>& each, Result& result, Nanos until) {
+// Delivers the simulated ends of runs that are due before the next recorded entry.
+void Replayer::simulate_runs(const std::function<void(const Step&)>& each, Result& result, Nanos until) {
   const Nanos now = now_;
-  while (!lent_->due.empty() && lent_->due.begin()->first <= until) {
-    const Nanos at = lent_->due.begin()->first;
-    const auto [op, lag] = lent_->due.begin()->second;
-    lent_->due.erase(lent_->due.begin());
+  while (!simulated_->due.empty() && simulated_->due.begin()->first <= until) {
+    const Nanos at = simulated_->due.begin()->first;
+    const auto [op, lag] = simulated_->due.begin()->second;
+    simulated_->due.erase(simulated_->due.begin());
     now_ = std::max(now, at);
-    decided_.clear();
+    replayed_.clear();
     recorded_.clear();
     wire::Entry entry;
     entry.mutable_run_over()->set_op(op.raw);
     entry.mutable_run_over()->set_lag(lag);
     core_->run_finished(now_, op, Outcome::done, lag, {});
-    ++result.lent;
-    if (each) each({now_, &entry, &recorded_, &decided_, false});
+    ++result.simulated_ends;
+    if (each) each({now_, &entry, &recorded_, &replayed_, false});
   }
   now_ = now;
 }
 
-Player::Result Player::play_on(const std::function<void(const Step&)>& each) {
-  auto lent = std::make_unique<Lent>();
+Replayer::Result Replayer::replay_with_simulated_runs(const std::function<void(const Step&)>& each) {
+  auto simulated = std::make_unique<SimulatedRuns>();
   std::vector<std::vector<Nanos>> lags;
   std::map<OpId, std::uint32_t> types;
   for (const std::string& path : paths_) {
@@ -315,7 +315,7 @@
       if (entry.what_case() == wire::Entry::kCame) types[OpId{entry.came().op()}] = entry.came().type();
       if (entry.what_case() != wire::Entry::kRunOver) continue;
       const wire::Over& over = entry.run_over();
-      lent->known[OpId{over.op()}] = over.lag();
+      simulated->recorded_lags[OpId{over.op()}] = over.lag();
       const auto type = types.find(OpId{over.op()});
       if (type == types.end() || over.outcome() != static_cast<std::uint32_t>(Outcome::done)) continue;
       if (lags.size() <= type->second) lags.resize(type->second + 1);
@@ -324,21 +324,21 @@
   }
   for (std::vector<Nanos>& all : lags) {
     std::sort(all.begin(), all.end());
-    lent->usual.push_back(all.empty() ? 0 : all[all.size() / 2]);
+    simulated->median_lags.push_back(all.empty() ? 0 : all[all.size() / 2]);
   }
-  lent_ = std::move(lent);
+  simulated_ = std::move(simulated);
   Result result = play(false, each);
-  lent_.reset();
+  simulated_.reset();
   return result;
 }
 
-Player::Result Player::play(bool strict, const std::function<void(const Step&)>& each) {
+Replayer::Result Replayer::play(bool strict, const std::function<void(const Step&)>& each) {
   Result result;
   std::unique_ptr<XXH3_state_t, XXH_errorcode (*)(XXH3_state_t*)> all(XXH3_createState(), &XXH3_freeState);
   XXH3_64bits_reset(all.get());
-  const auto note = [&](const Decided& one) {
+  const auto note = [&](const Decision& one) {
     const std::uint64_t figures[] = {static_cast<std::uint64_t>(one.kind) |
-                                         static_cast<std::uint64_t>(one.why) << 8 |
+                                         static_cast<std::uint64_t>(one.reason) << 8 |
                                          static_cast<std::uint64_t>(one.flag) << 16,
                                      one.op.raw,
                                      one.line.connection.raw,
@@ -353,8 +353,8 @@
   wire::Entry entry;
   std::uint64_t recording = 0;
   std::uint32_t segment = 0;
-  bool ended = false; // the segment before was closed
-  first_ = -1;
+  bool ended = false; // the previous segment was closed
+  start_time_ = -1;
   for (const std::string& path : paths_) {
     const bool whole_before = ended && result.difference.empty();
     reader_ = std::make_unique<SegmentReader>(path);
@@ -364,29 +364,29 @@
     segment = reader_->head().segment();
     ended = false;
     now_ = reader_->head().at();
-    if (first_ < 0) first_ = now_;
+    if (start_time_ < 0) start_time_ = now_;
     ++result.segments;
-    at_entry_ = 0;
+    entry_index_ = 0;
     bool first = true;
     while (reader_->next(entry)) {
       if (first && entry.what_case() != wire::Entry::kSnapshot)
-        throw Unreadable(where() + ": no snapshot at its beginning");
-      ++at_entry_;
-      if (lent_) lend(each, result, now_ + entry.after());
+        throw Unreadable(where() + ": segment does not start with a snapshot");
+      ++entry_index_;
+      if (simulated_) simulate_runs(each, result, now_ + entry.after());
       now_ += entry.after();
-      decided_.clear();
-      recorded_ = orders_in(entry);
-      if (before_each) before_each(now_, entry);
+      replayed_.clear();
+      recorded_ = recorded_decisions(entry);
+      if (before_entry) before_entry(now_, entry);
       if (first) {
         first = false;
-        // What a closed segment ended with is what the next one begins with, or something decided was not
-        // told.
+        // The state at the end of a closed segment must equal the snapshot of the next one; otherwise
+        // something that influenced a decision was not recorded.
         const bool same = !follows || snapshot() == entry.snapshot();
         result.snapshots_checked += follows;
         if (!same && result.difference.empty()) {
-          result.difference = path +
-                              ": what is remembered at its beginning is not what the replay of the segment "
-                              "before it remembers\n";
+          result.difference =
+              path + ": the snapshot at its beginning differs from the state after the replay of the "
+                     "segment before it\n";
           if (strict) return result;
         }
         restore(entry);
@@ -399,11 +399,11 @@
         result.lost += entry.gap().entries();
       }
       ++result.entries;
-      result.orders += decided_.size();
+      result.orders += replayed_.size();
       result.ops += entry.what_case() == wire::Entry::kCame;
-      for (const Decided& one : decided_) note(one);
-      const bool same = decided_ == recorded_;
-      if (each) each({now_, &entry, &recorded_, &decided_, same});
+      for (const Decision& one : replayed_) note(one);
+      const bool same = replayed_ == recorded_;
+      if (each) each({now_, &entry, &recorded_, &replayed_, same});
       if (!same && result.difference.empty()) {
         result.difference = differs(entry);
         if (strict) return result;
@@ -411,11 +411,11 @@
       remember(entry);
     }
     result.torn = reader_->torn();
-    if (result.torn && result.holds_to.empty()) result.holds_to = where() + ": a block that is not whole";
+    if (result.torn && result.valid_up_to.empty()) result.valid_up_to = where() + ": incomplete block";
   }
   result.clean_end = ended;
-  result.passed_over = passed_over_;
-  result.span = now_ - first_;
+  result.ignored_events = ignored_events_;
+  result.span = now_ - start_time_;
   result.digest = XXH3_64bits_digest(all.get());
   return result;
 }
