--- a/src/serializer.hpp
+++ b/src/serializer.hpp
@@ -1,9 +1,8 @@
-// What is remembered, to bytes and back: for snapshots from which a recording can be replayed. One text names
-// the members of an object (`serialize(serializer)`), and a Writer or a Reader is handed over it.
+// Binary serialization for the snapshots from which a recording can be replayed. A class lists its members in
+// `serialize(serializer)`, which serves both a Writer and a Reader.
 //
-// Whole numbers are written as zigzag varints, fractions as their eight bytes, texts and lists with their
-// length before them. Errors: a Reader throws std::invalid_argument where the bytes end early or name what
-// can't be.
+// Integers are zigzag varints, floating-point numbers their eight bytes; texts and lists are preceded by
+// their length. Errors: a Reader throws std::invalid_argument for truncated or invalid bytes.
 #pragma once
 
 #include "ids.hpp"
@@ -29,29 +28,29 @@
 template <class Tag, class Raw>
 struct IsId<Id<Tag, Raw>> : std::true_type {};
 
-// What both ways share: which parts a thing has.
+// Common base of Writer and Reader: dispatches on the type of a value.
 template <class Self>
 class Serializer {
   Self& self() { return static_cast<Self&>(*this); }
 
  public:
   template <class T>
-  void operator()(T& thing) {
+  void operator()(T& value) {
     if constexpr (IsId<T>::value)
-      (*this)(thing.raw);
+      (*this)(value.raw);
     else if constexpr (std::is_enum_v<T>)
-      self().enumerated(thing);
+      self().enumerated(value);
     else if constexpr (std::is_floating_point_v<T>)
-      self().fraction(thing);
+      self().fraction(value);
     else if constexpr (std::is_integral_v<T>)
-      self().whole(thing);
+      self().whole(value);
     else
-      thing.serialize(self());
+      value.serialize(self());
   }
   void operator()(std::string& bytes) { self().bytes(bytes); }
   template <class T, std::size_t N>
   void operator()(std::array<T, N>& all) {
-    for (T& one : all) (*this)(one);
+    for (T& item : all) (*this)(item);
   }
   template <class A, class B>
   void operator()(std::pair<A, B>& both) {
@@ -63,12 +62,12 @@
     self().list(all);
   }
   template <class T>
-  void operator()(std::optional<T>& one) {
-    bool there = one.has_value();
-    (*this)(there);
-    if (there && !one) one.emplace();
-    if (!there) one.reset();
-    if (there) (*this)(*one);
+  void operator()(std::optional<T>& item) {
+    bool present = item.has_value();
+    (*this)(present);
+    if (present && !item) item.emplace();
+    if (!present) item.reset();
+    if (present) (*this)(*item);
   }
   template <class K, class V, class Order>
   void operator()(std::map<K, V, Order>& all) {
@@ -87,13 +86,15 @@
   }
 };
 
+// Appends values to a string.
 class Writer : public Serializer<Writer> {
   std::string& out_;
   std::function<std::string(std::string_view)> conceal_, token_;
 
  public:
   static constexpr bool reads = false;
-  // `conceal`, if given, tells what is written for a mark or a subject.
+  // `conceal`, if set, returns what is written in place of a key or subject; `token`, what is written in
+  // place of contents.
   explicit Writer(std::string& out, std::function<std::string(std::string_view)> conceal = {},
                   std::function<std::string(std::string_view)> token = {})
       : out_(out), conceal_(std::move(conceal)), token_(std::move(token)) {}
@@ -119,17 +120,17 @@
     varint(text.size());
     out_ += text;
   }
-  // Of contents, only what `token` makes of them is written, if it is given.
+  // Writes contents, or what `token` makes of them if it is set.
   template <class Size>
-  void content(std::string& held, Size& size) {
+  void content(std::string& text, Size& size) {
     whole(size);
-    bytes(token_ && size > 0 ? token_(held) : held);
+    bytes(token_ && size > 0 ? token_(text) : text);
   }
   void word(std::string& text) { bytes(conceal_ && !text.empty() ? conceal_(text) : text); }
   template <class T>
   void list(std::vector<T>& all) {
     varint(all.size());
-    for (auto&& one : all) (*this)(one);
+    for (auto&& item : all) (*this)(item);
   }
   template <class M>
   void table(M& all) {
@@ -141,21 +142,22 @@
   }
 };
 
+// Reads values in the order in which a Writer wrote them.
 class Reader : public Serializer<Reader> {
   std::string_view left_;
 
-  [[noreturn]] static void bad(const char* why) {
-    throw std::invalid_argument(std::string("snapshot: ") + why);
+  [[noreturn]] static void throw_invalid(const char* reason) {
+    throw std::invalid_argument(std::string("snapshot: ") + reason);
   }
-  std::string_view cut(std::size_t size) {
-    if (size > left_.size()) bad("ends early");
+  std::string_view take_bytes(std::size_t size) {
+    if (size > left_.size()) throw_invalid("truncated");
     const std::string_view taken = left_.substr(0, size);
     left_.remove_prefix(size);
     return taken;
   }
-  std::size_t count() { // of things of a byte at the least
+  std::size_t count() { // number of elements of at least one byte each
     const std::uint64_t n = varint();
-    if (n > left_.size()) bad("a list longer than its bytes");
+    if (n > left_.size()) throw_invalid("a list is longer than the remaining bytes");
     return static_cast<std::size_t>(n);
   }
 
@@ -167,11 +169,11 @@
   std::uint64_t varint() {
     std::uint64_t value = 0;
     for (int shift = 0; shift < 64; shift += 7) {
-      const auto byte = static_cast<unsigned char>(cut(1).front());
+      const auto byte = static_cast<unsigned char>(take_bytes(1).front());
       value |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
       if (byte < 0x80) return value;
     }
-    bad("a number without end");
+    throw_invalid("unterminated varint");
   }
   template <class T>
   void whole(T& into) {
@@ -182,16 +184,16 @@
   void enumerated(T& into) {
     int raw = 0;
     whole(raw);
-    if (raw < 0 || raw > 63) bad("a word that there is not");
+    if (raw < 0 || raw > 63) throw_invalid("unknown enumeration value");
     into = static_cast<T>(raw);
   }
   template <class T>
   void fraction(T& into) {
     std::array<char, sizeof(double)> raw;
-    std::memcpy(raw.data(), cut(raw.size()).data(), raw.size());
+    std::memcpy(raw.data(), take_bytes(raw.size()).data(), raw.size());
     into = static_cast<T>(std::bit_cast<double>(raw));
   }
-  void bytes(std::string& into) { into = cut(count()); }
+  void bytes(std::string& into) { into = take_bytes(count()); }
   void word(std::string& into) { bytes(into); }
   template <class Size>
   void content(std::string& into, Size& size) {
@@ -203,9 +205,9 @@
     const std::size_t n = count();
     into.clear();
     for (std::size_t i = 0; i < n; ++i) {
-      T one{};
-      (*this)(one);
-      into.push_back(std::move(one));
+      T item{};
+      (*this)(item);
+      into.push_back(std::move(item));
     }
   }
   template <class K, class V, class Order>
