--- a/node/host.cpp
+++ b/node/host.cpp
@@ -199,7 +199,7 @@
 <<<<<<< HEAD
     front_.stop_accepting(); // not within the core's action: it can pass further ops to the core
   do {                       // a stream lost while writing can make the core answer or start other ops
-    if (core_->has_repeats_to_answer()) tape_.answer_repeats(now());
+    if (core_->has_repeats_to_answer()) recorder_.answer_repeats(now());
 =======
     front_.stop_accepting(); // not from within the core's action, as it can pass further ops to the core
   do {                       // a stream lost while writing can make the core answer or start others
@@ -251,9 +251,9 @@
                         rank, mark, subject, Content(std::string(body)), digest);
 }
 <<<<<<< HEAD
-void Host::stream_lost(StreamRef ref) { tape_.stream_lost(now(), ref); }
-void Host::machine_up(Nanos uptime) { tape_.machine_up(now(), uptime); }
-void Host::link_down() { tape_.link_down(now()); }
+void Host::stream_lost(StreamRef ref) { recorder_.stream_lost(now(), ref); }
+void Host::machine_up(Nanos uptime) { recorder_.machine_up(now(), uptime); }
+void Host::link_down() { recorder_.link_down(now()); }
 =======
 void Host::stream_lost(StreamRef ref) { recorder_.stream_lost(now(), ref); }
 void Host::machine_up(Nanos since) { recorder_.machine_up(now(), since); }
@@ -282,7 +282,7 @@
   if (interpreter_.up())
 <<<<<<< HEAD
     confirm_read(interpreter_.answered_query_number()); // until the link is up, caught_up() does this
-  tape_.gauges(now(), values);
+  recorder_.gauges(now(), values);
 =======
     confirm_read(interpreter_.answered_query_number()); // before it has caught up, caught_up() does this
   recorder_.gauges(now(), values);
