--- a/load/child.hpp
+++ b/load/child.hpp
@@ -21,7 +21,7 @@
   Child(const Child&) = delete;
   Child& operator=(const Child&) = delete;
   void tell(int signal);
-  bool ended(Cost& cost); // without waiting
+  bool ended(Cost& cost);            // without waiting
   pid_t pid() const { return pid_; } // -1: it has ended
 
  private:
--- a/standin/script.hpp
+++ b/standin/script.hpp
@@ -6,7 +6,8 @@
 // - speed P: of the cores; 0: they stand still
 // - runs-fail P: part of the runs
 // - records-ms T, records-silent P, records-spoilt P, records-away P, records-reset P
-// - records-down, records-up, announce-down, announce-up: refuses connections; announce-down first, at 0: from
+// - records-down, records-up, announce-down, announce-up: refuses connections; announce-down first, at 0:
+// from
 //   before the server starts
 // - announce-silent P: part of the reports
 // - move: all three listen at other addresses, and the server is told by a hang-up signal
