--- a/node/host.cpp
+++ b/node/host.cpp
@@ -196,15 +196,9 @@
   if (core_->anything_due(now())) recorder_.due(now());
   request_gauges();
   if (stopped_accepting_)
-<<<<<<< HEAD
     front_.stop_accepting(); // not within the core's action: it can pass further ops to the core
   do {                       // a stream lost while writing can make the core answer or start other ops
     if (core_->has_repeats_to_answer()) recorder_.answer_repeats(now());
-=======
-    front_.stop_accepting(); // not from within the core's action, as it can pass further ops to the core
-  do {                       // a stream lost while writing can make the core answer or start others
-    if (core_->has_repeats_to_answer()) recorder_.answer_repeats(now());
->>>>>>> wording6
     front_.flush(now());
   } while (core_->has_repeats_to_answer());
   interpreter_.flush();
@@ -250,15 +244,9 @@
   recorder_.op_received(now(), ref, id, type, tenant, caller, clock_.from_system(received_at), limit, held_kb,
                         rank, mark, subject, Content(std::string(body)), digest);
 }
-<<<<<<< HEAD
 void Host::stream_lost(StreamRef ref) { recorder_.stream_lost(now(), ref); }
 void Host::machine_up(Nanos uptime) { recorder_.machine_up(now(), uptime); }
 void Host::link_down() { recorder_.link_down(now()); }
-=======
-void Host::stream_lost(StreamRef ref) { recorder_.stream_lost(now(), ref); }
-void Host::machine_up(Nanos since) { recorder_.machine_up(now(), since); }
-void Host::link_down() { recorder_.link_down(now()); }
->>>>>>> wording6
 
 // The answer to a query proves that the interpreter has read everything sent before the query.
 void Host::confirm_read(std::uint64_t query) {
@@ -280,13 +268,8 @@
   if (gauges_requested_at_ > 0)
     gauges_lead_ = std::min(2 * (now() - gauges_requested_at_) + ms, max_gauges_lead);
   if (interpreter_.up())
-<<<<<<< HEAD
     confirm_read(interpreter_.answered_query_number()); // until the link is up, caught_up() does this
   recorder_.gauges(now(), values);
-=======
-    confirm_read(interpreter_.answered_query_number()); // before it has caught up, caught_up() does this
-  recorder_.gauges(now(), values);
->>>>>>> wording6
 }
 void Host::command_rejected(OpId id, std::string_view command) {
   log_info("interpreter", "command rejected: %.*s",
