--- a/src/decision_module.cpp
+++ b/src/decision_module.cpp
@@ -60,8 +60,8 @@
 constexpr float min_samples = 8;
 // A caller timeout that makes up a smaller fraction of the recent ones is taken for what is left to a retry.
 constexpr float common_timeout_fraction = 0.1;
-// A base rises by at most 1/256 per run. That takes hundreds of runs, so that congestion does not become the
-// base.
+// The base of run times and that of call times rise by at most 1/256 per sample. A large rise takes hundreds
+// of samples, so that congestion does not become the base.
 constexpr Nanos base_rise_divisor = 256;
 // Quantile of run times that plans assume.
 constexpr double planning_quantile = 0.7;
@@ -97,8 +97,8 @@
 constexpr Nanos call_tail_factor = 2;
 // Quantile of call times from which the tail is estimated.
 constexpr double call_tail_quantile = 0.95;
-// Ops at calls shorter than this fraction of a run count under the cap: waiting for them idles a core for
-// less than one run too many costs.
+// Ops at calls shorter than this fraction of a run count under the cap. A core that idles until they return
+// costs less than one run too many.
 constexpr double short_call_fraction = 0.05;
 // A single short call may be made while less than this fraction of the budget is used: it adds little.
 constexpr double single_call_fraction = 0.5;
@@ -117,7 +117,7 @@
 constexpr Nanos max_first_call_delay = 4 * second;
 // Value of next_call_at_ until a call fits and that delay is drawn.
 constexpr Nanos delay_not_drawn = -1;
-// Fraction of lost calls above which calls get shorter time-outs: one of the last few hundred.
+// Fraction of lost calls above which calls get shorter time-outs: one in two hundred recent calls.
 constexpr double call_loss_threshold = 0.005;
 // Intervals into which a call's duration is divided to check the mean number of calls in flight.
 constexpr int call_mean_samples = 4;
@@ -314,10 +314,10 @@
 }
 
 // Growth takes precedence over a cut. The gauge is used only if ops were queued for all of its window and
-// runs make progress: if nothing moves because of a hang, the cores read as free, and more ops would only
-// congest them. As the gauge lags, the cores count as free only if fewer ops want a core at this moment than
-// there are cores. Otherwise the cap would grow on a reading from before a burst, as on a cold server that
-// all callers find at once.
+// runs make progress: during a hang the gauge shows the cores as free, and more ops would only congest them.
+// As the gauge lags, the cores count as free only if fewer ops want a core at this moment than there are
+// cores. Otherwise the cap would grow on a reading from before a burst, as on a cold server that all callers
+// find at once.
 void DecisionModule::adjust_cap(Nanos now) {
   const bool waiting = !queue_.empty() && now - queued_since_ >= gauge_window;
   const bool progressing = now - last_progress_at_ < gauge_window;
@@ -350,11 +350,11 @@
 }
 
 // Detects cores that stall or crawl while ops are still being read: no run has ended or reached a call for
-// far longer than this many concurrent runs should take. From then on no op is accepted, queued ops are
-// nacked so that they can go elsewhere, and so are the retryable ops that hang on the cores. The stored
-// health stays good: during an incident many servers stall for a moment, and those left on the list would get
-// all the traffic. Drawback: a server may be affected by a single run that is truly that long, but such a run
-// has to take many times the mean.
+// far longer than the present number of concurrent runs should take. From then on no op is accepted, queued
+// ops are nacked so that they can go elsewhere, and so are the retryable ops that hang on the cores. The
+// stored health stays good: during an incident many servers stall for a moment, and the few left on the
+// server list would get all the traffic. Drawback: a server may be affected by a single run that is truly
+// that long, but such a run has to take many times the mean.
 void DecisionModule::detect_stall(Nanos now) {
   if (on_core_ == 0 || stalled_) return;
   const bool known = std::none_of(ops_.begin(), ops_.end(), [this](const auto& entry) {
@@ -377,9 +377,9 @@
 
 // ---- queue
 
-// Lengths are recorded per second of the caller's work estimate, scaled by `work_factor`, and so reflect this
-// server's speed; without an estimate an op counts as one second. As estimates are rough, only as much of
-// their spread is used as runs have confirmed.
+// Core times and run times are recorded divided by the op's `work_factor` and so reflect this server's speed.
+// The factor is the caller's work estimate in seconds, raised to a power between 0 and 1, or 1 without an
+// estimate. As estimates are rough, the power starts at estimate_slope_prior and follows what runs show.
 Nanos DecisionModule::core_time(const Op& op) const {
   const OpType& type = types_[op.type.raw];
   if (type.core_time.total() < min_samples)
@@ -469,7 +469,7 @@
     reject(now, *op, can_meet_target(*op, now, hopeless_quantile) ? Reason::line : Reason::hopeless);
 }
 
-// Ops at calls that are so short that they are back before another op would have got anywhere: they count
+// Number of ops in calls so short that they return before another op would have made progress. They count
 // under the cap. This prevents one run too many on few cores, where all runs slow each other down for its
 // whole length. Drawback: lost capacity where runs beyond the number of cores cost nothing.
 int DecisionModule::returning_calls() const {
@@ -671,7 +671,7 @@
   release(op);
 }
 
-// Called after the final answer, or when no caller waits for it any more.
+// Called after the final answer, or when no caller waits for an answer any more.
 void DecisionModule::release(Op& op) {
   op.answered = true;
   erase_item(parked_, &op);
@@ -701,9 +701,9 @@
   return memory_kb_ + kb + key_kb_ * static_cast<double>(keys_.size());
 }
 
-// Keeps the key entry until the end of its window, which starts with the arrival at the machine, but for one
-// tick at least: if two tries lay unread for longer than a short window, both would run otherwise. Returns
-// false if there is not enough memory.
+// Keeps the key entry until the end of its window, which starts with the arrival at the machine, but for at
+// least one tick: otherwise two tries that both waited unread for longer than a short window would both run.
+// Returns false if there is not enough memory.
 bool DecisionModule::store_key(Nanos now, Op& op) {
   const Nanos lifetime = std::max(tick, op.received_at + types_[op.type.raw].key_window - now);
   if (projected_memory(key_kb_) > memory_fraction * memory_limit_) return false;
@@ -723,8 +723,8 @@
 }
 
 // Returns true if the op needs no run of its own because the op that it repeats is running here or has run. A
-// keyed op whose first try is still queued takes its place: the caller has abandoned that try, since tries of
-// one request follow each other.
+// keyed op replaces its first try if that is still queued: as tries of one request follow each other, the
+// caller has abandoned the first.
 bool DecisionModule::reuse_original(Nanos now, Op& op) {
   const auto first = ops_.find(op.original);
   if (first != ops_.end() && first->second.stage == Stage::queued && !first->second.ran) {
@@ -780,8 +780,8 @@
     if (now < op->next_call_at && !op->call_may_have_run) continue;
     const OpType& type = types_[op->type.raw];
     // Behind a load balancer, a server that does not answer in the usual time is abandoned for another one,
-    // in case it is cut off or hangs. A single service is given a time-out while it is fast, so that replies
-    // that never arrive do not use up the share.
+    // in case it is cut off or hangs. Calls to a single service get a shorter time-out if replies have been
+    // lost while it is fast, so that replies that never arrive do not use up the share.
     const bool known = call_times_.total() >= min_samples;
     const Nanos tail = call_loss_timeout();
     Nanos usual = op->due - now;
@@ -858,7 +858,8 @@
 // per server is too many, delays between calls reduce the rate further. The base follows a service that is
 // slow by itself. Drawback: a service that is slow at any load gets fewer calls than it could handle.
 void DecisionModule::adjust_call_limit(Nanos now, Nanos elapsed) {
-  // A stalled downstream service affects all servers, and all resume calling: start slowly, from a low limit.
+  // A stalled downstream service affects all servers, and all of them resume calling at the same
+  // time, so the limit starts low.
   if (elapsed > call_loss_timeout() && now - elapsed >= newest_completed_call_at_)
     call_limit_ = std::min(call_limit_, min_call_fraction * call_share_);
   next_call_at_ =
@@ -906,12 +907,12 @@
   return in_flight < static_cast<int>(call_limit_);
 }
 
-// Time between the ends of calls with as many in flight as allowed, and the part of it that parked ops will
-// take.
+// Mean time between the ends of calls while as many are in flight as allowed.
 Nanos DecisionModule::call_interval() const {
   const auto usual = static_cast<double>(recent_call_times_.quantile(0.5));
   return call_share_ > 0 ? static_cast<Nanos>(usual / call_limit_) : 0;
 }
+// Time until a call could start after those of all parked ops.
 Nanos DecisionModule::parked_call_wait() const {
   return static_cast<Nanos>(parked_.size()) * call_interval();
 }
@@ -1233,10 +1234,10 @@
   calls_.assume(started_at_, call_budget_fraction * call_share_);
 }
 
-// The stored health turns bad at once. Ops are served for a shutdown delay that ends with the grace period,
-// and early enough for a run to end before the kill; every op that was read is answered before it. If the
-// process was paused, the notice may have come at any time during the pause, so the times are counted from
-// its beginning.
+// The stored health turns bad at once. Ops are served until the shutdown delay ends: at the end of the
+// grace period, or earlier if a run would not end before the kill otherwise. Every op that was read is
+// answered before the kill. If the process was paused, the notice may have come at any time during the pause,
+// so the times are counted from its beginning.
 void DecisionModule::drain(Nanos now, Nanos until_kill) {
   const Nanos noticed = now - now_ > process_pause_threshold ? now_ : now;
   advance_clock(now);
--- a/src/decision_module.hpp
+++ b/src/decision_module.hpp
@@ -1,5 +1,6 @@
 // Interface of the decision module. One `DecisionModule` per server is told of events through its public
-// functions and acts through the `Server` passed to its constructor. All times are on the caller's clock.
+// functions and acts through the `Server` passed to its constructor. All times are on the
+// clock of the object's owner.
 #pragma once
 
 #include "histogram.hpp"
@@ -17,32 +18,32 @@
 
 // Intervals and time-outs of a server on sockets.
 enum class Timing {
-  // Between reports to the server list.
+  // Time between reports to the server list.
   report_interval,
-  // For the reply to a report, before it is sent again.
+  // Wait for the reply to a report, before the report is sent again.
   report_timeout,
-  // Before the link to the interpreter machine is re-established.
+  // Delay before the link to the interpreter machine is re-established.
   link_reconnect_delay,
-  // Silence on the link while an answer is due, before it is re-established.
+  // Silence on that link while an answer is due, before the link is re-established.
   link_silence_timeout,
-  // For the answer that proves that a link was read, before it is left for another address.
+  // Wait for the answer that proves that a link was read, before the link is moved to another address.
   link_handover_timeout,
-  // Between telling a caller that its connection takes no new op and closing it.
+  // Time between telling a caller that its connection takes no new op and closing the connection.
   connection_drain_delay,
-  // Silence on a caller's connection, whatever its state.
+  // Silence on a caller's connection, in any state, before the connection is closed.
   silent_connection_timeout,
-  // For the first frame of a caller's connection, or for the rest of a frame.
+  // Wait for the first frame of a caller's connection, or for the rest of a frame.
   frame_timeout,
-  // For a caller to read anything of its pending data, before its connection is closed.
+  // Wait for a caller to read any of its pending data, before its connection is closed.
   write_stall_timeout,
-  // After a failed accept.
+  // Delay after a failed accept.
   accept_retry_delay,
-  // From the answer to an op until the state of its run is queried, if nothing was heard of it.
+  // Time from the answer to an op until the state of its run is queried, if no notice of its end arrived.
   orphan_query_delay,
 };
 
-// Kinds of connections that are closed when the limit is reached. Within a kind, the longest silent one is
-// closed first.
+// Kinds of connections that are closed when the limit of connections is reached. Within a kind, the one that
+// has been silent for the longest time is closed first.
 enum class Eviction { no_frame, idle, newest };
 
 // Actions of a server that the decision module requests.
@@ -63,7 +64,7 @@
   virtual void halt(OpId op) = 0;  // stops or pauses a run on the cores
   virtual void health(bool good, bool from_store) = 0;
   virtual void notify_callers(double value) = 0;
-  virtual void set_idle_timeout(Nanos after) = 0; // 0: as the site is configured
+  virtual void set_idle_timeout(Nanos after) = 0; // 0: the site's configured timeout
   virtual void wake_at(Nanos at, WakeId id) = 0;
   virtual void log(std::string_view words) = 0;
   // Only for servers on sockets. After `max_invalid_ops` consecutive ops that no caller would send, nothing
@@ -78,20 +79,20 @@
   Nanos run_time = 0;        // estimate, calls included
   Nanos core_time = 0;       // estimate, calls excluded
   Nanos target_deadline = 0; // latest end that meets its target
-  Nanos due = 0;             // latest answer
+  Nanos due = 0;             // latest time of the answer
   double value_density = 0;  // importance per unit of work
   std::size_t queued = 0;
   Nanos backlog = 0; // work of the queued ops, divided by the cap
-  int on_core = 0;
-  int running = 0;
-  double cap = 0;
+  int on_core = 0;   // number of ops on the cores
+  int running = 0;   // ops started and not ended, those at calls included
+  double cap = 0;    // maximum number of ops on the cores
   double cores = 0;
-  double busy = 0;
+  double busy = 0; // fraction of the cores that is busy
   double memory_kb = 0;
   double memory_limit_kb = 0;
-  double calls = 0;
-  double call_limit = 0;
-  std::size_t at_call = 0;
+  double calls = 0;        // in flight, abandoned ones included
+  double call_limit = 0;   // maximum number of concurrent calls
+  std::size_t at_call = 0; // ops waiting to call
   bool breaker_open = false;
   bool stalled = false;
   bool draining = false;
@@ -109,12 +110,14 @@
 
   // An op was read. Absent values are 0 (times, work estimate), `no_op_id` (`original`, the op that it
   // repeats) and `no_key_id`. `time_left` is the time until the caller gives up, `waited` the time since the
-  // op arrived, `held_kb` the memory it takes before it runs. `weight` is a factor on its importance relative
+  // op arrived, `held_kb` the memory it takes before it runs. `rank` is the op's rank as its caller sent it,
+  // and `is_retry` whether the caller marked it as a retry. `weight` is a factor on its importance relative
   // to other ops.
   void op_read(Nanos now, OpId id, OpTypeId type, TenantId tenant, KeyId key, CallerId caller,
                Nanos time_left, Nanos waited, Nanos work_estimate, double held_kb, double rank, bool is_retry,
                OpId original, double weight = 1);
-  // The op whose result was to be reused did not run; `original` is the op that is repeated now.
+  // The op whose result was to be reused did not run; `original` is the op that it repeats now, or
+  // `no_op_id`.
   void reuse_failed(Nanos now, OpId id, OpId original);
   // No caller waits for the op's answer any more.
   void op_cancelled(Nanos now, OpId id);
@@ -218,8 +221,8 @@
   std::vector<Op*> parked_; // ops waiting to call, in order of arrival
 
   double cores_ = 0;
-  double cap_ = 0;
-  double fall_multiple_ = 0;
+  double cap_ = 0;           // maximum number of ops on the cores
+  double fall_multiple_ = 0; // running ops per core that a warm server survives
   double cold_start_fraction_ = 0;
   Nanos warm_after_ = 0;
   bool cold_start_ = false;
@@ -238,13 +241,13 @@
   double run_memory_factor_ = 0;
   double key_kb_ = 0;
   std::map<OpId, Nanos> keys_; // kept entries and their expiry times
-  Nanos fresh_for_ = 0;
+  Nanos fresh_for_ = 0;        // how long after its due time a read's answer may be shared
 
   double call_share_ = 0;                 // 0: unlimited
   bool load_balanced_downstream_ = false; // calls go to several servers behind a load balancer
-  Nanos call_linger_ = 0;
+  Nanos call_linger_ = 0;                 // how long an abandoned call continues downstream
   WindowMean calls_;
-  std::vector<Nanos> lingering_calls_; // when calls that were abandoned are over downstream
+  std::vector<Nanos> lingering_calls_; // times at which abandoned calls end downstream
   Histogram call_times_;
   Histogram recent_call_times_; // calls that timed out included
   Nanos base_call_time_ = 0;    // duration of a call without congestion
@@ -291,8 +294,8 @@
 
   Nanos drain_grace_ = 0;
   Nanos drain_started_at_ = -1; // -1: not draining
-  Nanos serve_until_ = 0;
-  Nanos answer_by_ = 0;
+  Nanos serve_until_ = 0;       // while draining: end of the shutdown delay
+  Nanos answer_by_ = 0;         // while draining: latest time of any answer
   bool stopped_accepting_ = false;
 };
 
--- a/src/histogram.hpp
+++ b/src/histogram.hpp
@@ -12,8 +12,8 @@
 
 namespace cometshift {
 
-// Histogram of durations. Each power of two from about 1 ms has two bins. The counts are halved after
-// `max_total` samples, so that the histogram follows changes.
+// Histogram of durations. Each power of two from 2^19 ns (about 0.5 ms) has two bins. The counts are halved
+// after `max_total` samples, so that the histogram follows changes.
 class Histogram {
   static constexpr int bins = 32;
   std::array<float, bins> count_{};
@@ -22,18 +22,20 @@
   mutable double mean_ = 0; // cached: it is read far more often than it changes
   mutable bool mean_known_ = false;
 
+  // Bins are computed in units of 2^18 ns.
   static int bin_of(Nanos span) {
-    const auto ms = static_cast<std::uint64_t>(std::max<Nanos>(span, 1) >> 18);
-    if (ms < 2) return 0;
-    const int top = std::bit_width(ms) - 1;
-    const int half = static_cast<int>((ms >> (top - 1)) & 1);
+    const auto units = static_cast<std::uint64_t>(std::max<Nanos>(span, 1) >> 18);
+    if (units < 2) return 0;
+    const int top = std::bit_width(units) - 1;
+    const int half = static_cast<int>((units >> (top - 1)) & 1);
     return std::min(bins - 1, 2 * top + half - 1);
   }
-  static Nanos low_of(int bin) {
+  // Returns the lower end of a bin.
+  static Nanos lower_end(int bin) {
     if (bin <= 0) return 0;
     const int top = (bin + 1) / 2;
-    const std::uint64_t ms = (std::uint64_t{2} | ((bin + 1) & 1)) << (top - 1);
-    return static_cast<Nanos>(ms << 18);
+    const std::uint64_t units = (std::uint64_t{2} | ((bin + 1) & 1)) << (top - 1);
+    return static_cast<Nanos>(units << 18);
   }
 
  public:
@@ -54,19 +56,19 @@
     total_ /= 2;
   }
   float total() const { return total_; }
-  // Returns the quantile `part`, interpolated linearly within its bin; 0 without samples.
-  Nanos quantile(double part) const {
-    double left = part * total_;
+  // Returns the quantile `fraction` (0 to 1), interpolated linearly within its bin; 0 without samples.
+  Nanos quantile(double fraction) const {
+    double left = fraction * total_;
     for (int b = 0; b < bins; ++b) {
       if (count_[b] > 0 && left <= count_[b])
-        return low_of(b) +
-               static_cast<Nanos>(static_cast<double>(low_of(b + 1) - low_of(b)) * left / count_[b]);
+        return lower_end(b) +
+               static_cast<Nanos>(static_cast<double>(lower_end(b + 1) - lower_end(b)) * left / count_[b]);
       left -= count_[b];
     }
-    return total_ > 0 ? low_of(bins) : 0;
+    return total_ > 0 ? lower_end(bins) : 0;
   }
   double mean() const {
-    if (!mean_known_) mean_ = capped_mean(low_of(bins));
+    if (!mean_known_) mean_ = capped_mean(lower_end(bins));
     mean_known_ = true;
     return mean_;
   }
@@ -75,19 +77,20 @@
     double sum = 0;
     for (int b = 0; b < bins; ++b)
       sum += count_[b] *
-             std::min(0.5 * static_cast<double>(low_of(b) + low_of(b + 1)), static_cast<double>(limit));
+             std::min(0.5 * static_cast<double>(lower_end(b) + lower_end(b + 1)), static_cast<double>(limit));
     return total_ > 0 ? sum / total_ : 0;
   }
-  // Returns the fraction of longer durations. The last bin has no upper end.
+  // Returns the fraction of durations longer than `span`: of bins whose middle is above it, and of the last
+  // bin, which has no upper end.
   double fraction_above(Nanos span) const {
     double sum = count_[bins - 1];
     for (int b = 0; b < bins - 1; ++b)
-      if (low_of(b) + low_of(b + 1) > 2 * span) sum += count_[b];
+      if (lower_end(b) + lower_end(b + 1) > 2 * span) sum += count_[b];
     return total_ > 0 ? sum / total_ : 0;
   }
 };
 
-// The few durations that recur among others that don't.
+// Finds the few durations that occur often. Its counts are halved after `max_total` samples.
 class FrequentValues {
   static constexpr int slots = 8;
   std::array<Nanos, slots> span_{};
@@ -115,18 +118,19 @@
     }
     count_[at] += 1;
     total_ += 1;
-    const float part = count_[at] / total_;
+    const float fraction = count_[at] / total_;
     if (total_ >= max_total_) {
       for (float& c : count_) c /= 2;
       total_ /= 2;
     }
-    return part;
+    return fraction;
   }
   float total() const { return total_; }
-  // Returns the shortest duration that is longer than `span` and makes up at least `part`, or `fallback`.
-  Nanos next_above(Nanos span, float part, Nanos fallback) const {
+  // Returns the shortest of `fallback` and of the durations longer than `span` that make up at least
+  // `fraction` of the recent ones.
+  Nanos next_above(Nanos span, float fraction, Nanos fallback) const {
     for (int i = 0; i < slots; ++i)
-      if (count_[i] >= part * total_ && span_[i] > span) fallback = std::min(fallback, span_[i]);
+      if (count_[i] >= fraction * total_ && span_[i] > span) fallback = std::min(fallback, span_[i]);
     return fallback;
   }
 };
@@ -159,8 +163,8 @@
   }
 };
 
-// Mean of a count over a sliding window, which is divided into a few slices. The count before the first slice
-// may be assumed.
+// Mean of a count over a sliding window, which is divided into a few slices. A count can be assumed
+// for the time before the first slice.
 class WindowMean {
   static constexpr int slices = 16;
   std::array<double, slices> area_{}; // count x time in each slice
--- a/tests/forms.cpp
+++ b/tests/forms.cpp
@@ -1,6 +1,6 @@
 // Frames and notices in fragments, and in all forms that the protocol permits: order and spelling of fields,
-// stream numbers, sizes, and which bytes arrive together. Each must be read as the same message, exactly
-// once.
+// stream numbers, sizes, and which bytes arrive together. Each message must be read exactly once,
+// with the same contents in every form.
 #include "driver.hpp"
 #include "front.hpp"
 #include "interpreter.hpp"
@@ -13,13 +13,13 @@
 
 void section(const char* what) { std::printf("# %s\n", what); }
 
-// Refuses each op as soon as it is read, unless it is to stay open, and records a description of it.
+// Records a description of each op that is read, and refuses the op unless `leave_open` is set.
 struct OpRecorder final : Front::Handler {
   Front* front = nullptr;
   bool leave_open = false;
   std::string words;
   std::size_t ops = 0;
-  void op_received(StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
+  void op_received(StreamRef stream, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
                    Nanos limit, double held_kb, double rank, std::string_view mark, std::string_view subject,
                    std::string_view body) override {
     char text[300];
@@ -34,7 +34,7 @@
     for (const char c : body) sum = sum * 31 + static_cast<unsigned char>(c);
     words += text + std::to_string(body.size()) + " bytes, " + std::to_string(sum) + '\n';
     ++ops;
-    if (!leave_open) front->refused(line, 0, false);
+    if (!leave_open) front->refused(stream, 0, false);
   }
   void stream_lost(StreamRef) override { words += "lost\n"; }
   std::string take() { return std::exchange(words, {}); }
@@ -75,55 +75,55 @@
 
 void test_fragmentation() {
   section("a request, a check and a keyed request: split at each byte, and byte by byte");
-  FrontFixture b;
-  b.peer.set_no_delay();
+  FrontFixture fixture;
+  fixture.peer.set_no_delay();
   std::uint32_t stream = 0;
-  const auto three = [&] {
+  const auto three_frames = [&] {
     stream += 3;
     return ask(stream - 2, "9b1f03aa5c7e2d41", {{"item", "7f3a9c21e0b4d655"}}, "a body") +
            frame_of(frames::health_check, stream - 1, {{"at", "1"}}) +
            ask(stream, "9b1f03aa5c7e2d42", {{"verb", "book"}, {"unique", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}},
                "");
   };
-  const auto heard = [&] {
-    std::string said;
-    for (int i = 0; i < 3; ++i) said += b.peer.frame().substr(0, 7);
-    return said;
+  const auto read_answers = [&] {
+    std::string prefixes;
+    for (int i = 0; i < 3; ++i) prefixes += fixture.peer.frame().substr(0, 7);
+    return prefixes;
   };
-  b.peer.say(three());
-  const std::string answers = heard(), whole = b.recorder.take();
+  fixture.peer.say(three_frames());
+  const std::string answers = read_answers(), whole = fixture.recorder.take();
   std::printf("%s", whole.c_str());
   std::size_t cuts = 0, alike = 0;
   for (std::size_t at = 1;; ++at) {
-    const std::string bytes = three();
+    const std::string bytes = three_frames();
     if (at >= bytes.size()) break;
-    b.peer.say(std::string_view(bytes).substr(0, at));
-    b.peer.say(std::string_view(bytes).substr(at));
+    fixture.peer.say(std::string_view(bytes).substr(0, at));
+    fixture.peer.say(std::string_view(bytes).substr(at));
     ++cuts;
-    alike += heard() == answers && b.recorder.take() == whole;
+    alike += read_answers() == answers && fixture.recorder.take() == whole;
   }
-  for (const char byte : three()) b.peer.say(std::string_view(&byte, 1));
+  for (const char byte : three_frames()) fixture.peer.say(std::string_view(&byte, 1));
   ++cuts;
-  alike += heard() == answers && b.recorder.take() == whole;
+  alike += read_answers() == answers && fixture.recorder.take() == whole;
   std::printf("  over 250 cuts: %d, all alike: %d\n", cuts > 250, alike == cuts);
 
   section("two hundred requests at once, beyond every limit of a single read");
   std::string all;
   for (int i = 0; i < 200; ++i)
     all += ask(++stream, "9b1f03aa5c7e2d41", {}, std::string(static_cast<std::size_t>(i * 9), 'x'));
-  const std::size_t before = b.recorder.ops;
-  b.peer.say(all);
-  for (int i = 0; i < 200; ++i) b.peer.frame();
-  std::printf("  %zu read\n", b.recorder.ops - before);
+  const std::size_t before = fixture.recorder.ops;
+  fixture.peer.say(all);
+  for (int i = 0; i < 200; ++i) fixture.peer.frame();
+  std::printf("  %zu read\n", fixture.recorder.ops - before);
 }
 
 void test_request_forms() {
   section("fields in another order, additional and empty fields; the limits of each number; bodies");
-  FrontFixture b;
+  FrontFixture fixture;
   std::uint32_t stream = 0;
   const auto read = [&](const std::string& bytes) {
-    b.peer.say(bytes);
-    const std::string answer = b.peer.frame(), words = b.recorder.take();
+    fixture.peer.say(bytes);
+    const std::string answer = fixture.peer.frame(), words = fixture.recorder.take();
     std::printf("  %s  %s\n", words.c_str(), answer.c_str());
   };
   const std::string txn = "00000000000000ff";
@@ -154,7 +154,8 @@
   read(ask(++stream, txn, {}, all_byte_values()));
 
   section("health checks: on any stream, repeated, without fields, as long as a frame may be");
-  for (const std::uint32_t on : {0u, 7u, 7u, 4294967295u}) read(frame_of(frames::health_check, on, {}));
+  for (const std::uint32_t number : {0u, 7u, 7u, 4294967295u})
+    read(frame_of(frames::health_check, number, {}));
   Fields longest;
   for (int i = 0; i < 5; ++i) longest.emplace_back("f" + std::to_string(i), std::string(50'000, 'x'));
   std::string frame = frame_of(frames::health_check, 1, longest);
@@ -165,26 +166,26 @@
   read(ask(++stream, txn));
 
   section("new streams in any order: descending, with gaps, random");
-  const std::size_t before = b.recorder.ops;
+  const std::size_t before = fixture.recorder.ops;
   std::size_t asked = 0, answered = 0;
-  const auto on = [&](std::uint32_t number) {
-    b.peer.say(ask(number, txn));
+  const auto ask_on = [&](std::uint32_t number) {
+    fixture.peer.say(ask(number, txn));
     ++asked;
-    answered += b.peer.frame() == "answer on " + std::to_string(number) + ": code 14";
+    answered += fixture.peer.frame() == "answer on " + std::to_string(number) + ": code 14";
   };
-  for (std::uint32_t i = 300; i > 100; --i) on(i);
-  for (std::uint32_t i = 1000; i < 3000; i += 7) on(i);
-  Pcg chance(5);
-  for (int i = 0; i < 300; ++i) on(4000 + (chance.next() >> 8));
-  on(4294967295u);
-  std::printf("  all read: %d, all answered on theirs: %d\n", b.recorder.ops - before == asked,
+  for (std::uint32_t i = 300; i > 100; --i) ask_on(i);
+  for (std::uint32_t i = 1000; i < 3000; i += 7) ask_on(i);
+  Pcg random(5);
+  for (int i = 0; i < 300; ++i) ask_on(4000 + (random.next() >> 8));
+  ask_on(4294967295u);
+  std::printf("  all read: %d, all answered on theirs: %d\n", fixture.recorder.ops - before == asked,
               answered == asked);
 
   section("a stream that is still open is not new, however many were opened since");
   TestConnection other = TestConnection::to(5050);
-  b.recorder.leave_open = true;
+  fixture.recorder.leave_open = true;
   other.say(ask(10, txn));
-  b.recorder.leave_open = false;
+  fixture.recorder.leave_open = false;
   for (std::uint32_t i = 1; i <= 200; ++i) other.say(ask(10 + 2 * i, txn)), other.frame();
   other.say(ask(10, txn));
   std::printf("  %s\n", other.frame().c_str());
@@ -234,8 +235,8 @@
   std::size_t cuts = 0, alike = 0;
   for (std::size_t cut = 0; cut <= more.size(); ++cut) { // unfragmented first, byte by byte last
     asio::io_context io;
-    NoticeRecorder heard;
-    InterpreterLink link(io, TestConnection::at(7300), 1 << 20, heard);
+    NoticeRecorder recorder;
+    InterpreterLink link(io, TestConnection::at(7300), 1 << 20, recorder);
     link.link_reconnect_delay(ms);
     TestConnection::turn = [&] {
       io.restart();
@@ -254,10 +255,10 @@
       at.say(std::string_view(more).substr(cut));
     }
     at.say(gauges);
-    TestConnection::until("gauges", [&] { return heard.caught == 1; });
-    if (cut == 0) std::printf("%s", (first = heard.words).c_str());
+    TestConnection::until("gauges", [&] { return recorder.caught == 1; });
+    if (cut == 0) std::printf("%s", (first = recorder.words).c_str());
     ++cuts;
-    alike += heard.words == first;
+    alike += recorder.words == first;
     TestConnection::turn = [] {};
   }
   std::printf("  over 500 cuts: %d, all alike: %d\n", cuts > 500, alike == cuts);
