--- a/src/decision_module.hpp
+++ b/src/decision_module.hpp
@@ -1,6 +1,6 @@
 // Interface of the decision module. One `DecisionModule` per server is told of events through its public
-// functions and acts through the `Server` passed to its constructor. All times are on the
-// clock of the object's owner.
+// functions and acts through the `Server` passed to its constructor. All times are on the clock
+// of the object's owner.
 #pragma once
 
 #include "histogram.hpp"
--- a/src/histogram.hpp
+++ b/src/histogram.hpp
@@ -22,20 +22,20 @@
   mutable double mean_ = 0; // cached: it is read far more often than it changes
   mutable bool mean_known_ = false;
 
-  // Bins are computed in units of 2^18 ns.
+  // Bins are computed in units of 2^18 ns, here called `ms` although they are about a quarter of one.
   static int bin_of(Nanos span) {
-    const auto units = static_cast<std::uint64_t>(std::max<Nanos>(span, 1) >> 18);
-    if (units < 2) return 0;
-    const int top = std::bit_width(units) - 1;
-    const int half = static_cast<int>((units >> (top - 1)) & 1);
+    const auto ms = static_cast<std::uint64_t>(std::max<Nanos>(span, 1) >> 18);
+    if (ms < 2) return 0;
+    const int top = std::bit_width(ms) - 1;
+    const int half = static_cast<int>((ms >> (top - 1)) & 1);
     return std::min(bins - 1, 2 * top + half - 1);
   }
   // Returns the lower end of a bin.
   static Nanos lower_end(int bin) {
     if (bin <= 0) return 0;
     const int top = (bin + 1) / 2;
-    const std::uint64_t units = (std::uint64_t{2} | ((bin + 1) & 1)) << (top - 1);
-    return static_cast<Nanos>(units << 18);
+    const std::uint64_t ms = (std::uint64_t{2} | ((bin + 1) & 1)) << (top - 1);
+    return static_cast<Nanos>(ms << 18);
   }
 
  public:
@@ -56,9 +56,9 @@
     total_ /= 2;
   }
   float total() const { return total_; }
-  // Returns the quantile `fraction` (0 to 1), interpolated linearly within its bin; 0 without samples.
-  Nanos quantile(double fraction) const {
-    double left = fraction * total_;
+  // Returns the quantile `part` (0 to 1), interpolated linearly within its bin; 0 without samples.
+  Nanos quantile(double part) const {
+    double left = part * total_;
     for (int b = 0; b < bins; ++b) {
       if (count_[b] > 0 && left <= count_[b])
         return lower_end(b) +
@@ -118,19 +118,19 @@
     }
     count_[at] += 1;
     total_ += 1;
-    const float fraction = count_[at] / total_;
+    const float part = count_[at] / total_;
     if (total_ >= max_total_) {
       for (float& c : count_) c /= 2;
       total_ /= 2;
     }
-    return fraction;
+    return part;
   }
   float total() const { return total_; }
   // Returns the shortest of `fallback` and of the durations longer than `span` that make up at least
-  // `fraction` of the recent ones.
-  Nanos next_above(Nanos span, float fraction, Nanos fallback) const {
+  // `part` of the recent ones.
+  Nanos next_above(Nanos span, float part, Nanos fallback) const {
     for (int i = 0; i < slots; ++i)
-      if (count_[i] >= fraction * total_ && span_[i] > span) fallback = std::min(fallback, span_[i]);
+      if (count_[i] >= part * total_ && span_[i] > span) fallback = std::min(fallback, span_[i]);
     return fallback;
   }
 };
--- a/tests/forms.cpp
+++ b/tests/forms.cpp
@@ -19,7 +19,7 @@
   bool leave_open = false;
   std::string words;
   std::size_t ops = 0;
-  void op_received(StreamRef stream, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
+  void op_received(StreamRef line, OpId id, OpTypeId type, TenantId tenant, CallerId caller, Nanos door,
                    Nanos limit, double held_kb, double rank, std::string_view mark, std::string_view subject,
                    std::string_view body) override {
     char text[300];
@@ -34,7 +34,7 @@
     for (const char c : body) sum = sum * 31 + static_cast<unsigned char>(c);
     words += text + std::to_string(body.size()) + " bytes, " + std::to_string(sum) + '\n';
     ++ops;
-    if (!leave_open) front->refused(stream, 0, false);
+    if (!leave_open) front->refused(line, 0, false);
   }
   void stream_lost(StreamRef) override { words += "lost\n"; }
   std::string take() { return std::exchange(words, {}); }
@@ -85,13 +85,13 @@
            ask(stream, "9b1f03aa5c7e2d42", {{"verb", "book"}, {"unique", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}},
                "");
   };
-  const auto read_answers = [&] {
+  const auto heard = [&] {
     std::string prefixes;
     for (int i = 0; i < 3; ++i) prefixes += fixture.peer.frame().substr(0, 7);
     return prefixes;
   };
   fixture.peer.say(three_frames());
-  const std::string answers = read_answers(), whole = fixture.recorder.take();
+  const std::string answers = heard(), whole = fixture.recorder.take();
   std::printf("%s", whole.c_str());
   std::size_t cuts = 0, alike = 0;
   for (std::size_t at = 1;; ++at) {
@@ -100,11 +100,11 @@
     fixture.peer.say(std::string_view(bytes).substr(0, at));
     fixture.peer.say(std::string_view(bytes).substr(at));
     ++cuts;
-    alike += read_answers() == answers && fixture.recorder.take() == whole;
+    alike += heard() == answers && fixture.recorder.take() == whole;
   }
   for (const char byte : three_frames()) fixture.peer.say(std::string_view(&byte, 1));
   ++cuts;
-  alike += read_answers() == answers && fixture.recorder.take() == whole;
+  alike += heard() == answers && fixture.recorder.take() == whole;
   std::printf("  over 250 cuts: %d, all alike: %d\n", cuts > 250, alike == cuts);
 
   section("two hundred requests at once, beyond every limit of a single read");
@@ -154,8 +154,7 @@
   read(ask(++stream, txn, {}, all_byte_values()));
 
   section("health checks: on any stream, repeated, without fields, as long as a frame may be");
-  for (const std::uint32_t number : {0u, 7u, 7u, 4294967295u})
-    read(frame_of(frames::health_check, number, {}));
+  for (const std::uint32_t on : {0u, 7u, 7u, 4294967295u}) read(frame_of(frames::health_check, on, {}));
   Fields longest;
   for (int i = 0; i < 5; ++i) longest.emplace_back("f" + std::to_string(i), std::string(50'000, 'x'));
   std::string frame = frame_of(frames::health_check, 1, longest);
@@ -168,16 +167,16 @@
   section("new streams in any order: descending, with gaps, random");
   const std::size_t before = fixture.recorder.ops;
   std::size_t asked = 0, answered = 0;
-  const auto ask_on = [&](std::uint32_t number) {
+  const auto on = [&](std::uint32_t number) {
     fixture.peer.say(ask(number, txn));
     ++asked;
     answered += fixture.peer.frame() == "answer on " + std::to_string(number) + ": code 14";
   };
-  for (std::uint32_t i = 300; i > 100; --i) ask_on(i);
-  for (std::uint32_t i = 1000; i < 3000; i += 7) ask_on(i);
+  for (std::uint32_t i = 300; i > 100; --i) on(i);
+  for (std::uint32_t i = 1000; i < 3000; i += 7) on(i);
   Pcg random(5);
-  for (int i = 0; i < 300; ++i) ask_on(4000 + (random.next() >> 8));
-  ask_on(4294967295u);
+  for (int i = 0; i < 300; ++i) on(4000 + (random.next() >> 8));
+  on(4294967295u);
   std::printf("  all read: %d, all answered on theirs: %d\n", fixture.recorder.ops - before == asked,
               answered == asked);
 
@@ -235,8 +234,8 @@
   std::size_t cuts = 0, alike = 0;
   for (std::size_t cut = 0; cut <= more.size(); ++cut) { // unfragmented first, byte by byte last
     asio::io_context io;
-    NoticeRecorder recorder;
-    InterpreterLink link(io, TestConnection::at(7300), 1 << 20, recorder);
+    NoticeRecorder heard;
+    InterpreterLink link(io, TestConnection::at(7300), 1 << 20, heard);
     link.link_reconnect_delay(ms);
     TestConnection::turn = [&] {
       io.restart();
@@ -255,10 +254,10 @@
       at.say(std::string_view(more).substr(cut));
     }
     at.say(gauges);
-    TestConnection::until("gauges", [&] { return recorder.caught == 1; });
-    if (cut == 0) std::printf("%s", (first = recorder.words).c_str());
+    TestConnection::until("gauges", [&] { return heard.caught == 1; });
+    if (cut == 0) std::printf("%s", (first = heard.words).c_str());
     ++cuts;
-    alike += recorder.words == first;
+    alike += heard.words == first;
     TestConnection::turn = [] {};
   }
   std::printf("  over 500 cuts: %d, all alike: %d\n", cuts > 500, alike == cuts);
