--- a/tests/forms.cpp
+++ b/tests/forms.cpp
@@ -1,6 +1,6 @@
 // Frames and notices in fragments, and in all forms that the protocol permits: order and spelling of fields,
-// stream numbers, sizes, and which bytes arrive together. Each must be read as the same message, exactly
-// once.
+// stream numbers, sizes, and which bytes arrive together. Each message must be read exactly once,
+// with the same contents in every form.
 #include "driver.hpp"
 #include "front.hpp"
 #include "interpreter.hpp"
@@ -13,7 +13,7 @@
 
 void section(const char* what) { std::printf("# %s\n", what); }
 
-// Refuses each op as soon as it is read, unless it is to stay open, and records a description of it.
+// Records a description of each op that is read, and refuses the op unless `leave_open` is set.
 struct OpRecorder final : Front::Handler {
   Front* front = nullptr;
   bool leave_open = false;
@@ -75,10 +75,10 @@
 
 void test_fragmentation() {
   section("a request, a check and a keyed request: split at each byte, and byte by byte");
-  FrontFixture b;
-  b.peer.set_no_delay();
+  FrontFixture fixture;
+  fixture.peer.set_no_delay();
   std::uint32_t stream = 0;
-  const auto three = [&] {
+  const auto three_frames = [&] {
     stream += 3;
     return ask(stream - 2, "9b1f03aa5c7e2d41", {{"item", "7f3a9c21e0b4d655"}}, "a body") +
            frame_of(frames::health_check, stream - 1, {{"at", "1"}}) +
@@ -86,44 +86,44 @@
                "");
   };
   const auto heard = [&] {
-    std::string said;
-    for (int i = 0; i < 3; ++i) said += b.peer.frame().substr(0, 7);
-    return said;
+    std::string prefixes;
+    for (int i = 0; i < 3; ++i) prefixes += fixture.peer.frame().substr(0, 7);
+    return prefixes;
   };
-  b.peer.say(three());
-  const std::string answers = heard(), whole = b.recorder.take();
+  fixture.peer.say(three_frames());
+  const std::string answers = heard(), whole = fixture.recorder.take();
   std::printf("%s", whole.c_str());
   std::size_t cuts = 0, alike = 0;
   for (std::size_t at = 1;; ++at) {
-    const std::string bytes = three();
+    const std::string bytes = three_frames();
     if (at >= bytes.size()) break;
-    b.peer.say(std::string_view(bytes).substr(0, at));
-    b.peer.say(std::string_view(bytes).substr(at));
+    fixture.peer.say(std::string_view(bytes).substr(0, at));
+    fixture.peer.say(std::string_view(bytes).substr(at));
     ++cuts;
-    alike += heard() == answers && b.recorder.take() == whole;
+    alike += heard() == answers && fixture.recorder.take() == whole;
   }
-  for (const char byte : three()) b.peer.say(std::string_view(&byte, 1));
+  for (const char byte : three_frames()) fixture.peer.say(std::string_view(&byte, 1));
   ++cuts;
-  alike += heard() == answers && b.recorder.take() == whole;
+  alike += heard() == answers && fixture.recorder.take() == whole;
   std::printf("  over 250 cuts: %d, all alike: %d\n", cuts > 250, alike == cuts);
 
   section("two hundred requests at once, beyond every limit of a single read");
   std::string all;
   for (int i = 0; i < 200; ++i)
     all += ask(++stream, "9b1f03aa5c7e2d41", {}, std::string(static_cast<std::size_t>(i * 9), 'x'));
-  const std::size_t before = b.recorder.ops;
-  b.peer.say(all);
-  for (int i = 0; i < 200; ++i) b.peer.frame();
-  std::printf("  %zu read\n", b.recorder.ops - before);
+  const std::size_t before = fixture.recorder.ops;
+  fixture.peer.say(all);
+  for (int i = 0; i < 200; ++i) fixture.peer.frame();
+  std::printf("  %zu read\n", fixture.recorder.ops - before);
 }
 
 void test_request_forms() {
   section("fields in another order, additional and empty fields; the limits of each number; bodies");
-  FrontFixture b;
+  FrontFixture fixture;
   std::uint32_t stream = 0;
   const auto read = [&](const std::string& bytes) {
-    b.peer.say(bytes);
-    const std::string answer = b.peer.frame(), words = b.recorder.take();
+    fixture.peer.say(bytes);
+    const std::string answer = fixture.peer.frame(), words = fixture.recorder.take();
     std::printf("  %s  %s\n", words.c_str(), answer.c_str());
   };
   const std::string txn = "00000000000000ff";
@@ -165,26 +165,26 @@
   read(ask(++stream, txn));
 
   section("new streams in any order: descending, with gaps, random");
-  const std::size_t before = b.recorder.ops;
+  const std::size_t before = fixture.recorder.ops;
   std::size_t asked = 0, answered = 0;
   const auto on = [&](std::uint32_t number) {
-    b.peer.say(ask(number, txn));
+    fixture.peer.say(ask(number, txn));
     ++asked;
-    answered += b.peer.frame() == "answer on " + std::to_string(number) + ": code 14";
+    answered += fixture.peer.frame() == "answer on " + std::to_string(number) + ": code 14";
   };
   for (std::uint32_t i = 300; i > 100; --i) on(i);
   for (std::uint32_t i = 1000; i < 3000; i += 7) on(i);
-  Pcg chance(5);
-  for (int i = 0; i < 300; ++i) on(4000 + (chance.next() >> 8));
+  Pcg random(5);
+  for (int i = 0; i < 300; ++i) on(4000 + (random.next() >> 8));
   on(4294967295u);
-  std::printf("  all read: %d, all answered on theirs: %d\n", b.recorder.ops - before == asked,
+  std::printf("  all read: %d, all answered on theirs: %d\n", fixture.recorder.ops - before == asked,
               answered == asked);
 
   section("a stream that is still open is not new, however many were opened since");
   TestConnection other = TestConnection::to(5050);
-  b.recorder.leave_open = true;
+  fixture.recorder.leave_open = true;
   other.say(ask(10, txn));
-  b.recorder.leave_open = false;
+  fixture.recorder.leave_open = false;
   for (std::uint32_t i = 1; i <= 200; ++i) other.say(ask(10 + 2 * i, txn)), other.frame();
   other.say(ask(10, txn));
   std::printf("  %s\n", other.frame().c_str());
