--- a/capture/decided.hpp
+++ b/capture/decision.hpp
@@ -1,5 +1,5 @@
-// One order of the core, as a recording keeps it and as a replay compares it; and what stands in a replay for
-// bytes that were not recorded.
+// Decision: one action of the core in the form that is recorded and compared by a replay. Also the tokens
+// that replace request and response bodies that were not recorded.
 #pragma once
 
 #include "interface.hpp"
@@ -10,7 +10,7 @@
 
 namespace cometshift {
 
-// Numbers are kept in recordings: none is ever given another meaning.
+// The values are stored in recordings and must never be reassigned.
 enum class Kind : std::uint8_t {
   served = 1,
   refused = 2,
@@ -33,36 +33,37 @@
   return kind == Kind::served || kind == Kind::refused || kind == Kind::failed;
 }
 
-struct Decided {
+struct Decision {
   Kind kind{};
   OpId op = no_op_id;
   StreamRef line{};
-  Reason why = Reason::none;
-  Nanos span = 0; // to stay away, a time-out, a pace
+  Reason reason = Reason::none;
+  Nanos span = 0; // retry delay, timeout or timing value
   double value = 0;
   bool flag = false; // no retry, health
   Digest content{};
   std::uint32_t size = 0;   // of the content
   std::uint32_t number = 0; // op type, timing, penalties
   std::uint64_t start = 0;  // which start
-  bool operator==(const Decided&) const = default;
+  bool operator==(const Decision&) const = default;
 };
 
-// In one line, in the words of docs/on-call.md.
-std::string words_of(const Decided& one, const std::vector<std::string>& op_types);
-std::string words_of(Outcome outcome);
-std::string hex_of(OpId op);
+// One-line descriptions that use the terms of docs/on-call.md.
+std::string describe(const Decision& decision, const std::vector<std::string>& op_types);
+std::string describe(Outcome outcome);
+std::string op_id_text(OpId op);
 
-// Stands in a replay for a content of that digest and size: its bytes are those of the digest.
-std::string token_of(Digest digest);
-Digest digest_in(std::string_view token); // of a token
+// Placeholder for the content with this digest in a replay: the bytes of the digest itself.
+std::string digest_token(Digest digest);
+Digest token_digest(std::string_view token); // inverse of digest_token(); empty for other lengths
 
-// Hands on what the core orders, as `Decided`, to `take`; notes go nowhere. `digest` tells a content's.
-class Listener : public Actions {
+// Converts each action of the core to a Decision and passes it to take(). Notes are discarded. Subclasses
+// compute the digest of a content in digest().
+class DecisionSink : public Actions {
  public:
   void served(StreamRef line, OpId op, Content result) override;
-  void refused(StreamRef line, OpId op, Reason why, Nanos retry_after, bool no_retry) override;
-  void failed(StreamRef line, OpId op, Reason why) override;
+  void refused(StreamRef line, OpId op, Reason reason, Nanos retry_after, bool no_retry) override;
+  void failed(StreamRef line, OpId op, Reason reason) override;
   void penalize(StreamRef line) override;
   void start(OpId op, OpTypeId type, const Content& body, StartNo number) override;
   void resume(OpId op, const Content& reply) override;
@@ -77,7 +78,7 @@
   void note(const char* kind, std::string_view words) override;
 
  protected:
-  virtual void take(const Decided& one) = 0;
+  virtual void take(const Decision& decision) = 0;
   virtual Digest digest(const Content& content) = 0;
 };
 
