--- a/fleet/judge.hpp
+++ b/fleet/judge.hpp
@@ -19,65 +19,71 @@
   bool refused = false;
 };
 
-class Judge {
+class ExclusionChecker {
  public:
-  struct Figures {
+  struct Settings {
     unsigned members = 0;
     std::vector<unsigned> voters;
     Nanos term = 0;
-    Nanos room = 0; // past a term, in which an act of a member that hears no majority may still arrive
+    Nanos arrival_margin =
+        0; // past a term, in which an act of a member that hears no majority may still arrive
   };
-  explicit Judge(Figures figures) : figures_(std::move(figures)), reached_(figures_.members + 1) {}
+  explicit ExclusionChecker(Settings settings)
+      : settings_(std::move(settings)), reachability_(settings_.members + 1) {}
 
   // An act arrived. Returns its number; `refused` says whether the target that can refuse does, and then
   // which token it knows.
-  std::size_t begins(Nanos now, const std::string& task, bool fences, unsigned member, Token token);
-  void ends(Nanos now, std::size_t act);
-  Token seen(const std::string& task) const;
+  std::size_t begin_act(Nanos now, const std::string& task, bool fences, unsigned member, Token token);
+  void end_act(Nanos now, std::size_t act);
+  Token greatest_token(const std::string& task) const;
 
   // Whether each hears each other now, both ways, as far as the rig lets them; a member that is stopped, dead
   // or not yet a voter again hears nobody.
-  void reach(Nanos now, const std::vector<std::vector<bool>>& hears);
-  void voters_change() { reach_known_ = false; } // who reaches a majority is not judged any more
+  void set_connectivity(Nanos now, const std::vector<std::vector<bool>>& receives_from);
+  void on_voters_changed() { reachability_known_ = false; } // who reaches a majority is not judged any more
   // A member stops for good or a while: how long until another acts is measured.
-  void lost(Nanos now, unsigned member);
+  void on_member_lost(Nanos now, unsigned member);
 
-  unsigned last_to_act(const std::string& task) const; // 0: nobody yet
+  unsigned last_actor(const std::string& task) const; // 0: nobody yet
 
   const std::vector<Act>& acts() const { return acts_; }
   const std::vector<Nanos>& gaps() const { return gaps_; } // from a member's loss to another's first act
-  struct Verdict {
+  struct Findings {
     std::uint64_t acts = 0, holdings = 0, refused = 0;
-    std::uint64_t at_once = 0;     // two acts of one task under two tokens, at the target that can't refuse
-    std::uint64_t tokens_back = 0; // done under a token that is smaller than one before it
-    std::uint64_t one_token_twice = 0; // one token, two members
-    std::uint64_t unheard = 0;         // acts of members that reach no majority, a term after they last did
-    std::vector<std::string> first;    // some in words
-    std::uint64_t wrong() const { return at_once + tokens_back + one_token_twice + unheard; }
+    std::uint64_t concurrent_acts =
+        0; // two acts of one task under two tokens, at the target that can't refuse
+    std::uint64_t token_regressions = 0; // done under a token that is smaller than one before it
+    std::uint64_t shared_tokens = 0;     // one token, two members
+    std::uint64_t acts_without_majority =
+        0;                             // acts of members that reach no majority, a term after they last did
+    std::vector<std::string> examples; // some in words
+    std::uint64_t violations() const {
+      return concurrent_acts + token_regressions + shared_tokens + acts_without_majority;
+    }
   };
-  const Verdict& verdict() const { return verdict_; }
+  const Findings& findings() const { return findings_; }
 
  private:
-  void wrong(std::uint64_t& count, Nanos now, const std::string& what);
+  void record_violation(std::uint64_t& count, Nanos now, const std::string& description);
 
-  Figures figures_;
+  Settings settings_;
   std::vector<Act> acts_;
   struct Task {
     Token greatest{0};
     std::map<Token, unsigned> holders;
-    std::vector<std::size_t> open; // acts under way
+    std::vector<std::size_t> open_acts; // acts under way
     unsigned last = 0;
     Nanos lost_at = -1; // its last actor was, and no other has acted since
   };
   std::map<std::string, Task> tasks_;
-  struct Reached {
+  struct Reachability {
     bool majority = true;
     Nanos since = 0;
   };
-  std::vector<Reached> reached_;
-  bool reach_known_ = true;
+  std::vector<Reachability> reachability_;
+  bool reachability_known_ = true;
   std::vector<Nanos> gaps_;
-  Verdict verdict_;
+  Findings findings_;
 };
 
 } // namespace cometshift::fleet
--- a/fleet/main.cpp
+++ b/fleet/main.cpp
@@ -16,68 +16,69 @@
 
 namespace {
 
-constexpr double most_seconds = 7200, most_rate = 2000;
+constexpr double max_seconds = 7200, max_rate = 2000;
 
-double in_terms(std::vector<Nanos> gaps, double part, double term_s) {
+double quantile_in_terms(std::vector<Nanos> gaps, double part, double term_s) {
   if (gaps.empty()) return 0;
   std::sort(gaps.begin(), gaps.end());
   return static_cast<double>(gaps[static_cast<std::size_t>(part * static_cast<double>(gaps.size() - 1))]) /
          1e9 / term_s;
 }
-float part_of(std::vector<float>& all, double part) {
+float quantile(std::vector<float>& all, double part) {
   if (all.empty()) return 0;
   const auto at = static_cast<std::size_t>(part * static_cast<double>(all.size() - 1));
   std::nth_element(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(at), all.end());
   return all[at];
 }
-unsigned long long whole(std::uint64_t n) { return n; }
+unsigned long long as_ull(std::uint64_t n) { return n; }
 
-void print(const Wanted& wanted, Ending& outcome) {
-  const Judge::Verdict& v = outcome.verdict;
+void print(const RunOptions& options, RunResult& outcome) {
+  const ExclusionChecker::Findings& v = outcome.findings;
   std::printf("%u servers, %u voters, %.0f s, seed %llu: %zu faults, %llu starts of a server, %llu changes "
               "of the voters\n",
-              wanted.members, wanted.voters, wanted.seconds, whole(wanted.seed), outcome.faults,
-              whole(outcome.lives), whole(outcome.lists));
+              options.members, options.voters, options.seconds, as_ull(options.seed), outcome.faults,
+              as_ull(outcome.incarnations), as_ull(outcome.voter_changes));
   std::printf("acts %llu by %llu holdings; refused as stale %llu; at once %llu, tokens that went back %llu, "
               "one token of two "
               "members %llu, without a majority %llu\n",
-              whole(v.acts), whole(v.holdings), whole(v.refused), whole(v.at_once), whole(v.tokens_back),
-              whole(v.one_token_twice), whole(v.unheard));
+              as_ull(v.acts), as_ull(v.holdings), as_ull(v.refused), as_ull(v.concurrent_acts),
+              as_ull(v.token_regressions), as_ull(v.shared_tokens), as_ull(v.acts_without_majority));
   std::printf(
       "until another acts: %zu times, half within %.2f terms, 99 in 100 within %.2f, all within %.2f\n",
-      outcome.gaps.size(), in_terms(outcome.gaps, 0.5, wanted.term_s),
-      in_terms(outcome.gaps, 0.99, wanted.term_s), in_terms(outcome.gaps, 1, wanted.term_s));
+      outcome.gaps.size(), quantile_in_terms(outcome.gaps, 0.5, options.term_s),
+      quantile_in_terms(outcome.gaps, 0.99, options.term_s),
+      quantile_in_terms(outcome.gaps, 1, options.term_s));
   std::printf(
       "ops %llu: rules broken %llu, results that no run made %llu; answers' p99 %.1f ms, p99.9 %.1f ms\n",
-      whole(outcome.ops), whole(outcome.rules_broken), whole(outcome.wrong_results),
-      static_cast<double>(part_of(outcome.answer_ms, 0.99)),
-      static_cast<double>(part_of(outcome.answer_ms, 0.999)));
+      as_ull(outcome.ops), as_ull(outcome.rules_broken), as_ull(outcome.wrong_results),
+      static_cast<double>(quantile(outcome.answer_ms, 0.99)),
+      static_cast<double>(quantile(outcome.answer_ms, 0.999)));
   std::printf(
       "a server's CPU %.2f%% of a core, memory at most %ld KB; between all servers %.0f bytes a second\n",
       100 * outcome.cpu_seconds / std::max(outcome.member_seconds, 1e-9), outcome.peak_kb,
-      static_cast<double>(outcome.bytes) / wanted.seconds);
-  if (!outcome.came_back) std::printf("WRONG: a task was not done in the time without faults at the end\n");
-  if (outcome.ended_badly > 0)
-    std::printf("WRONG: %llu servers did not end as told\n", whole(outcome.ended_badly));
-  for (const std::string& one : v.first) std::printf("  %s\n", one.c_str());
+      static_cast<double>(outcome.bytes) / options.seconds);
+  if (!outcome.recovered) std::printf("WRONG: a task was not done in the time without faults at the end\n");
+  if (outcome.unexpected_exits > 0)
+    std::printf("WRONG: %llu servers did not end as told\n", as_ull(outcome.unexpected_exits));
+  for (const std::string& one : v.examples) std::printf("  %s\n", one.c_str());
   for (const std::string& one : outcome.examples) std::printf("  %s\n", one.c_str());
-  std::printf("%s\n", outcome.wrong() == 0 ? "nothing wrong" : "WRONG");
+  std::printf("%s\n", outcome.violations() == 0 ? "nothing wrong" : "WRONG");
   std::fflush(stdout);
 }
 
-Ending play(const Wanted& wanted, const std::vector<Fault>& plan, const std::string& svg) {
+RunResult run_plan(const RunOptions& options, const std::vector<Fault>& plan, const std::string& svg) {
   asio::io_context io;
-  Rig rig(io, wanted, plan);
-  Ending outcome = rig.run();
-  load::write_file(wanted.folder + "/faults.txt", text_of(rig.met()));
+  Rig rig(io, options, plan);
+  RunResult outcome = rig.run();
+  load::write_file(options.folder + "/faults.txt", format_plan(rig.injected()));
   if (!svg.empty())
-    load::write_file(
-        svg, timeline(rig.judge(), rig.met(), wanted.members, static_cast<Nanos>(wanted.seconds * 1e9)));
+    load::write_file(svg, timeline(rig.checker(), rig.injected(), options.members,
+                                   static_cast<Nanos>(options.seconds * 1e9)));
   return outcome;
 }
 
 // Fewer faults that still go wrong: halves, then smaller parts, are left out as long as it stays wrong.
-std::vector<Fault> shrunk(const Wanted& wanted, std::vector<Fault> plan, int tries) {
+std::vector<Fault> shrink_plan(const RunOptions& options, std::vector<Fault> plan, int tries) {
   for (std::size_t part = std::max<std::size_t>(1, plan.size() / 2); tries > 0;
        part = std::max<std::size_t>(1, part / 2)) {
     bool fewer = false;
@@ -86,7 +87,7 @@
       some.erase(some.begin() + static_cast<std::ptrdiff_t>(from),
                  some.begin() + static_cast<std::ptrdiff_t>(std::min(from + part, plan.size())));
       --tries;
-      const bool wrong = play(wanted, some, "").wrong() > 0;
+      const bool wrong = run_plan(options, some, "").violations() > 0;
       std::printf("without %zu of %zu faults: %s\n", plan.size() - some.size(), plan.size(),
                   wrong ? "still wrong" : "right");
       std::fflush(stdout);
@@ -103,62 +104,62 @@
 } // namespace
 
 int main(int argc, char** argv) {
-  Wanted wanted;
-  Draw draw;
+  RunOptions options;
+  RandomPlanOptions random_options;
   std::string plan_file, svg;
   int shrink = 0;
   bool plan_only = false, without = false;
   CLI::App app{
       "Several servers as processes on loopback, faults between them, and a referee that sees every act."};
   app.name("cometshift-fleet");
-  app.add_option("--server", wanted.server, "the program");
-  app.add_option("--clock", wanted.clock, "the library that bends clocks (standin/odd_clock.c)");
-  app.add_option("--folder", wanted.folder, "for configurations, logs, and the faults as they were")
+  app.add_option("--server", options.server, "the program");
+  app.add_option("--clock", options.clock, "the library that bends clocks (standin/odd_clock.c)");
+  app.add_option("--folder", options.folder, "for configurations, logs, and the faults as they were")
       ->required();
-  app.add_option("--members", wanted.members, "servers")->check(CLI::Range(1, 64));
-  app.add_option("--voters", wanted.voters, "of them")->check(CLI::Range(1, 7));
-  app.add_option("--tasks", wanted.tasks, "in turns at a target that can refuse, and at one that can't")
+  app.add_option("--members", options.members, "servers")->check(CLI::Range(1, 64));
+  app.add_option("--voters", options.voters, "of them")->check(CLI::Range(1, 7));
+  app.add_option("--tasks", options.tasks, "in turns at a target that can refuse, and at one that can't")
       ->check(CLI::Range(1, 1000));
-  app.add_option("--every", wanted.every_s, "the tasks' period, in seconds")->check(CLI::Range(0.1, 3600.0));
-  app.add_option("--seconds", wanted.seconds, "how long")->check(CLI::Range(1.0, most_seconds));
-  app.add_option("--term", wanted.term_s, "of a lease, in seconds")->check(CLI::Range(0.3, 60.0));
-  app.add_option("--seed", wanted.seed, "of the faults and of all else");
-  app.add_option("--faults", draw.a_minute, "a minute")->check(CLI::Range(0.0, 1000.0));
-  app.add_flag("--kills", draw.kills_only, "only of whoever acts, with time to recover between");
+  app.add_option("--every", options.every_s, "the tasks' period, in seconds")->check(CLI::Range(0.1, 3600.0));
+  app.add_option("--seconds", options.seconds, "how long")->check(CLI::Range(1.0, max_seconds));
+  app.add_option("--term", options.term_s, "of a lease, in seconds")->check(CLI::Range(0.3, 60.0));
+  app.add_option("--seed", options.seed, "of the faults and of all else");
+  app.add_option("--faults", random_options.faults_per_minute, "a minute")->check(CLI::Range(0.0, 1000.0));
+  app.add_flag("--kills", random_options.kills_only, "only of whoever acts, with time to recover between");
   app.add_option("--plan", plan_file, "instead: faults by time (fleet/plan.hpp)");
-  app.add_option("--rate", wanted.rate, "ops a second at each server")->check(CLI::Range(0.0, most_rate));
+  app.add_option("--rate", options.rate, "ops a second at each server")->check(CLI::Range(0.0, max_rate));
   app.add_option("--svg", svg, "a picture of the run");
   app.add_option("--shrink", shrink, "if it goes wrong: so many more runs to find fewer faults that do")
       ->check(CLI::Range(0, 200));
   app.add_flag("--without", without, "the same servers with no fleet set");
   app.add_flag("--print-plan", plan_only, "only the faults");
-  app.add_flag("--quiet", wanted.quiet, "the verdict only");
+  app.add_flag("--quiet", options.quiet, "the verdict only");
   CLI11_PARSE(app, argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
   try {
-    wanted.leases = !without;
-    if (wanted.voters > wanted.members) throw std::invalid_argument("more voters than servers");
-    draw.seed = wanted.seed;
-    draw.members = wanted.members;
-    draw.voters = wanted.voters;
-    draw.length = static_cast<Nanos>(wanted.seconds * 1e9);
-    draw.term = static_cast<Nanos>(wanted.term_s * 1e9);
+    options.leases = !without;
+    if (options.voters > options.members) throw std::invalid_argument("more voters than servers");
+    random_options.seed = options.seed;
+    random_options.members = options.members;
+    random_options.voters = options.voters;
+    random_options.length = static_cast<Nanos>(options.seconds * 1e9);
+    random_options.term = static_cast<Nanos>(options.term_s * 1e9);
     std::vector<Fault> plan;
     if (!plan_file.empty())
-      plan = plan_in(load::read_file(plan_file), plan_file, wanted.members);
-    else if (draw.a_minute > 0)
-      plan = drawn(draw);
+      plan = parse_plan(load::read_file(plan_file), plan_file, options.members);
+    else if (random_options.faults_per_minute > 0)
+      plan = random_plan(random_options);
     if (plan_only) {
-      std::fputs(text_of(plan).c_str(), stdout);
+      std::fputs(format_plan(plan).c_str(), stdout);
       return 0;
     }
-    Ending outcome = play(wanted, plan, svg);
-    print(wanted, outcome);
-    if (outcome.wrong() > 0 && shrink > 0) {
-      const std::vector<Fault> few = shrunk(wanted, plan, shrink);
-      std::printf("%zu faults that go wrong:\n%s", few.size(), text_of(few).c_str());
+    RunResult outcome = run_plan(options, plan, svg);
+    print(options, outcome);
+    if (outcome.violations() > 0 && shrink > 0) {
+      const std::vector<Fault> few = shrink_plan(options, plan, shrink);
+      std::printf("%zu faults that go wrong:\n%s", few.size(), format_plan(few).c_str());
     }
-    return outcome.wrong() == 0 ? 0 : 1;
+    return outcome.violations() == 0 ? 0 : 1;
   } catch (const std::exception& e) {
     std::fprintf(stderr, "cometshift-fleet: %s\n", e.what());
     return 2;
--- a/fleet/plan.hpp
+++ b/fleet/plan.hpp
@@ -32,23 +32,23 @@
 
 struct Fault {
   Nanos at = 0; // from the beginning
-  std::string what;
+  std::string kind;
   unsigned a = 0, b = 0;
-  double figure = 0;
+  double value = 0;
 };
 
 // Throws std::invalid_argument: "FILE:LINE: what".
-std::vector<Fault> plan_in(std::string_view text, const std::string& file, unsigned members);
-std::string text_of(const std::vector<Fault>& plan);
+std::vector<Fault> parse_plan(std::string_view text, const std::string& file, unsigned members);
+std::string format_plan(const std::vector<Fault>& plan);
 
-struct Draw {
+struct RandomPlanOptions {
   std::uint64_t seed = 1;
   unsigned members = 5, voters = 3;
   Nanos length = 0, term = 0;
-  double a_minute = 60;    // faults
-  double drift = 0.01;     // clocks stay within it
-  bool kills_only = false; // of the holder, with time to recover between
+  double faults_per_minute = 60; // faults
+  double drift = 0.01;           // clocks stay within it
+  bool kills_only = false;       // of the holder, with time to recover between
 };
-std::vector<Fault> drawn(const Draw& draw);
+std::vector<Fault> random_plan(const RandomPlanOptions& options);
 
 } // namespace cometshift::fleet
--- a/fleet/referee.hpp
+++ b/fleet/referee.hpp
@@ -11,19 +11,19 @@
 
 namespace cometshift::fleet {
 
-class Referee {
+class TaskTarget {
  public:
-  Referee(asio::io_context& io, asio::ip::tcp::endpoint at, Judge& judge, std::function<Nanos()> now,
-          Nanos takes);
+  TaskTarget(asio::io_context& io, asio::ip::tcp::endpoint at, ExclusionChecker& checker,
+             std::function<Nanos()> now, Nanos act_duration);
 
  private:
   asio::awaitable<void> serve(asio::ip::tcp::socket socket);
 
   asio::io_context& io_;
-  Judge& judge_;
+  ExclusionChecker& checker_;
   std::function<Nanos()> now_;
-  Nanos takes_;
-  standin::Door door_;
+  Nanos act_duration_;
+  standin::Door listener_;
 };
 
 } // namespace cometshift::fleet
--- a/fleet/rig.hpp
+++ b/fleet/rig.hpp
@@ -21,7 +21,7 @@
 
 namespace cometshift::fleet {
 
-struct Wanted {
+struct RunOptions {
   std::string server = "build/cometshift", clock = "build/libodd_clock.so";
   std::string folder; // of configurations and logs
   unsigned members = 5, voters = 3, tasks = 2;
@@ -32,93 +32,95 @@
   bool quiet = false;
 };
 
-struct Ending {
-  Judge::Verdict verdict;
+struct RunResult {
+  ExclusionChecker::Findings findings;
   std::vector<Nanos> gaps;
   std::size_t faults = 0;
-  std::uint64_t lives = 0, ended_badly = 0; // servers that ended otherwise than told
+  std::uint64_t incarnations = 0, unexpected_exits = 0; // servers that ended otherwise than told
   std::uint64_t rules_broken = 0, wrong_results = 0, ops = 0;
   std::vector<std::string> examples; // of rules
-  bool came_back = true;             // every task was done in the time without faults at the end
+  bool recovered = true;             // every task was done in the time without faults at the end
   double cpu_seconds = 0, member_seconds = 0;
   long peak_kb = 0;
-  std::uint64_t bytes = 0; // between members
-  std::uint64_t lists = 0; // of voters that came after the first
+  std::uint64_t bytes = 0;         // between members
+  std::uint64_t voter_changes = 0; // of voters that came after the first
   std::vector<float> answer_ms;
-  std::uint64_t wrong() const {
-    return verdict.wrong() + ended_badly + rules_broken + wrong_results + (came_back ? 0 : 1);
+  std::uint64_t violations() const {
+    return findings.violations() + unexpected_exits + rules_broken + wrong_results + (recovered ? 0 : 1);
   }
 };
 
 class Rig {
  public:
-  Rig(asio::io_context& io, const Wanted& wanted, std::vector<Fault> plan);
+  Rig(asio::io_context& io, const RunOptions& options, std::vector<Fault> plan);
   ~Rig();
-  Ending run();
-  const Judge& judge() const { return judge_; }
-  const std::vector<Fault>& met() const { return met_; } // the faults as they were, with who they met
+  RunResult run();
+  const ExclusionChecker& checker() const { return checker_; }
+  const std::vector<Fault>& injected() const {
+    return injected_;
+  } // the faults as they were, with who they met
 
  private:
-  struct Page;  // what standin/odd_clock.c reads
-  struct Life { // the load on one life of a server, with its rules
+  struct ClockPage;    // what standin/odd_clock.c reads
+  struct Incarnation { // the load on one life of a server, with its rules
     std::unique_ptr<Rules> rules;
     std::unique_ptr<load::Demand> demand;
     std::unique_ptr<load::Callers> callers;
     std::unique_ptr<standin::Machine> machine;
-    bool whole = true; // it was neither killed nor stopped: all rules hold
+    bool undisturbed = true; // it was neither killed nor stopped: all rules hold
     Nanos begun = 0;
   };
-  struct Seat {
+  struct ServerSlot {
     unsigned number = 0;
     std::unique_ptr<load::Child> child;
-    Page* page = nullptr;
+    ClockPage* page = nullptr;
     std::string page_path;
-    bool up = false, stopped = false, leaving = false;
-    int awaits_stop = 0; // which order to stop in an act is out
-    Nanos stop_for = 0;  // then
-    Nanos down_for = 0;  // once it has left
-    std::vector<std::unique_ptr<Life>> lives;
+    bool up = false, stopped = false, draining = false;
+    int stop_pending = 0; // which order to stop in an act is out
+    Nanos stop_for = 0;   // then
+    Nanos down_for = 0;   // once it has left
+    std::vector<std::unique_ptr<Incarnation>> incarnations;
     std::string log; // of this life
-    Life* life = nullptr;
+    Incarnation* incarnation = nullptr;
   };
-  using Ways = std::vector<Relay*>;
+  using RelayList = std::vector<Relay*>;
 
   asio::ip::tcp::endpoint at(unsigned port) const;
   std::string address(unsigned port) const { return load::words(at(port)); }
-  Nanos now() const { return standin::steady_now() - begun_; }
-  void after(Nanos time, std::function<void()> what);
-  void begin(Seat& seat);
-  void ended(Seat& seat, const load::Child::Cost& cost, bool by_us);
-  void kill(Seat& seat, Nanos down);
-  void stop(Seat& seat, Nanos length);
-  void go_on(Seat& seat);
-  void cut(const Ways& ways, Nanos length);
-  void meet(Fault fault);
-  void odd(Seat& seat, double rate, double jump, bool both);
-  void look();
-  void look_at_memory(Seat& seat);
-  void told_reach();
+  Nanos now() const { return standin::steady_now() - started_at_; }
+  void after(Nanos time, std::function<void()> action);
+  void start_server(ServerSlot& slot);
+  void on_server_ended(ServerSlot& slot, const load::Child::Cost& cost, bool killed_by_rig);
+  void kill(ServerSlot& slot, Nanos down);
+  void stop(ServerSlot& slot, Nanos length);
+  void resume(ServerSlot& slot);
+  void cut(const RelayList& relays, Nanos length);
+  void inject(Fault fault);
+  void distort_clock(ServerSlot& slot, double rate, double jump, bool both);
+  void poll_servers();
+  void record_peak_memory(ServerSlot& slot);
+  void update_connectivity();
   void change_voters(unsigned first, Nanos spread);
   bool settled() const;
-  void write_operator(const Seat& seat) const;
+  void write_operator(const ServerSlot& slot) const;
   std::string operator_text(unsigned member, unsigned listen_port) const;
-  Seat& seat(unsigned number);
-  Ways ways(const std::function<bool(unsigned, unsigned)>& of) const;
+  ServerSlot& slot(unsigned number);
+  RelayList relays_matching(const std::function<bool(unsigned, unsigned)>& matches) const;
 
   asio::io_context& io_;
-  Wanted wanted_;
-  std::vector<Fault> plan_, met_;
+  RunOptions options_;
+  std::vector<Fault> plan_, injected_;
   unsigned host_;
-  Nanos begun_ = 0, term_;
-  Judge judge_;
-  std::vector<Seat> seats_;
+  Nanos started_at_ = 0, term_;
+  ExclusionChecker checker_;
+  std::vector<ServerSlot> slots_;
   std::vector<std::unique_ptr<load::Child>> twins_;
   std::map<std::pair<unsigned, unsigned>, std::unique_ptr<Relay>> relays_;
-  std::map<unsigned, std::unique_ptr<Relay>> to_referee_;
-  std::unique_ptr<Referee> referee_;
+  std::map<unsigned, std::unique_ptr<Relay>> target_relays_;
+  std::unique_ptr<TaskTarget> target_;
   std::unique_ptr<standin::RecordsService> records_;
   std::unique_ptr<standin::AnnounceService> announce_;
-  Ending outcome_;
+  RunResult outcome_;
   VoterList voters_; // as the operator has made them last
   bool over_ = false;
 };
--- a/fleet/timeline.cpp
+++ b/fleet/timeline.cpp
@@ -8,20 +8,21 @@
 namespace {
 constexpr double second = 1e9;
 constexpr double width = 60, left = 60, row = 34, top = 30; // width: of a second
-constexpr Nanos one_holding = 400'000'000; // acts nearer than that under one token are one bar
+constexpr Nanos max_gap_in_holding = 400'000'000; // acts nearer than that under one token are one bar
 constexpr const char* colours[] = {"#4878a8", "#b07030", "#508858", "#905080",
                                    "#707070", "#a04848", "#308890"};
 
 double x_of(Nanos at) { return left + width * static_cast<double>(at) / second; }
-template <class... Figures>
-void put(std::string& out, const char* format, Figures... figures) {
+template <class... Args>
+void put(std::string& out, const char* format, Args... args) {
   char words[512];
-  std::snprintf(words, sizeof words, format, figures...);
+  std::snprintf(words, sizeof words, format, args...);
   out += words;
 }
 } // namespace
 
-std::string timeline(const Judge& judge, const std::vector<Fault>& faults, unsigned members, Nanos length) {
+std::string timeline(const ExclusionChecker& checker, const std::vector<Fault>& faults, unsigned members,
+                     Nanos length) {
   std::string out;
   put(out,
       "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%.0f\" height=\"%.0f\" font-family=\"sans-serif\" "
@@ -38,7 +39,7 @@
     put(out, "<text x=\"%.1f\" y=\"%.1f\">%.0f s</text>\n", left + width * at, top + row * members + 20, at);
   // Bars: acts of one task, member and token, in a row; tasks beside each other within a member's row.
   std::vector<std::string> tasks;
-  for (const Act& act : judge.acts())
+  for (const Act& act : checker.acts())
     if (std::find(tasks.begin(), tasks.end(), act.task) == tasks.end()) tasks.push_back(act.task);
   std::sort(tasks.begin(), tasks.end());
   for (std::size_t t = 0; t < tasks.size(); ++t) {
@@ -55,7 +56,7 @@
           14.0 / static_cast<double>(tasks.size()), colours[t % std::size(colours)], first->task.c_str(),
           static_cast<unsigned long long>(first->token.raw));
     };
-    for (const Act& act : judge.acts()) {
+    for (const Act& act : checker.acts()) {
       if (act.task != tasks[t]) continue;
       if (act.refused) {
         put(out,
@@ -65,7 +66,7 @@
             static_cast<unsigned long long>(act.token.raw));
         continue;
       }
-      if (!first || act.token != first->token || act.begun - last->begun > one_holding) {
+      if (!first || act.token != first->token || act.begun - last->begun > max_gap_in_holding) {
         bar();
         first = &act;
       }
@@ -81,7 +82,7 @@
           "<text x=\"%.2f\" y=\"%.1f\" fill=\"#a00\">%s</text><line x1=\"%.2f\" x2=\"%.2f\" y1=\"%.1f\" "
           "y2=\"%.1f\" "
           "stroke=\"#a00\"/>\n",
-          x_of(fault.at) + 2, y, fault.what.c_str(), x_of(fault.at), x_of(fault.at), y - 26, y);
+          x_of(fault.at) + 2, y, fault.kind.c_str(), x_of(fault.at), x_of(fault.at), y - 26, y);
       if (on == 0) break;
     }
   return out + "</svg>\n";
--- a/fleet/timeline.hpp
+++ b/fleet/timeline.hpp
@@ -6,6 +6,7 @@
 
 namespace cometshift::fleet {
 
-std::string timeline(const Judge& judge, const std::vector<Fault>& faults, unsigned members, Nanos length);
+std::string timeline(const ExclusionChecker& checker, const std::vector<Fault>& faults, unsigned members,
+                     Nanos length);
 
 } // namespace cometshift::fleet
--- a/tests/judge.cpp
+++ b/tests/judge.cpp
@@ -11,27 +11,28 @@
 namespace {
 
 constexpr Nanos ms = 1'000'000;
-void say(const char* what) { std::printf("# %s\n", what); }
+void section(const char* what) { std::printf("# %s\n", what); }
 
-struct Told {
-  Judge judge{{3, {1, 2, 3}, 1000 * ms, 100 * ms}};
-  std::size_t act(Nanos at, const char* task, unsigned member, std::uint64_t token, Nanos takes = 20) {
+struct Fixture {
+  ExclusionChecker checker{{3, {1, 2, 3}, 1000 * ms, 100 * ms}};
+  std::size_t act(Nanos at, const char* task, unsigned member, std::uint64_t token, Nanos act_duration = 20) {
     const std::size_t number =
-        judge.begins(at * ms, task, std::string_view(task).starts_with("fenced"), member, Token{token});
-    if (takes >= 0) judge.ends((at + takes) * ms, number);
+        checker.begin_act(at * ms, task, std::string_view(task).starts_with("fenced"), member, Token{token});
+    if (act_duration >= 0) checker.end_act((at + act_duration) * ms, number);
     return number;
   }
   void print() const {
-    const Judge::Verdict& v = judge.verdict();
+    const ExclusionChecker::Findings& v = checker.findings();
     std::printf("  acts %llu, holdings %llu, refused %llu; at once %llu, back %llu, one token twice %llu, "
                 "unheard %llu\n",
                 static_cast<unsigned long long>(v.acts), static_cast<unsigned long long>(v.holdings),
-                static_cast<unsigned long long>(v.refused), static_cast<unsigned long long>(v.at_once),
-                static_cast<unsigned long long>(v.tokens_back),
-                static_cast<unsigned long long>(v.one_token_twice),
-                static_cast<unsigned long long>(v.unheard));
-    for (const std::string& one : v.first) std::printf("    %s\n", one.c_str());
-    for (const Nanos gap : judge.gaps())
+                static_cast<unsigned long long>(v.refused),
+                static_cast<unsigned long long>(v.concurrent_acts),
+                static_cast<unsigned long long>(v.token_regressions),
+                static_cast<unsigned long long>(v.shared_tokens),
+                static_cast<unsigned long long>(v.acts_without_majority));
+    for (const std::string& one : v.examples) std::printf("    %s\n", one.c_str());
+    for (const Nanos gap : checker.gaps())
       std::printf("    another acts after %lld ms\n", static_cast<long long>(gap / ms));
   }
 };
@@ -40,70 +41,70 @@
 
 int main() {
   {
-    say("as it should be: one after the other, the next under a greater token");
-    Told t;
+    section("as it should be: one after the other, the next under a greater token");
+    Fixture t;
     t.act(0, "plain-0", 1, 5), t.act(100, "plain-0", 1, 5), t.act(200, "plain-0", 2, 7);
     t.act(200, "plain-1", 3, 1); // another task has nothing to do with it
     t.print();
   }
   {
-    say("two at once, where the target can't refuse; at the one that can, what was taken is done");
-    Told t;
+    section("two at once, where the target can't refuse; at the one that can, what was taken is done");
+    Fixture t;
     t.act(0, "plain-0", 1, 5, -1), t.act(10, "plain-0", 2, 7);
     t.act(0, "fenced-0", 1, 5, -1), t.act(10, "fenced-0", 2, 7);
     t.print();
   }
   {
-    say("an earlier token after a later one: refused where that can be, wrong where it can't");
-    Told t;
+    section("an earlier token after a later one: refused where that can be, wrong where it can't");
+    Fixture t;
     t.act(0, "fenced-0", 2, 7), t.act(100, "fenced-0", 1, 5);
     t.act(0, "plain-0", 2, 7), t.act(100, "plain-0", 1, 5);
     t.print();
   }
   {
-    say("one token, two members");
-    Told t;
+    section("one token, two members");
+    Fixture t;
     t.act(0, "fenced-0", 1, 5), t.act(100, "fenced-0", 2, 5);
     t.print();
   }
   {
-    say("a member that hears no majority acts: for a term it may, then it may not");
-    Told t;
-    std::vector<std::vector<bool>> hears(4, std::vector<bool>(4, true));
-    hears[1][2] = hears[3][1] = false; // one way each
-    t.judge.reach(0, hears);
+    section("a member that hears no majority acts: for a term it may, then it may not");
+    Fixture t;
+    std::vector<std::vector<bool>> receives_from(4, std::vector<bool>(4, true));
+    receives_from[1][2] = receives_from[3][1] = false; // one way each
+    t.checker.set_connectivity(0, receives_from);
     t.act(1050, "plain-0", 1, 5), t.act(1150, "plain-0", 1, 5), t.act(1200, "plain-0", 2, 6);
     t.print();
-    say("it hears them again; one that stands still hears nobody");
-    hears[1][2] = true;
-    t.judge.reach(1300 * ms, hears);
+    section("it hears them again; one that stands still hears nobody");
+    receives_from[1][2] = true;
+    t.checker.set_connectivity(1300 * ms, receives_from);
     t.act(1400, "plain-0", 1, 8);
-    hears[1][1] = false;
-    t.judge.reach(1500 * ms, hears);
+    receives_from[1][1] = false;
+    t.checker.set_connectivity(1500 * ms, receives_from);
     t.act(2700, "plain-0", 1, 8);
     t.print();
   }
   {
-    say("from the loss of who acts to another's act");
-    Told t;
+    section("from the loss of who acts to another's act");
+    Fixture t;
     t.act(0, "plain-0", 1, 5);
-    t.judge.lost(50 * ms, 2); // it did not act
-    t.judge.lost(100 * ms, 1);
+    t.checker.on_member_lost(50 * ms, 2); // it did not act
+    t.checker.on_member_lost(100 * ms, 1);
     t.act(900, "plain-0", 3, 6), t.act(1000, "plain-0", 3, 6);
     t.print();
   }
-  say("plans: as read and written; drawn from a seed, the same each time");
+  section("plans: as read and written; drawn from a seed, the same each time");
   const char* text =
       "# a comment\n1 kill 0 0.5\n2.25 cut 1 2 1.5 # one way\n3 reset 2 3\n4 restart-voters 0.2\n";
-  std::printf("%s", text_of(plan_in(text, "plan", 3)).c_str());
-  const Draw draw{.seed = 4, .length = 20'000 * ms, .term = 1000 * ms};
-  std::printf("%s  the same: %s\n", text_of(drawn(draw)).c_str(),
-              text_of(drawn(draw)) == text_of(drawn(draw)) ? "yes" : "no");
-  say("plans that can't be read");
+  std::printf("%s", format_plan(parse_plan(text, "plan", 3)).c_str());
+  const RandomPlanOptions options{.seed = 4, .length = 20'000 * ms, .term = 1000 * ms};
+  std::printf("%s  the same: %s\n", format_plan(random_plan(options)).c_str(),
+              format_plan(random_plan(options)) == format_plan(random_plan(options)) ? "yes" : "no");
+  section("plans that can't be read");
   for (const char* bad : {"kill 1 1", "1 kil 1 1", "1 kill 4 1", "1 kill 1", "1 cut 1 1",
                           "2 kill 1 1\n1 kill 1 1", "1 reset 1 2 3"})
     try {
-      plan_in(bad, "plan", 3);
+      parse_plan(bad, "plan", 3);
       std::printf("  taken\n");
     } catch (const std::invalid_argument& e) {
       std::printf("  %s\n", e.what());
