--- a/explore/leases_world.cpp
+++ b/explore/leases_world.cpp
@@ -16,27 +16,27 @@
 constexpr double drift = 0.01;
 constexpr const char* lease = "t";
 
-const Voters& list() {
+const Voters& voter_list() {
   static const Voters all(0, MemberId{1}, {Epoch{1}, {MemberId{1}, MemberId{2}, MemberId{3}}, {}}, term);
   return all;
 }
 // A token's beginning is what an operator's clock gives it; another with each start.
-Settings figures(std::uint8_t lives) {
+Settings settings(std::uint8_t incarnation) {
   return {{"leases.term", static_cast<double>(term)},
           {"leases.longest_term", static_cast<double>(term)},
           {"leases.drift", drift},
-          {"leases.first_token", static_cast<double>(lives)},
+          {"leases.first_token", static_cast<double>(incarnation)},
           {"leases.most", 2.0}};
 }
 
 // Writes all but lists of members, which it hands over.
-class Nameless : public Serializer<Nameless> {
+class AnonymizingWriter : public Serializer<AnonymizingWriter> {
   Writer out_;
   std::vector<std::vector<MemberId>>& lists_;
 
  public:
   static constexpr bool reads = false;
-  Nameless(std::string& out, std::vector<std::vector<MemberId>>& lists) : out_(out), lists_(lists) {}
+  AnonymizingWriter(std::string& out, std::vector<std::vector<MemberId>>& lists) : out_(out), lists_(lists) {}
   template <class T>
   void whole(T value) {
     out_.whole(value);
@@ -64,37 +64,39 @@
   LeasesWorld& world;
   std::size_t member;
   Actions(LeasesWorld& w, std::size_t m) : world(w), member(m) {}
-  void say(Message::Kind kind, MemberId to, std::uint64_t incarnation, AskNo n, std::uint64_t token,
-           Nanos span, bool wanted = false) {
-    const Message one{kind,
-                      static_cast<std::uint8_t>(member + 1),
-                      static_cast<std::uint8_t>(to.raw),
-                      wanted,
-                      incarnation,
-                      n.raw,
-                      token,
-                      span,
-                      false};
-    world.on_the_way_.insert(std::upper_bound(world.on_the_way_.begin(), world.on_the_way_.end(), one), one);
+  void send(Message::Kind kind, MemberId to, std::uint64_t incarnation, AskNo n, std::uint64_t token,
+            Nanos span, bool wanted = false) {
+    const Message message{kind,
+                          static_cast<std::uint8_t>(member + 1),
+                          static_cast<std::uint8_t>(to.raw),
+                          wanted,
+                          incarnation,
+                          n.raw,
+                          token,
+                          span,
+                          false};
+    world.in_flight_.insert(std::upper_bound(world.in_flight_.begin(), world.in_flight_.end(), message),
+                            message);
   }
-  std::uint64_t mine() const { return world.lives_[member]; }
+  std::uint64_t own_incarnation() const { return world.incarnations_[member]; }
   void ask(MemberId v, Epoch, std::string_view, AskNo n, Token t, Nanos span) override {
-    say(Message::Kind::ask, v, mine(), n, t.raw, span);
+    send(Message::Kind::ask, v, own_incarnation(), n, t.raw, span);
   }
   void release(MemberId v, std::string_view, AskNo n) override {
-    say(Message::Kind::release, v, mine(), n, 0, 0);
+    send(Message::Kind::release, v, own_incarnation(), n, 0, 0);
   }
-  void grant(MemberId to, Incarnation of, std::string_view, AskNo n, bool wanted) override {
-    say(Message::Kind::grant, to, of.raw, n, 0, 0, wanted);
+  void grant(MemberId to, Incarnation incarnation, std::string_view, AskNo n, bool wanted) override {
+    send(Message::Kind::grant, to, incarnation.raw, n, 0, 0, wanted);
   }
-  void refuse(MemberId to, Incarnation of, std::string_view, AskNo n, Token seen, Nanos left) override {
-    say(Message::Kind::refuse, to, of.raw, n, seen.raw, left);
+  void refuse(MemberId to, Incarnation incarnation, std::string_view, AskNo n, Token seen,
+              Nanos left) override {
+    send(Message::Kind::refuse, to, incarnation.raw, n, seen.raw, left);
   }
   void held(std::string_view, Token token, Nanos, Nanos until) override { world.held(member, token, until); }
   void lost(std::string_view, Token, LossReason) override { world.holdings_[member - voters] = {}; }
 };
 
-std::string LeasesWorld::Message::words() const {
+std::string LeasesWorld::Message::describe() const {
   static constexpr const char* kinds[] = {"ask", "release", "grant", "refusal"};
   char text[128];
   std::snprintf(text, sizeof text, "%s %llu, %u to %u%s", kinds[static_cast<int>(kind)],
@@ -106,18 +108,18 @@
 // Voters are past their silence at the beginning; contenders want the lease from then on.
 LeasesWorld::LeasesWorld(const Bounds& bounds) : bounds_(&bounds) {
   for (std::size_t m = 0; m < members; ++m) {
-    lives_[m] = 1;
-    Actions orders(*this, m);
+    incarnations_[m] = 1;
+    Actions actions(*this, m);
     const Nanos begun = m < voters ? -2 * term : 0;
-    Leases made(begun, MemberId{static_cast<std::uint32_t>(m + 1)}, Incarnation{1}, list(), figures(1),
-                m < voters ? 1 : m, orders);
-    if (m >= voters) made.acquire(0, lease);
-    keep(m, made);
+    Leases leases(begun, MemberId{static_cast<std::uint32_t>(m + 1)}, Incarnation{1}, voter_list(),
+                  settings(1), m < voters ? 1 : m, actions);
+    if (m >= voters) leases.acquire(0, lease);
+    store_state(m, leases);
   }
   if (!bounds.held) return;
   // The first contender looks, asks, and hears all answers.
-  *this = after({What::wake, 0});
-  while (!on_the_way_.empty()) *this = after({What::deliver, 0});
+  *this = after({StepKind::wake, 0});
+  while (!in_flight_.empty()) *this = after({StepKind::deliver, 0});
   rounds_.fill(0);
 }
 
@@ -129,54 +131,54 @@
   return static_cast<Nanos>(static_cast<double>(clock) / (member < voters ? 1 + drift : 1 - drift)) + 1;
 }
 
-std::unique_ptr<Leases> LeasesWorld::alive(std::size_t member, Actions& orders) const {
-  auto made =
-      std::make_unique<Leases>(clock(member), MemberId{static_cast<std::uint32_t>(member + 1)},
-                               Incarnation{lives_[member]}, list(), figures(lives_[member]), 1, orders);
-  Reader reader(kept_[member]);
-  made->serialize(reader);
-  return made;
+std::unique_ptr<Leases> LeasesWorld::restore(std::size_t member, Actions& actions) const {
+  auto leases = std::make_unique<Leases>(clock(member), MemberId{static_cast<std::uint32_t>(member + 1)},
+                                         Incarnation{incarnations_[member]}, voter_list(),
+                                         settings(incarnations_[member]), 1, actions);
+  Reader reader(states_[member]);
+  leases->serialize(reader);
+  return leases;
 }
 
-void LeasesWorld::keep(std::size_t member, Leases& leases) {
-  kept_[member].clear();
-  Writer writer(kept_[member]);
+void LeasesWorld::store_state(std::size_t member, Leases& leases) {
+  states_[member].clear();
+  Writer writer(states_[member]);
   leases.serialize(writer);
   if (member >= voters) {
-    nameless_[member - voters].clear();
-    heard_[member - voters].clear();
-    Nameless beside(nameless_[member - voters], heard_[member - voters]);
+    contender_states_[member - voters].clear();
+    voter_lists_[member - voters].clear();
+    AnonymizingWriter beside(contender_states_[member - voters], voter_lists_[member - voters]);
     leases.serialize(beside);
   }
-  wakes_[member] = leases.next_wake();
-  ends_[member] = leases.grant_expiries();
+  wake_times_[member] = leases.next_wake();
+  grant_expiries_[member] = leases.grant_expiries();
 }
 
 // Who holds believes it until its own clock says otherwise, whatever it hears meanwhile.
 void LeasesWorld::held(std::size_t member, Token token, Nanos until) {
   const std::size_t me = member - voters;
   for (std::size_t other = 0; other < contenders; ++other)
-    if (other != me && holdings_[other].until > now_ && wrong_.empty())
-      wrong_ =
+    if (other != me && holdings_[other].until > now_ && violation_.empty())
+      violation_ =
           "both hold, for " +
           std::to_string((std::min(holdings_[other].until, true_time(member, until) - 1) - now_) / 1000) +
           " us";
-  if (token.raw != holdings_[me].token && token.raw <= greatest_ && wrong_.empty())
-    wrong_ = "a token that does not rise";
+  if (token.raw != holdings_[me].token && token.raw <= greatest_ && violation_.empty())
+    violation_ = "a token that does not rise";
   greatest_ = std::max(greatest_, token.raw);
   holdings_[me] = {token.raw, true_time(member, until) - 1};
 }
 
-std::vector<Nanos> LeasesWorld::moments() const {
+std::vector<Nanos> LeasesWorld::event_times() const {
   std::vector<Nanos> all;
   const auto add = [&](Nanos at) {
     for (const Nanos one : {at - 1, at})
       if (one > now_ && one <= bounds_->horizon) all.push_back(one);
   };
   for (std::size_t m = 0; m < members; ++m) {
-    if (m >= voters && rounds_[m - voters] < rounds_of(m - voters) && wakes_[m] >= 0)
-      add(true_time(m, wakes_[m]));
-    for (const Nanos end : ends_[m])
+    if (m >= voters && rounds_[m - voters] < rounds_of(m - voters) && wake_times_[m] >= 0)
+      add(true_time(m, wake_times_[m]));
+    for (const Nanos end : grant_expiries_[m])
       if (m < voters) add(true_time(m, end));
   }
   for (const Holding& one : holdings_) add(one.until);
@@ -187,39 +189,40 @@
 
 int LeasesWorld::newly_late() const {
   return static_cast<int>(
-      std::count_if(on_the_way_.begin(), on_the_way_.end(), [](const Message& m) { return !m.late; }));
+      std::count_if(in_flight_.begin(), in_flight_.end(), [](const Message& m) { return !m.late; }));
 }
 
 std::vector<LeasesWorld::Step> LeasesWorld::steps() const {
   std::vector<Step> all;
-  for (std::uint32_t m = 0; m < on_the_way_.size(); ++m) {
-    if (m > 0 && on_the_way_[m] == on_the_way_[m - 1]) continue;
-    all.push_back({What::deliver, m});
-    if (lost_ < bounds_->lost) all.push_back({What::lose, m});
-    if (doubled_ < bounds_->doubled) all.push_back({What::twice, m});
+  for (std::uint32_t m = 0; m < in_flight_.size(); ++m) {
+    if (m > 0 && in_flight_[m] == in_flight_[m - 1]) continue;
+    all.push_back({StepKind::deliver, m});
+    if (lost_ < bounds_->lost) all.push_back({StepKind::lose, m});
+    if (duplicated_ < bounds_->duplicated) all.push_back({StepKind::duplicate, m});
   }
   if (crashes_ < bounds_->crashes)
-    for (std::uint32_t v = 0; v < voters; ++v) all.push_back({What::crash, v});
+    for (std::uint32_t v = 0; v < voters; ++v) all.push_back({StepKind::crash, v});
   for (std::uint32_t c = 0; c < contenders; ++c)
-    if (rounds_[c] < rounds_of(c) && wakes_[voters + c] >= 0 && wakes_[voters + c] <= clock(voters + c))
-      all.push_back({What::wake, c});
-  if (late_ + newly_late() <= bounds_->late && !moments().empty()) all.push_back({What::pass, 0});
+    if (rounds_[c] < rounds_of(c) && wake_times_[voters + c] >= 0 &&
+        wake_times_[voters + c] <= clock(voters + c))
+      all.push_back({StepKind::wake, c});
+  if (late_ + newly_late() <= bounds_->late && !event_times().empty()) all.push_back({StepKind::pass, 0});
   return all;
 }
 
 LeasesWorld LeasesWorld::after(Step step) const {
   LeasesWorld world = *this;
-  const auto in = [&world](std::size_t member, auto act) {
-    Actions orders(world, member);
-    const std::unique_ptr<Leases> one = world.alive(member, orders);
-    act(*one, world.clock(member));
-    world.keep(member, *one);
+  const auto with_member = [&world](std::size_t member, auto action) {
+    Actions actions(world, member);
+    const std::unique_ptr<Leases> leases = world.restore(member, actions);
+    action(*leases, world.clock(member));
+    world.store_state(member, *leases);
   };
-  switch (step.what) {
-  case What::deliver: {
-    const Message m = on_the_way_[step.which];
-    world.on_the_way_.erase(world.on_the_way_.begin() + step.which);
-    in(m.to - 1u, [&](Leases& at, Nanos now) {
+  switch (step.kind) {
+  case StepKind::deliver: {
+    const Message m = in_flight_[step.index];
+    world.in_flight_.erase(world.in_flight_.begin() + step.index);
+    with_member(m.to - 1u, [&](Leases& at, Nanos now) {
       const MemberId from{m.from};
       switch (m.kind) {
       case Message::Kind::ask:
@@ -236,32 +239,33 @@
     });
     break;
   }
-  case What::lose:
-    world.on_the_way_.erase(world.on_the_way_.begin() + step.which);
+  case StepKind::lose:
+    world.in_flight_.erase(world.in_flight_.begin() + step.index);
     ++world.lost_;
     break;
-  case What::twice:
-    world.on_the_way_.insert(world.on_the_way_.begin() + step.which, on_the_way_[step.which]);
-    ++world.doubled_;
+  case StepKind::duplicate:
+    world.in_flight_.insert(world.in_flight_.begin() + step.index, in_flight_[step.index]);
+    ++world.duplicated_;
     break;
-  case What::crash: {
+  case StepKind::crash: {
     ++world.crashes_;
-    ++world.lives_[step.which];
-    Actions orders(world, step.which);
-    Leases anew(world.clock(step.which), MemberId{step.which + 1}, Incarnation{world.lives_[step.which]},
-                list(), figures(world.lives_[step.which]), 1, orders);
-    world.keep(step.which, anew);
+    ++world.incarnations_[step.index];
+    Actions actions(world, step.index);
+    Leases restarted(world.clock(step.index), MemberId{step.index + 1},
+                     Incarnation{world.incarnations_[step.index]}, voter_list(),
+                     settings(world.incarnations_[step.index]), 1, actions);
+    world.store_state(step.index, restarted);
     break;
   }
-  case What::wake:
-    ++world.rounds_[step.which];
-    in(voters + step.which, [](Leases& at, Nanos now) { at.due(now); });
+  case StepKind::wake:
+    ++world.rounds_[step.index];
+    with_member(voters + step.index, [](Leases& at, Nanos now) { at.due(now); });
     break;
-  case What::pass:
-    world.now_ = moments().front();
+  case StepKind::pass:
+    world.now_ = event_times().front();
     world.late_ += newly_late();
-    for (Message& m : world.on_the_way_) m.late = true;
-    std::sort(world.on_the_way_.begin(), world.on_the_way_.end());
+    for (Message& m : world.in_flight_) m.late = true;
+    std::sort(world.in_flight_.begin(), world.in_flight_.end());
     break;
   }
   return world;
@@ -274,22 +278,23 @@
   return all;
 }
 
-std::string LeasesWorld::words(std::uint32_t step) const {
-  const Step one = steps()[step];
+std::string LeasesWorld::describe(std::uint32_t step) const {
+  const Step step_taken = steps()[step];
   char at[32];
   std::snprintf(at, sizeof at, "%8.3f ms  ", static_cast<double>(now_) / 1e6);
-  switch (one.what) {
-  case What::deliver:
-    return at + on_the_way_[one.which].words() + " arrives";
-  case What::lose:
-    return at + on_the_way_[one.which].words() + " is lost";
-  case What::twice:
-    return at + on_the_way_[one.which].words() + " is doubled";
-  case What::crash:
-    return at + std::string("voter ") + std::to_string(one.which + 1) + " starts anew";
-  case What::wake:
-    return at + std::string("contender ") + std::to_string(voters + one.which + 1) + " does what is due";
-  case What::pass:
+  switch (step_taken.kind) {
+  case StepKind::deliver:
+    return at + in_flight_[step_taken.index].describe() + " arrives";
+  case StepKind::lose:
+    return at + in_flight_[step_taken.index].describe() + " is lost";
+  case StepKind::duplicate:
+    return at + in_flight_[step_taken.index].describe() + " is doubled";
+  case StepKind::crash:
+    return at + std::string("voter ") + std::to_string(step_taken.index + 1) + " starts anew";
+  case StepKind::wake:
+    return at + std::string("contender ") + std::to_string(voters + step_taken.index + 1) +
+           " does what is due";
+  case StepKind::pass:
     return at + std::string("time passes");
   }
   return at;
@@ -301,32 +306,34 @@
     Writer(into).whole(static_cast<std::int64_t>(value));
   };
   number(all, now_);
-  for (const int one : {lost_, doubled_, crashes_, late_}) number(all, one);
+  for (const int one : {lost_, duplicated_, crashes_, late_}) number(all, one);
   for (std::size_t c = 0; c < contenders; ++c) {
-    Writer(all).bytes(nameless_[c]);
+    Writer(all).bytes(contender_states_[c]);
     number(all, rounds_[c]);
     number(all, holdings_[c].token);
     number(all, std::max(holdings_[c].until, now_)); // how long ago makes no difference
   }
   number(all, greatest_);
   // Each voter with all that concerns it, in an order of their own.
-  std::array<std::string, voters> each;
+  std::array<std::string, voters> voter_states;
   for (std::size_t v = 0; v < voters; ++v) {
     const MemberId me{static_cast<std::uint32_t>(v + 1)};
-    number(each[v], lives_[v]);
-    Writer(each[v]).bytes(kept_[v]);
-    for (const auto& lists : heard_)
+    number(voter_states[v], incarnations_[v]);
+    Writer(voter_states[v]).bytes(states_[v]);
+    for (const auto& lists : voter_lists_)
       for (const std::vector<MemberId>& list : lists)
-        number(each[v], std::find(list.begin(), list.end(), me) != list.end());
-    for (const Message& m : on_the_way_) {
+        number(voter_states[v], std::find(list.begin(), list.end(), me) != list.end());
+    for (const Message& m : in_flight_) {
       if (m.from != me.raw && m.to != me.raw) continue;
-      number(each[v], m.kind), number(each[v], m.from == me.raw ? m.to : m.from), number(each[v], m.wanted);
-      number(each[v], m.incarnation), number(each[v], m.number), number(each[v], m.token);
-      number(each[v], m.span), number(each[v], m.late);
+      number(voter_states[v], m.kind), number(voter_states[v], m.from == me.raw ? m.to : m.from),
+          number(voter_states[v], m.wanted);
+      number(voter_states[v], m.incarnation), number(voter_states[v], m.number),
+          number(voter_states[v], m.token);
+      number(voter_states[v], m.span), number(voter_states[v], m.late);
     }
   }
-  std::sort(each.begin(), each.end());
-  for (const std::string& one : each) Writer(all).bytes(one);
+  std::sort(voter_states.begin(), voter_states.end());
+  for (const std::string& one : voter_states) Writer(all).bytes(one);
   const XXH128_hash_t sum = XXH3_128bits(all.data(), all.size());
   return {sum.high64, sum.low64};
 }
--- a/explore/search.hpp
+++ b/explore/search.hpp
@@ -22,76 +22,76 @@
   };
 };
 
-struct Found {
+struct SearchResult {
   std::uint64_t states = 0, steps = 0; // told apart; taken
   int depth = 0;                       // of the last that was expanded
-  bool whole = false;                  // nothing was left out for want of room
-  std::string wrong;                   // empty: nothing
-  std::vector<std::uint32_t> way;      // numbers of the steps to it, in the order in which a state lists them
+  bool complete = false;               // nothing was left out for want of room
+  std::string violation;               // empty: nothing
+  std::vector<std::uint32_t> path;     // numbers of the steps to it, in the order in which a state lists them
 };
 
 // World: `std::vector<std::pair<std::uint32_t, World>> next() const` (steps that may be taken, numbered, and
 // what comes of each), `Digest128 digest() const`, `std::string wrong() const`.
 template <class World>
-Found search(World start, std::uint64_t most_states, unsigned threads) {
-  struct Eviction {
+SearchResult search(World start, std::uint64_t max_states, unsigned threads) {
+  struct Predecessor {
     std::uint32_t from, step;
   };
-  struct Front {
+  struct FrontierEntry {
     World world;
-    std::uint32_t at; // among the ways
+    std::uint32_t index; // among the ways
   };
-  Found found;
-  std::vector<Eviction> ways{{0, 0}};
-  std::unordered_set<Digest128, Digest128::Hash> seen{start.digest()};
-  std::vector<Front> front;
-  front.push_back({std::move(start), 0});
-  found.states = 1;
+  SearchResult result;
+  std::vector<Predecessor> predecessors{{0, 0}};
+  std::unordered_set<Digest128, Digest128::Hash> visited{start.digest()};
+  std::vector<FrontierEntry> frontier;
+  frontier.push_back({std::move(start), 0});
+  result.states = 1;
   constexpr std::size_t batch = 4096; // worlds expanded at once: bounds what waits to be told apart
-  for (; !front.empty(); ++found.depth) {
-    std::vector<Front> next;
-    for (std::size_t from = 0; from < front.size(); from += batch) {
-      const std::size_t to = std::min(front.size(), from + batch);
+  for (; !frontier.empty(); ++result.depth) {
+    std::vector<FrontierEntry> next;
+    for (std::size_t from = 0; from < frontier.size(); from += batch) {
+      const std::size_t to = std::min(frontier.size(), from + batch);
       struct Step {
         std::uint32_t number;
         Digest128 digest;
         World world;
       };
       std::vector<std::vector<Step>> steps(to - from);
-      std::atomic<std::size_t> turn{from};
-      const auto work = [&] {
-        for (std::size_t i; (i = turn.fetch_add(1)) < to;)
-          for (auto& [number, world] : front[i].world.next()) {
+      std::atomic<std::size_t> next_index{from};
+      const auto expand = [&] {
+        for (std::size_t i; (i = next_index.fetch_add(1)) < to;)
+          for (auto& [number, world] : frontier[i].world.next()) {
             const Digest128 digest = world.digest();
             steps[i - from].push_back({number, digest, std::move(world)});
           }
       };
-      std::vector<std::thread> crew;
-      for (unsigned t = 1; t < threads; ++t) crew.emplace_back(work);
-      work();
-      for (std::thread& one : crew) one.join();
+      std::vector<std::thread> workers;
+      for (unsigned t = 1; t < threads; ++t) workers.emplace_back(expand);
+      expand();
+      for (std::thread& worker : workers) worker.join();
       // Told apart in one order: the same counts, and the same way, whatever the threads.
       for (std::size_t i = from; i < to; ++i)
         for (Step& step : steps[i - from]) {
-          ++found.steps;
-          if (!seen.insert(step.digest).second) continue;
-          ++found.states;
-          ways.push_back({front[i].at, step.number});
-          const auto at = static_cast<std::uint32_t>(ways.size() - 1);
-          if (found.wrong = step.world.wrong(); !found.wrong.empty()) {
-            for (std::uint32_t back = at; back != 0; back = ways[back].from)
-              found.way.push_back(ways[back].step);
-            std::reverse(found.way.begin(), found.way.end());
-            return found;
+          ++result.steps;
+          if (!visited.insert(step.digest).second) continue;
+          ++result.states;
+          predecessors.push_back({frontier[i].index, step.number});
+          const auto index = static_cast<std::uint32_t>(predecessors.size() - 1);
+          if (result.violation = step.world.violation(); !result.violation.empty()) {
+            for (std::uint32_t back = index; back != 0; back = predecessors[back].from)
+              result.path.push_back(predecessors[back].step);
+            std::reverse(result.path.begin(), result.path.end());
+            return result;
           }
-          if (found.states >= most_states) return found;
-          next.push_back({std::move(step.world), at});
+          if (result.states >= max_states) return result;
+          next.push_back({std::move(step.world), index});
         }
     }
-    front = std::move(next);
+    frontier = std::move(next);
   }
-  found.whole = true;
-  return found;
+  result.complete = true;
+  return result;
 }
 
 } // namespace cometshift::explore
