--- a/explore/leases_world.cpp
+++ b/explore/leases_world.cpp
@@ -20,7 +20,7 @@
   static const Voters all(0, MemberId{1}, {Epoch{1}, {MemberId{1}, MemberId{2}, MemberId{3}}, {}}, term);
   return all;
 }
-// A token's beginning is what an operator's clock gives it; another with each start.
+// A first token comes from the operator's clock in service, so each start has another.
 Settings settings(std::uint8_t incarnation) {
   return {{"leases.term", static_cast<double>(term)},
           {"leases.longest_term", static_cast<double>(term)},
@@ -29,7 +29,7 @@
           {"leases.most", 2.0}};
 }
 
-// Writes all but lists of members, which it hands over.
+// Serializes everything except lists of members, which it collects separately.
 class AnonymizingWriter : public Serializer<AnonymizingWriter> {
   Writer out_;
   std::vector<std::vector<MemberId>>& lists_;
@@ -105,7 +105,7 @@
   return text;
 }
 
-// Voters are past their silence at the beginning; contenders want the lease from then on.
+// The voters' silence after their start is over at time 0; contenders want the lease from then on.
 LeasesWorld::LeasesWorld(const Bounds& bounds) : bounds_(&bounds) {
   for (std::size_t m = 0; m < members; ++m) {
     incarnations_[m] = 1;
@@ -117,13 +117,13 @@
     store_state(m, leases);
   }
   if (!bounds.held) return;
-  // The first contender looks, asks, and hears all answers.
+  // The first contender queries the voters, requests the lease, and receives all answers.
   *this = after({StepKind::wake, 0});
   while (!in_flight_.empty()) *this = after({StepKind::deliver, 0});
   rounds_.fill(0);
 }
 
-// Voters' clocks run fast, contenders' slow, each by the bound: the worst for who holds.
+// Voters' clocks run fast and contenders' slow, each by the bound: the worst case for a holder.
 Nanos LeasesWorld::clock(std::size_t member) const {
   return static_cast<Nanos>(static_cast<double>(now_) * (member < voters ? 1 + drift : 1 - drift));
 }
@@ -154,7 +154,7 @@
   grant_expiries_[member] = leases.grant_expiries();
 }
 
-// Who holds believes it until its own clock says otherwise, whatever it hears meanwhile.
+// A holder relies on its lease until it expires by its own clock, whatever messages it receives meanwhile.
 void LeasesWorld::held(std::size_t member, Token token, Nanos until) {
   const std::size_t me = member - voters;
   for (std::size_t other = 0; other < contenders; ++other)
@@ -311,10 +311,10 @@
     Writer(all).bytes(contender_states_[c]);
     number(all, rounds_[c]);
     number(all, holdings_[c].token);
-    number(all, std::max(holdings_[c].until, now_)); // how long ago makes no difference
+    number(all, std::max(holdings_[c].until, now_)); // the time since an expiry makes no difference
   }
   number(all, greatest_);
-  // Each voter with all that concerns it, in an order of their own.
+  // Each voter's state with all that concerns it, sorted, so that permutations give the same digest.
   std::array<std::string, voters> voter_states;
   for (std::size_t v = 0; v < voters; ++v) {
     const MemberId me{static_cast<std::uint32_t>(v + 1)};
--- a/explore/leases_world.hpp
+++ b/explore/leases_world.hpp
@@ -1,8 +1,8 @@
-// Leases in a small world: three voters with the fastest clocks that are allowed, two contenders with the
-// slowest, and whatever may happen to what they say, in every order: delivered, lost, doubled, some late by
-// any time; a voter that starts anew and has forgotten; anyone late with what is due. Time goes on to the
-// next moment at which anything changes by itself, or to the one just before. The modules are the real ones,
-// kept as bytes between steps.
+// A small state space of leases: three voters with the fastest clocks allowed and two contenders with the
+// slowest. Messages are delivered, lost, duplicated or delayed by any time, in every order; a voter may
+// restart without its state; any member may handle a timer late. Time advances to the next instant at which
+// anything changes by itself, or to the nanosecond before it. The modules are the real ones, kept in
+// serialized form between steps.
 #pragma once
 
 #include "leases.hpp"
@@ -15,15 +15,17 @@
 
 namespace cometshift::explore {
 
+// Limits of the state space.
 struct Bounds {
-  int rounds = 1, second_rounds = 2; // of asking, for the contenders
+  int rounds = 1, second_rounds = 2; // of requests, for each contender
   int lost = 1, duplicated = 1;      // messages
-  int late = 2;                      // messages that are under way while time passes, for as long as it does
-  int crashes = 1;                   // of voters
-  Nanos horizon = 0;                 // no time beyond it
+  int late = 2;                      // messages that stay in flight while time passes, for any time
+  int crashes = 1;                   // of voters, which lose their state
+  Nanos horizon = 0;                 // time advances no further
   bool held = false; // one contender holds the lease at the beginning; its rounds count from there
 };
 
+// One state of the space. The bounds have to outlive it.
 class LeasesWorld {
  public:
   explicit LeasesWorld(const Bounds& bounds);
@@ -31,7 +33,7 @@
   std::vector<std::pair<std::uint32_t, LeasesWorld>> next() const;
   Digest128 digest() const;
   std::string violation() const { return violation_; }
-  std::string describe(std::uint32_t step) const; // of one that `next` lists
+  std::string describe(std::uint32_t step) const; // of a step that `next` lists
 
  private:
   static constexpr std::size_t voters = 3, contenders = 2, members = voters + contenders;
@@ -39,7 +41,7 @@
     enum class Kind : std::uint8_t { ask, release, grant, refuse } kind;
     std::uint8_t from, to; // members, from 1
     bool wanted = false;
-    std::uint64_t incarnation = 0, number = 0, token = 0; // of who asks
+    std::uint64_t incarnation = 0, number = 0, token = 0; // of the requester
     Nanos span = 0;
     bool late = false;
     auto operator<=>(const Message&) const = default;
@@ -74,17 +76,17 @@
   Nanos now_ = 0;
   int lost_ = 0, duplicated_ = 0, crashes_ = 0, late_ = 0;
   std::array<std::string, members> states_;
-  // Of contenders the same but for the voters that they have heard, which stand beside it: voters are alike,
-  // and worlds that differ by which is which are one.
+  // The contenders' states without the sets of voters that have answered, which are kept in voter_lists_:
+  // voters are symmetric, and states that differ only by a permutation of them count as one.
   std::array<std::string, contenders> contender_states_;
   std::array<std::vector<std::vector<MemberId>>, contenders> voter_lists_;
   std::array<std::uint8_t, members> incarnations_{};
   std::array<std::uint8_t, contenders> rounds_{};
-  std::array<Nanos, members> wake_times_{};                // by its clock; -1: none
-  std::array<std::vector<Nanos>, members> grant_expiries_; // of grants, by its clock
+  std::array<Nanos, members> wake_times_{};                // by the member's clock; -1: none
+  std::array<std::vector<Nanos>, members> grant_expiries_; // by the member's clock
   std::vector<Message> in_flight_;                         // sorted
   std::array<Holding, contenders> holdings_;
-  std::uint64_t greatest_ = 0; // token under which anyone has held
+  std::uint64_t greatest_ = 0; // greatest token under which any contender has held
   std::string violation_;
 };
 
--- a/explore/main.cpp
+++ b/explore/main.cpp
@@ -1,7 +1,7 @@
-// cometshift-explore: all orders of a few events against the deciding modules as they are. Prints how much
-// there was to see, and a shortest way to what goes wrong, if anything does.
+// cometshift-explore: model checker that runs the lease module itself through all orders of a few events.
+// Prints the size of the state space, and a shortest path to a violation, if there is one.
 //
-// Exit codes: 0 nothing wrong; 1 something is; 2 it could not be run.
+// Exit codes: 0 no violation; 1 a violation; 2 the search was cut off by the limit of states.
 #include "leases_world.hpp"
 
 #include <CLI/CLI.hpp>
@@ -15,17 +15,20 @@
   double horizon_terms = 2.2;
   std::uint64_t max_states = 20'000'000;
   unsigned threads = 4;
-  CLI::App app{"All orders of a few events: three voters, two contenders."};
+  CLI::App app{"Checks leases in all orders of a few events, with three voters and two contenders."};
   app.name("cometshift-explore");
-  app.add_option("--rounds", bounds.rounds, "of asking, for one contender")->check(CLI::Range(0, 10));
-  app.add_option("--second", bounds.second_rounds, "and for the other")->check(CLI::Range(0, 10));
+  app.add_option("--rounds", bounds.rounds, "rounds of requests, of one contender")->check(CLI::Range(0, 10));
+  app.add_option("--second", bounds.second_rounds, "rounds of requests, of the other")
+      ->check(CLI::Range(0, 10));
   app.add_option("--lost", bounds.lost, "messages")->check(CLI::Range(0, 10));
   app.add_option("--doubled", bounds.duplicated, "messages")->check(CLI::Range(0, 10));
-  app.add_option("--late", bounds.late, "messages that time passes over")->check(CLI::Range(0, 10));
-  app.add_option("--crashes", bounds.crashes, "of voters, which forget")->check(CLI::Range(0, 10));
+  app.add_option("--late", bounds.late, "messages that stay in flight while time passes")
+      ->check(CLI::Range(0, 10));
+  app.add_option("--crashes", bounds.crashes, "restarts of voters, which lose their state")
+      ->check(CLI::Range(0, 10));
   app.add_option("--horizon", horizon_terms, "terms")->check(CLI::Range(0.1, 10.0));
   app.add_flag("--held", bounds.held, "one contender holds the lease at the beginning");
-  app.add_option("--most", max_states, "states told apart");
+  app.add_option("--most", max_states, "limit of distinct states");
   app.add_option("--threads", threads, "")->check(CLI::Range(1, 64));
   CLI11_PARSE(app, argc, argv);
   bounds.horizon = static_cast<Nanos>(horizon_terms * 1e9);
--- a/explore/search.hpp
+++ b/explore/search.hpp
@@ -1,6 +1,7 @@
-// A search through all that may happen, breadth first, so that what goes wrong first is found by a shortest
-// way. The states are the caller's: how they are told apart (128 bits), what may happen next, and what is
-// wrong in one. Memory: of a state that has been expanded, its digest and the way back to it.
+// Breadth-first search of a state space, so that the first violation is found by a shortest path. The
+// caller's state type gives the digest by which states are distinguished (128 bits), the steps possible from
+// a state, and the violation in it. Of a state that has been expanded only the digest and its predecessor are
+// kept in memory.
 #pragma once
 
 #include <algorithm>
@@ -22,16 +23,17 @@
   };
 };
 
+// What a search has covered, and the violation that it found.
 struct SearchResult {
-  std::uint64_t states = 0, steps = 0; // told apart; taken
-  int depth = 0;                       // of the last that was expanded
-  bool complete = false;               // nothing was left out for want of room
-  std::string violation;               // empty: nothing
-  std::vector<std::uint32_t> path;     // numbers of the steps to it, in the order in which a state lists them
+  std::uint64_t states = 0, steps = 0; // distinct states; transitions taken
+  int depth = 0;                       // of the last level that was expanded
+  bool complete = false;               // not cut off by the limit of states
+  std::string violation;               // empty: none found
+  std::vector<std::uint32_t> path;     // numbers of the steps that lead to it, as World::next() numbers them
 };
 
-// World: `std::vector<std::pair<std::uint32_t, World>> next() const` (steps that may be taken, numbered, and
-// what comes of each), `Digest128 digest() const`, `std::string wrong() const`.
+// World: `std::vector<std::pair<std::uint32_t, World>> next() const` (the possible steps, numbered, and the
+// state after each), `Digest128 digest() const`, `std::string violation() const`.
 template <class World>
 SearchResult search(World start, std::uint64_t max_states, unsigned threads) {
   struct Predecessor {
@@ -39,7 +41,7 @@
   };
   struct FrontierEntry {
     World world;
-    std::uint32_t index; // among the ways
+    std::uint32_t index; // in predecessors
   };
   SearchResult result;
   std::vector<Predecessor> predecessors{{0, 0}};
@@ -47,7 +49,8 @@
   std::vector<FrontierEntry> frontier;
   frontier.push_back({std::move(start), 0});
   result.states = 1;
-  constexpr std::size_t batch = 4096; // worlds expanded at once: bounds what waits to be told apart
+  // States expanded at once: bounds the memory of successors that have not been compared yet.
+  constexpr std::size_t batch = 4096;
   for (; !frontier.empty(); ++result.depth) {
     std::vector<FrontierEntry> next;
     for (std::size_t from = 0; from < frontier.size(); from += batch) {
@@ -70,7 +73,7 @@
       for (unsigned t = 1; t < threads; ++t) workers.emplace_back(expand);
       expand();
       for (std::thread& worker : workers) worker.join();
-      // Told apart in one order: the same counts, and the same way, whatever the threads.
+      // Successors are compared in a fixed order, so counts and path don't depend on the threads.
       for (std::size_t i = from; i < to; ++i)
         for (Step& step : steps[i - from]) {
           ++result.steps;
--- a/fleet/judge.cpp
+++ b/fleet/judge.cpp
@@ -44,8 +44,8 @@
   if (holder->second != member)
     record_violation(findings_.shared_tokens, now,
                      actor + " acts under the token of member " + std::to_string(holder->second));
-  // At the target that refuses, what was taken is done in that instant: a later one of a greater token comes
-  // after.
+  // A target that can refuse carries out an accepted act at the instant of acceptance, so a later act under a
+  // greater token doesn't overlap it.
   if (!fences)
     for (const std::size_t other : task.open_acts)
       if (acts_[other].token != token)
--- a/fleet/main.cpp
+++ b/fleet/main.cpp
@@ -1,8 +1,8 @@
-// cometshift-fleet: several servers of the program as processes, faults between them, and a referee that sees
-// every act. On loopback only; it stops by itself.
+// cometshift-fleet: runs several servers as processes, injects faults between them, and checks every act at a
+// shared target. Uses loopback only, and exits by itself.
 //
-// Exit codes: 0 nothing wrong; 1 two acted at once, a rule was broken, or the fleet did not come back; 2 it
-// could not be run.
+// Exit codes: 0 no violation; 1 two members acted at the same time, a rule was broken, or the fleet did not
+// recover; 2 the run could not be carried out.
 #include "rig.hpp"
 #include "timeline.hpp"
 
@@ -77,7 +77,7 @@
   return outcome;
 }
 
-// Fewer faults that still go wrong: halves, then smaller parts, are left out as long as it stays wrong.
+// Shrinks a failing plan: leaves out halves, then smaller parts, as long as the run still fails.
 std::vector<Fault> shrink_plan(const RunOptions& options, std::vector<Fault> plan, int tries) {
   for (std::size_t part = std::max<std::size_t>(1, plan.size() / 2); tries > 0;
        part = std::max<std::size_t>(1, part / 2)) {
@@ -110,29 +110,32 @@
   int shrink = 0;
   bool plan_only = false, without = false;
   CLI::App app{
-      "Several servers as processes on loopback, faults between them, and a referee that sees every act."};
+      "Runs several servers as processes on loopback, injects faults between them, and checks every act."};
   app.name("cometshift-fleet");
   app.add_option("--server", options.server, "the program");
-  app.add_option("--clock", options.clock, "the library that bends clocks (standin/odd_clock.c)");
-  app.add_option("--folder", options.folder, "for configurations, logs, and the faults as they were")
-      ->required();
+  app.add_option("--clock", options.clock, "the library that distorts clocks (standin/odd_clock.c)");
+  app.add_option("--folder", options.folder, "for configurations, logs, and the injected faults")->required();
   app.add_option("--members", options.members, "servers")->check(CLI::Range(1, 64));
-  app.add_option("--voters", options.voters, "of them")->check(CLI::Range(1, 7));
-  app.add_option("--tasks", options.tasks, "in turns at a target that can refuse, and at one that can't")
+  app.add_option("--voters", options.voters, "servers that vote")->check(CLI::Range(1, 7));
+  app.add_option("--tasks", options.tasks,
+                 "tasks, alternately at a target that can refuse and at one that can't")
       ->check(CLI::Range(1, 1000));
   app.add_option("--every", options.every_s, "the tasks' period, in seconds")->check(CLI::Range(0.1, 3600.0));
-  app.add_option("--seconds", options.seconds, "how long")->check(CLI::Range(1.0, max_seconds));
+  app.add_option("--seconds", options.seconds, "length of the run, in seconds")
+      ->check(CLI::Range(1.0, max_seconds));
   app.add_option("--term", options.term_s, "of a lease, in seconds")->check(CLI::Range(0.3, 60.0));
-  app.add_option("--seed", options.seed, "of the faults and of all else");
-  app.add_option("--faults", random_options.faults_per_minute, "a minute")->check(CLI::Range(0.0, 1000.0));
-  app.add_flag("--kills", random_options.kills_only, "only of whoever acts, with time to recover between");
-  app.add_option("--plan", plan_file, "instead: faults by time (fleet/plan.hpp)");
+  app.add_option("--seed", options.seed, "of the random choices");
+  app.add_option("--faults", random_options.faults_per_minute, "faults per minute")
+      ->check(CLI::Range(0.0, 1000.0));
+  app.add_flag("--kills", random_options.kills_only,
+               "only kills of the member that acts, with time to recover in between");
+  app.add_option("--plan", plan_file, "file of faults by time, instead of random ones (fleet/plan.hpp)");
   app.add_option("--rate", options.rate, "ops a second at each server")->check(CLI::Range(0.0, max_rate));
-  app.add_option("--svg", svg, "a picture of the run");
-  app.add_option("--shrink", shrink, "if it goes wrong: so many more runs to find fewer faults that do")
+  app.add_option("--svg", svg, "file for an SVG timeline of the run");
+  app.add_option("--shrink", shrink, "after a failure: number of further runs to find fewer faults that fail")
       ->check(CLI::Range(0, 200));
-  app.add_flag("--without", without, "the same servers with no fleet set");
-  app.add_flag("--print-plan", plan_only, "only the faults");
+  app.add_flag("--without", without, "the same servers with no fleet configured");
+  app.add_flag("--print-plan", plan_only, "print only the faults");
   app.add_flag("--quiet", options.quiet, "the verdict only");
   CLI11_PARSE(app, argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
--- a/fleet/plan.cpp
+++ b/fleet/plan.cpp
@@ -13,12 +13,13 @@
 
 constexpr double second = 1e9;
 constexpr double max_seconds = 86400;
-constexpr Nanos fault_free_end_terms = 6; // without faults, in which the fleet has to come back
+constexpr Nanos fault_free_end_terms = 6; // without faults: the fleet has to recover within them
 
+// What follows the name of a fault in a line of a plan.
 struct FaultFormat {
   int members;
   bool has_value;
-  double weight; // of chance, where plans are drawn
+  double weight; // relative probability in random plans; 0: never drawn
 };
 const std::map<std::string, FaultFormat>& fault_formats() {
   static const std::map<std::string, FaultFormat> all{
@@ -99,7 +100,7 @@
   for (const auto& [kind, format] : fault_formats()) weights += format.weight;
   const auto any_member = [&] { return 1 + rng.next() % options.members; };
   if (options.kills_only) {
-    // By then the one before is back, and no longer silent as a voter.
+    // By then the member killed before has restarted and its silence as a voter is over.
     for (Nanos at = 3 * options.term; at < last;
          at += static_cast<Nanos>((4 + rng.unit()) * static_cast<double>(options.term)))
       plan.push_back({at, "kill", 0, 0, 0.3 * term * rng.unit()});
@@ -113,7 +114,7 @@
       fault.kind = kind;
       if ((remaining_weight -= format.weight) < 0) break;
     }
-    // Half of them meet whoever acts.
+    // Half of the faults affect the member that acted last.
     fault.a = rng.unit() < 0.5 ? 0 : any_member();
     fault.b = any_member();
     fault.value = term * (0.1 + 3 * rng.unit() * rng.unit());
--- a/fleet/referee.cpp
+++ b/fleet/referee.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t max_head_bytes = 4 * 1024;
 auto into(asio::error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
-// What stands between `before` and the end of its line.
+// The text between `before` and the end of its line.
 std::string_view rest_of_line_after(std::string_view head, std::string_view before) {
   const std::size_t at = head.find(before);
   if (at == std::string_view::npos) return {};
@@ -42,14 +42,14 @@
   std::string head;
   co_await asio::async_read_until(socket, asio::dynamic_buffer(head, max_head_bytes), "\r\n\r\n",
                                   into(error));
-  if (error) co_return; // nothing was asked
+  if (error) co_return; // no complete request head
   const std::string_view path = rest_of_line_after(head, "POST /task/");
   const std::string task(path.substr(0, path.find(' ')));
   std::uint64_t token = 0;
   unsigned member = 0;
   if (task.empty() || !parse_integer(rest_of_line_after(head, "Fencing-Token: "), token) ||
       !parse_integer(rest_of_line_after(head, "Member: "), member))
-    co_return; // no act that could be judged
+    co_return; // not a request that can be checked
   const bool fences = task.starts_with("fenced");
   const std::size_t act = checker_.begin_act(now_(), task, fences, member, Token{token});
   std::string reply = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
--- a/fleet/referee.hpp
+++ b/fleet/referee.hpp
@@ -1,7 +1,7 @@
-// Where the fleet's tasks are done: one process, one clock, every act with its begin, its end, its member and
-// its token, told to a judge. "POST /task/NAME" takes a while and answers 200; a task whose name begins with
-// "fenced" is refused with 409 where its token is smaller than the greatest seen, which a "plain" one can't
-// be.
+// The HTTP target at which the fleet's tasks are carried out. It is one process with one clock, and reports
+// every act, with its begin, end, member and token, to the checker. "POST /task/NAME" takes the configured
+// duration and is answered with 200. A task whose name begins with "fenced" is refused with 409 if its token
+// is smaller than the greatest seen; a "plain" one can't be refused.
 #pragma once
 
 #include "judge.hpp"
@@ -11,6 +11,7 @@
 
 namespace cometshift::fleet {
 
+// Serves task calls and reports them to an ExclusionChecker.
 class TaskTarget {
  public:
   TaskTarget(asio::io_context& io, asio::ip::tcp::endpoint at, ExclusionChecker& checker,
--- a/fleet/relay.cpp
+++ b/fleet/relay.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 constexpr Nanos ms = 1'000'000;
-constexpr Nanos poll_interval = 2 * ms; // whether it is whole again
-constexpr std::size_t bytes_before_reset =
-    11; // bytes that still go before a reset: less than a frame with words
+constexpr Nanos poll_interval = 2 * ms; // for the end of a cut
+// Forwarded before a reset: less than a frame with a payload.
+constexpr std::size_t bytes_before_reset = 11;
 auto into(asio::error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 } // namespace
 
@@ -47,7 +47,7 @@
   std::erase_if(connections_, [&](const auto& other) { return other.get() == &connection; });
 }
 
-// While it is cut nothing of a connection reaches the other side, not even its beginning.
+// While the relay is cut nothing of a connection reaches the other side, not even its opening.
 asio::awaitable<void> Relay::serve(std::shared_ptr<Connection> connection) {
   while (is_cut() && !connection->closed) co_await sleep_for(poll_interval);
   if (connection->closed) co_return;
@@ -78,7 +78,7 @@
       close_connection(*connection, error != asio::error::eof);
       co_return;
     }
-    if (connection->discarding) continue; // swallowed
+    if (connection->discarding) continue;
     bytes_ += n;
     if (to_server && corrupt_next_) {
       buffer[n / 2] = static_cast<char>(buffer[n / 2] ^ 0x20);
--- a/fleet/relay.hpp
+++ b/fleet/relay.hpp
@@ -1,5 +1,5 @@
-// One way between two processes, with faults by order: takes connections at one address and hands what comes
-// on them to another. Owns both sides of each. On loopback only.
+// TCP relay for one direction between two processes, with faults on request: accepts connections at one
+// address and forwards what arrives on them to another. Owns both sockets of each connection. Loopback only.
 #pragma once
 
 #include "party.hpp"
@@ -9,19 +9,20 @@
 
 namespace cometshift::fleet {
 
+// Forwards connections and injects the faults that its methods ask for.
 class Relay {
  public:
   using Tcp = asio::ip::tcp;
   Relay(asio::io_context& io, Tcp::endpoint listen, Tcp::endpoint to);
 
-  // Faults. What is held while it is cut goes on at once when it is whole again.
-  void cut(bool enabled) { cuts_ += enabled ? 1 : -1; } // as often whole again as cut
+  // Faults. What is held back during a cut is forwarded at once when the cut ends.
+  void cut(bool enabled) { cuts_ += enabled ? 1 : -1; } // cuts nest: each needs its own end
   bool is_cut() const { return cuts_ > 0; }
   void delay(Nanos duration) { delay_ = duration; }
   void trickle(bool enabled) { trickle_ = enabled; }
-  void corrupt_next() { corrupt_next_ = true; } // the next bytes: one of them
-  void reset();                                 // all connections, after a few bytes more
-  void half_open();                             // the far side is closed, the near side hears nothing of it
+  void corrupt_next() { corrupt_next_ = true; } // one byte of the next read
+  void reset();                                 // all connections, after a few more bytes
+  void half_open();                             // closes the server side; the client side isn't told
 
   std::uint64_t bytes() const { return bytes_; }
 
--- a/fleet/rig.cpp
+++ b/fleet/rig.cpp
@@ -18,12 +18,13 @@
 
 constexpr Nanos ms = 1'000'000;
 constexpr Nanos second = 1000 * ms;
-constexpr Nanos act_duration = 20 * ms; // at the referee
-constexpr Nanos act_limit = 100 * ms;   // as the operator file has it; with the pauses in it
+constexpr Nanos act_duration = 20 * ms; // at the task target
+constexpr Nanos act_limit = 100 * ms;   // in the operator file; includes pauses
 constexpr Nanos poll_interval = ms;
-constexpr Nanos startup_time = 500 * ms; // until a server is told by signals
-constexpr Nanos drain_time = 6 * second; // from the notice to the kill
-// Ports on this rig's own loopback address; members and pairs are counted on from them.
+constexpr Nanos startup_time = 500 * ms; // before signals are sent to a server
+constexpr Nanos drain_time = 6 * second; // from the drain notice to the kill
+// Ports on this rig's own loopback address. Those of members and of pairs of members are counted up from a
+// base.
 constexpr unsigned front_ports = 5000, member_ports = 6000, machine_ports = 7300, target_port = 8000,
                    target_relay_ports = 9000, records_port = 5432, announce_port = 2379, twin_ports = 10'000,
                    relay_ports = 20'000, relay_ports_per_member = 128;
@@ -179,7 +180,7 @@
                                {.name = name, .seed = options_.seed + slot.number, .leave_time = drain_time},
                                address(front_ports + slot.number), address(machine_ports + slot.number),
                                address(announce_port), address(records_port)));
-  if (slot.incarnations.size() == 1) write_operator(slot); // what came later came by itself
+  if (slot.incarnations.size() == 1) write_operator(slot); // later versions are written by change_voters()
   slot.page->rate = 0;
   slot.page->stop_before_act = 0;
   slot.child = std::make_unique<load::Child>(
@@ -190,7 +191,7 @@
   slot.up = true;
   slot.stopped = slot.draining = false;
   ++outcome_.incarnations;
-  // Once it listens, which the first callers find out: what is asked before is refused, and has not run.
+  // The load starts once the server listens. A request before that is refused and has not run.
   if (options_.rate > 0)
     after(300 * ms, [this, &slot, &incarnation] {
       const Nanos left = static_cast<Nanos>(options_.seconds * 1e9) - now();
@@ -199,7 +200,8 @@
   update_connectivity();
 }
 
-// The one place where a life of a server ends: what it cost, whether it ended as told, which rules it broke.
+// The only place where an incarnation of a server ends. Records its cost, whether it exited as told, and
+// which rules it broke.
 void Rig::on_server_ended(ServerSlot& slot, const load::Child::Cost& cost, bool killed_by_rig) {
   Incarnation& incarnation = *slot.incarnation;
   slot.up = slot.stopped = false;
@@ -214,7 +216,7 @@
   if (killed_by_rig) incarnation.undisturbed = false;
   if (incarnation.undisturbed) incarnation.rules->check_deadlines(load::unix_now());
   const Rules::Broken& broken = incarnation.rules->broken();
-  // A server that was killed or stood still loses ops and is late; it never does twice.
+  // A server that was killed or stopped may lose ops and be late, but must never run or answer an op twice.
   const std::uint64_t wrong =
       incarnation.undisturbed ? broken.total()
                               : broken.duplicate_answers + broken.duplicate_runs + broken.nacked_after_run;
@@ -228,7 +230,7 @@
   if (incarnation.undisturbed)
     outcome_.answer_ms.insert(outcome_.answer_ms.end(), answers.begin(), answers.end());
   incarnation.callers->stop();
-  incarnation.machine->move_to(at(0)); // its interpreter goes with it
+  incarnation.machine->move_to(at(0)); // the machine's interpreter ends with the server
   update_connectivity();
 }
 
@@ -262,8 +264,8 @@
   update_connectivity();
 }
 
-// Of the program alone: what a child has had at its most counts this process's own memory from before its
-// start.
+// Reads the peak from /proc, which covers the server program alone: the peak in a child's resource usage
+// includes this process's memory from before the exec.
 void Rig::record_peak_memory(ServerSlot& slot) {
   std::ifstream in("/proc/" + std::to_string(slot.child->pid()) + "/status");
   for (std::string line; std::getline(in, line);)
@@ -271,7 +273,7 @@
       outcome_.peak_kb = std::max(outcome_.peak_kb, std::strtol(line.c_str() + 6, nullptr, 10));
 }
 
-// Each a thousandth of a second: who ended, and who stands still as it was told to in its next act.
+// Every millisecond: finds servers that have exited, and servers that have stopped in an act as requested.
 void Rig::poll_servers() {
   for (ServerSlot& slot : slots_) {
     load::Child::Cost cost;
@@ -324,14 +326,14 @@
   checker_.set_connectivity(now(), receives_from);
 }
 
-// ---- who votes
+// ---- voters
 
 void Rig::write_operator(const ServerSlot& slot) const {
   load::write_file(options_.folder + "/n" + std::to_string(slot.number) + ".kdl",
                    operator_text(slot.number, member_ports + slot.number));
 }
 
-// As an operator looks for it: in the log of any member that is up.
+// Looks for it as an operator does: in the log of any member that is up.
 bool Rig::settled() const {
   const std::string marker = "epoch " + std::to_string(voters_.epoch.raw) + " is settled";
   return voters_.epoch.raw == 1 || std::any_of(slots_.begin(), slots_.end(), [&](const ServerSlot& slot) {
@@ -348,12 +350,13 @@
   for (unsigned n = 0; n < options_.voters; ++n)
     voters_.voters.insert(MemberId{(first - 1 + n) % options_.members + 1});
   ++outcome_.voter_changes;
-  // One after the other, those that are down too; who is up is told to read it.
+  // Updates the files one after the other, also those of members that are down. Members that are up get
+  // SIGHUP.
   for (ServerSlot& slot : slots_)
     after(spread * slot.number / options_.members, [this, &slot, epoch = voters_.epoch] {
       if (epoch != voters_.epoch) return;
       write_operator(slot);
-      // One that just started may not have read its file yet, or may not yet be told by a signal.
+      // A server that has just started may not have read its file yet, or may not handle the signal yet.
       const Nanos startup_left =
           slot.up ? std::max<Nanos>(0, slot.incarnation->begun + startup_time - now()) : 0;
       after(startup_left, [&slot, incarnation = slot.incarnation] {
@@ -412,7 +415,8 @@
     target_slot.stop_pending = 1;
     target_slot.stop_for = length;
     target_slot.page->stop_before_act = kind == "stop-in-act" ? 1 : 2;
-    after(3 * term_, [this, &target_slot, incarnation = target_slot.incarnation] { // it does not act
+    // Gives up if the member does not act.
+    after(3 * term_, [this, &target_slot, incarnation = target_slot.incarnation] {
       if (target_slot.incarnation != incarnation || target_slot.stop_pending == 0 ||
           target_slot.page->stop_before_act == 0)
         return;
--- a/fleet/rig.hpp
+++ b/fleet/rig.hpp
@@ -1,6 +1,7 @@
-// Several servers of the program as processes on loopback, with all other parties, a relay on each way
-// between two of them and to the referee, faults at their times, and bounded load on the ops with the rules
-// checked from outside. Owns the processes, the relays and the stand-ins; stops by itself.
+// Test rig: several servers as processes on loopback with stand-ins for all other services, a relay for each
+// direction between two servers and from each to the task target, faults at planned times, and bounded load
+// of ops with the rules checked from outside. Owns the processes, the relays and the stand-ins; stops by
+// itself.
 #pragma once
 
 #include "callers.hpp"
@@ -21,53 +22,55 @@
 
 namespace cometshift::fleet {
 
+// Parameters of a run.
 struct RunOptions {
   std::string server = "build/cometshift", clock = "build/libodd_clock.so";
-  std::string folder; // of configurations and logs
+  std::string folder; // for configurations and logs
   unsigned members = 5, voters = 3, tasks = 2;
   double every_s = 0.1;                                    // the tasks' period
   double seconds = 20, term_s = 1, drift = 0.01, rate = 0; // rate: ops a second at each server; 0: none
   std::uint64_t seed = 1;
-  bool leases = true; // else no fleet is set: what ops cost without
+  bool leases = true; // false: no fleet is configured, to measure the cost of ops without it
   bool quiet = false;
 };
 
+// What a run has shown.
 struct RunResult {
   ExclusionChecker::Findings findings;
   std::vector<Nanos> gaps;
   std::size_t faults = 0;
-  std::uint64_t incarnations = 0, unexpected_exits = 0; // servers that ended otherwise than told
+  std::uint64_t incarnations = 0, unexpected_exits = 0;
   std::uint64_t rules_broken = 0, wrong_results = 0, ops = 0;
-  std::vector<std::string> examples; // of rules
-  bool recovered = true;             // every task was done in the time without faults at the end
+  std::vector<std::string> examples; // of broken rules and unexpected exits
+  bool recovered = true;             // every task was carried out in the fault-free time at the end
   double cpu_seconds = 0, member_seconds = 0;
   long peak_kb = 0;
   std::uint64_t bytes = 0;         // between members
-  std::uint64_t voter_changes = 0; // of voters that came after the first
+  std::uint64_t voter_changes = 0; // voter lists after the first
   std::vector<float> answer_ms;
   std::uint64_t violations() const {
     return findings.violations() + unexpected_exits + rules_broken + wrong_results + (recovered ? 0 : 1);
   }
 };
 
+// Carries out one run.
 class Rig {
  public:
   Rig(asio::io_context& io, const RunOptions& options, std::vector<Fault> plan);
   ~Rig();
   RunResult run();
   const ExclusionChecker& checker() const { return checker_; }
-  const std::vector<Fault>& injected() const {
-    return injected_;
-  } // the faults as they were, with who they met
+  // The injected faults, with actual times and members.
+  const std::vector<Fault>& injected() const { return injected_; }
 
  private:
-  struct ClockPage;    // what standin/odd_clock.c reads
-  struct Incarnation { // the load on one life of a server, with its rules
+  struct ClockPage;    // shared with standin/odd_clock.c
+  struct Incarnation { // the load on one incarnation of a server, and its rules
     std::unique_ptr<Rules> rules;
     std::unique_ptr<load::Demand> demand;
     std::unique_ptr<load::Callers> callers;
     std::unique_ptr<standin::Machine> machine;
-    bool undisturbed = true; // it was neither killed nor stopped: all rules hold
+    bool undisturbed = true; // neither killed nor stopped: all rules hold
     Nanos begun = 0;
   };
   struct ServerSlot {
@@ -76,11 +79,11 @@
     ClockPage* page = nullptr;
     std::string page_path;
     bool up = false, stopped = false, draining = false;
-    int stop_pending = 0; // which order to stop in an act is out
-    Nanos stop_for = 0;   // then
-    Nanos down_for = 0;   // once it has left
+    int stop_pending = 0; // 1 while a requested stop in an act is outstanding
+    Nanos stop_for = 0;   // length of that stop
+    Nanos down_for = 0;   // from its exit to its restart
     std::vector<std::unique_ptr<Incarnation>> incarnations;
-    std::string log; // of this life
+    std::string log; // path, of the current incarnation
     Incarnation* incarnation = nullptr;
   };
   using RelayList = std::vector<Relay*>;
@@ -121,7 +124,7 @@
   std::unique_ptr<standin::RecordsService> records_;
   std::unique_ptr<standin::AnnounceService> announce_;
   RunResult outcome_;
-  VoterList voters_; // as the operator has made them last
+  VoterList voters_; // as last written to the operator files
   bool over_ = false;
 };
 
--- a/fleet/timeline.cpp
+++ b/fleet/timeline.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 constexpr double second = 1e9;
-constexpr double width = 60, left = 60, row = 34, top = 30; // width: of a second
-constexpr Nanos max_gap_in_holding = 400'000'000; // acts nearer than that under one token are one bar
+constexpr double width = 60, left = 60, row = 34, top = 30; // pixels; width: per second
+// Acts under one token that are closer together than this are drawn as one bar.
+constexpr Nanos max_gap_in_holding = 400'000'000;
 constexpr const char* colours[] = {"#4878a8", "#b07030", "#508858", "#905080",
                                    "#707070", "#a04848", "#308890"};
 
@@ -37,7 +38,8 @@
   }
   for (double at = 0; at <= static_cast<double>(length) / second; at += 5)
     put(out, "<text x=\"%.1f\" y=\"%.1f\">%.0f s</text>\n", left + width * at, top + row * members + 20, at);
-  // Bars: acts of one task, member and token, in a row; tasks beside each other within a member's row.
+  // A bar is a sequence of acts of one task, member and token. Tasks are placed below each other within a
+  // member's row.
   std::vector<std::string> tasks;
   for (const Act& act : checker.acts())
     if (std::find(tasks.begin(), tasks.end(), act.task) == tasks.end()) tasks.push_back(act.task);
--- a/fleet/timeline.hpp
+++ b/fleet/timeline.hpp
@@ -1,4 +1,4 @@
-// A run as a picture: a row for each member with what it held and did, and the faults on it. SVG.
+// Renders a run as SVG: a row for each member with its acts and holdings, and the faults that affected it.
 #pragma once
 
 #include "judge.hpp"
--- a/tests/explored.sh
+++ b/tests/explored.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# All orders of a few events in small worlds of leases: nothing goes wrong, and how much there was to see; then with one fault each put
+# All orders of a few events in small state spaces of leases: no violation, and the number of states; then, with each of the faults put
 # into the module, the shortest schedule that shows it. Usage: explored.sh EXPLORER FAULTS SOURCE 'OBJECTS...' JOBS COMPILER...
 export explorer=$1 faults=$2 source=$3 objects=$4 jobs=$5
 shift 5
--- a/tests/fleet.cpp
+++ b/tests/fleet.cpp
@@ -1,5 +1,5 @@
-// Emulated days: the same seed gives the same day, random days of troubles break no rule, with pools and
-// without.
+// Emulated days: the same seed gives the same day, and random days with faults break no rule, with and
+// without pools.
 #include "days.hpp"
 
 #include <cstdio>
--- a/tests/fleet_rig.sh
+++ b/tests/fleet_rig.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
 # Several servers as processes with faults between them: the hard cases of leases by plan, random faults by seed with load on
-# the ops, and kills of whoever acts. What is printed does not vary: what must not be, and that what is judged took place.
+# the ops, and kills of the member that acts. Prints only what doesn't vary between runs: the counts of violations, and that
+# enough acts took place for the check to mean something.
 # Usage: fleet_rig.sh RIG SERVER CLOCK PLANS
 rig=$1 server=$2 clock=$3 plans=$4
 rm -rf fleet_rig.made
--- a/tests/judge.cpp
+++ b/tests/judge.cpp
@@ -1,5 +1,5 @@
-// The judge of the rig of several processes, and its plans of faults: each wrong is told to it once and has
-// to be seen.
+// The fleet rig's checker and its fault plans: each kind of violation is reported to the checker once and has
+// to be detected.
 #include "judge.hpp"
 #include "plan.hpp"
 
