--- a/src/explain.cpp
+++ b/src/explain.cpp
@@ -1,5 +1,4 @@
 // Reports the inputs of a decision, to explain it.
-// Reports the inputs of a decision, to explain it.
 #include "decision_module.hpp"
 
 namespace cometshift {
